--- a/src/quetzaldeck/entry/attempt.py
+++ b/src/quetzaldeck/entry/attempt.py
@@ -9,9 +9,9 @@
 
 from quetzaldeck.decisions import AttemptFault, LoadReport
 from quetzaldeck.decisions.retries.silence import first_byte_bound_ms, gap_bound_ms
-from quetzaldeck.entry.answer_head import AnswerHead
+from quetzaldeck.entry.forwarding_parameters import ForwardingParameters, Helper
 from quetzaldeck.entry.memory import AttemptMemory
-from quetzaldeck.entry.send_terms import Helper, SendTerms
+from quetzaldeck.entry.response_head import ResponseHead
 from quetzaldeck.entry.silence_watch import SilenceWatch
 from quetzaldeck.gateway.messages import ObserveLoad
 from quetzaldeck.platform import build_request_headers, read_answer_head
@@ -31,7 +31,7 @@
 class Answer(NamedTuple):
     """An answer whose head is in order; its body has yet to be read."""
 
-    head: AnswerHead
+    head: ResponseHead
     response: aiohttp.ClientResponse
 
 
@@ -124,7 +124,7 @@
     ) -> aiohttp.ClientResponse:
         http_request = self._call.http_request
         name = dispatch.upstreams[-1]
-        terms = SendTerms(
+        terms = ForwardingParameters(
             name,
             self._call.admitted.customer,
             self._call.admitted.deadline_ms - self._state.clock.now_ms(),
@@ -168,7 +168,7 @@
             )
         return replica
 
-    def _note_load(self, name: str, head: AnswerHead) -> None:
+    def _note_load(self, name: str, head: ResponseHead) -> None:
         if head.load is None:
             return
         now_ms = self._state.clock.now_ms()
@@ -184,7 +184,7 @@
         )
         self._state.dispatch.send(ObserveLoad(report))
 
-    def _check(self, name: str, head: AnswerHead) -> None:
+    def _check(self, name: str, head: ResponseHead) -> None:
         """:raises UpstreamError: if the answer cannot be passed on"""
         if head.call_id and head.call_id != self._call.head.call_id:
             detail = f"{name}: the answer is to {head.call_id!r}"
@@ -198,7 +198,7 @@
             detail = f"{name}: status {head.status} without the replica's mark"
             raise UpstreamError(AttemptFault.BAD_ANSWER, detail, upstream=name)
 
-    def _raise_not_run(self, name: str, head: AnswerHead) -> None:
+    def _raise_not_run(self, name: str, head: ResponseHead) -> None:
         """Tell a busy replica from one that is gone.
 
         A replica that is not the one asked is gone. A helper that did not take its part
@@ -222,7 +222,7 @@
             upstream=faulty,
         )
 
-    def _find_faulty(self, name: str, head: AnswerHead) -> str:
+    def _find_faulty(self, name: str, head: ResponseHead) -> str:
         """:returns: the replica to blame: a helper may have failed the one asked"""
         if not head.faulty_address:
             return name
--- a/src/quetzaldeck/entry/send_terms.py
+++ b/src/quetzaldeck/entry/forwarding_parameters.py
@@ -16,12 +16,12 @@
     reservation: str = ""
 
 
-class SendTerms(NamedTuple):
+class ForwardingParameters(NamedTuple):
     """What the VM adds to a caller's request.
 
     :param replica_id: the only incarnation that may run it
     :param customer: ``""`` if the route needs no key
-    :param left_ms: time in which it has to be answered
+    :param remaining_ms: time in which it has to be answered
     :param rank: order among the requests at an engine; 0 goes first
     :param helpers: engines that read parts of the prompt
     :param last_event_id: event after which the stream goes on; ``None``: as the caller
@@ -30,10 +30,10 @@
 
     replica_id: str
     customer: str
-    left_ms: float
+    remaining_ms: float
     rank: int | None = None
     helpers: tuple[Helper, ...] = ()
     last_event_id: str | None = None
 
 
-__all__ = ("Helper", "SendTerms")
+__all__ = ("ForwardingParameters", "Helper")
--- a/src/quetzaldeck/entry/memory.py
+++ b/src/quetzaldeck/entry/memory.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from quetzaldeck.entry.send_terms import Helper
+from quetzaldeck.entry.forwarding_parameters import Helper
 from quetzaldeck.gateway.group_reservation import GroupReservation
 from quetzaldeck.gateway.release_task import Release
 from quetzaldeck.telemetry import log_event
--- a/src/quetzaldeck/entry/answer_head.py
+++ b/src/quetzaldeck/entry/response_head.py
@@ -13,7 +13,7 @@
     n_slots: int
 
 
-class AnswerHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """The head of one answer.
 
     :param call_id: id of the request that it answers
@@ -37,4 +37,4 @@
     faulty_address: str = ""
 
 
-__all__ = ("AnswerHead", "ReplicaLoad")
+__all__ = ("ReplicaLoad", "ResponseHead")
--- a/src/quetzaldeck/platform/headers.py
+++ b/src/quetzaldeck/platform/headers.py
@@ -6,13 +6,13 @@
 
 from multidict import CIMultiDict
 
-from quetzaldeck.entry.answer_head import AnswerHead, ReplicaLoad
 from quetzaldeck.entry.call_head import CallHead, PromptSize
+from quetzaldeck.entry.response_head import ReplicaLoad, ResponseHead
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from quetzaldeck.entry.send_terms import Helper, SendTerms
+    from quetzaldeck.entry.forwarding_parameters import ForwardingParameters, Helper
 
 CALL_ID = "Quetzaldeck-Attempt-Id"
 """Id of what a caller sent once; a caller's own retry has another."""
@@ -67,10 +67,10 @@
     )
 
 
-def read_answer_head(status: int, headers: Mapping[str, str]) -> AnswerHead:
+def read_answer_head(status: int, headers: Mapping[str, str]) -> ResponseHead:
     """:returns: the head of a replica's answer; what cannot be read is left out"""
     is_other_replica = status == WRONG_REPLICA_STATUS
-    return AnswerHead(
+    return ResponseHead(
         status,
         headers.get(CALL_ID, ""),
         _SEAL in headers,
@@ -84,13 +84,13 @@
 
 
 def build_request_headers(
-    headers: Mapping[str, str], terms: SendTerms
+    headers: Mapping[str, str], terms: ForwardingParameters
 ) -> CIMultiDict[str]:
     """:returns: the headers that a replica receives for a caller's"""
     sent = _copy_end_to_end(headers)
     for name in _SET_BY_VM:
         sent.popall(name, None)
-    sent[_DEADLINE] = str(max(1, int(terms.left_ms)))
+    sent[_DEADLINE] = str(max(1, int(terms.remaining_ms)))
     sent[EXPECTED_REPLICA] = terms.replica_id
     if terms.customer:
         sent[_CUSTOMER] = terms.customer
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quetzaldeck.entry.answer_head import ReplicaLoad
 from quetzaldeck.entry.call_head import PromptSize
-from quetzaldeck.entry.send_terms import Helper, SendTerms
+from quetzaldeck.entry.forwarding_parameters import ForwardingParameters, Helper
+from quetzaldeck.entry.response_head import ReplicaLoad
 from quetzaldeck.platform import (
     build_answer_headers,
     build_request_headers,
@@ -16,7 +16,7 @@
     read_call_head,
 )
 
-TERMS = SendTerms("r1", "gym", 1_234.5)
+TERMS = ForwardingParameters("r1", "gym", 1_234.5)
 TEXT = st.text(st.characters(min_codepoint=32, max_codepoint=126), max_size=30)
 
 
