--- a/src/quetzaldeck/entry/settings.py
+++ b/src/quetzaldeck/entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry VM on the users' platform."""
+"""Settings of an entry VM."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from quetzaldeck.decisions.policies import ENTRY_POLICIES, Policies
 
 HOLD_SHARE = 0.85
-"""Part of the time in which unused memory has to be free again."""
+"""Share of ``free_ms`` for which one order reserves memory."""
 
 N_CAPACITY_DIGITS = 2
 MIN_CAPACITY = 0.01
-"""The least that a processor of a VM is taken for, in cores."""
+"""Least capacity assumed for a VM's processor, in cores."""
 
 _PORT_PATTERN = r"(6553[0-5]|655[0-2]\d|65[0-4]\d\d|6[0-4]\d{3}|[0-5]?\d{1,4})"
 _ADDRESS_PATTERN = rf"[^\s:/]{{1,90}}:{_PORT_PATTERN}"
@@ -28,87 +28,90 @@
 class EntryListen(NamedTuple):
     """Where an entry VM listens, as ``IP:PORT``."""
 
-    callers: Annotated[str, _address("For callers.")]
-    readiness: Annotated[str, _address("For the balancer's question.")]
+    callers: Annotated[str, _address("Address for requests of callers.")]
+    readiness: Annotated[str, _address("Address for readiness checks.")]
     metrics: Annotated[
-        str, _address("For counters; empty: there are none.", may_be_empty=True)
+        str, _address("Address for metrics; empty: not served.", may_be_empty=True)
     ] = ""
 
 
 class EntryBounds(NamedTuple):
-    """What operators promise to callers and upstreams."""
+    """Bounds that operators guarantee to callers and upstreams."""
 
     key_revocation_ms: Annotated[
-        float, Option("A key that was taken away opens nothing.", unit="ms", minimum=1)
+        float, Option("Time until a revoked API key is rejected.", unit="ms", minimum=1)
     ] = 5_000.0
     leaving_ms: Annotated[
-        float, Option("A leaving replica gets no new work.", unit="ms", minimum=1)
+        float,
+        Option("Time until a leaving replica gets no work.", unit="ms", minimum=1),
     ] = 2_000.0
     configuration_ms: Annotated[
-        float, Option("A configuration is in force.", unit="ms", minimum=1)
+        float, Option("Time until a configuration is in force.", unit="ms", minimum=1)
     ] = 2_000.0
     grace_s: Annotated[
         float, Option("Time from SIGTERM to SIGKILL.", unit="s", minimum=0.1)
     ] = 8.0
     retry_ratio: Annotated[
-        float, Option("Retries against requests, over all VMs.", minimum=0)
+        float, Option("Highest ratio of retries to requests, over all VMs.", minimum=0)
     ] = 0.2
     retry_window_s: Annotated[
-        float, Option("Time over which both are counted.", unit="s", minimum=0.1)
+        float, Option("Window over which the ratio is taken.", unit="s", minimum=0.1)
     ] = 10.0
     free_ms: Annotated[
-        float, Option("Memory that nobody uses is free again.", unit="ms", minimum=1)
+        float, Option("Time until unused memory is free again.", unit="ms", minimum=1)
     ] = 4_000.0
 
     @property
     def reservation_hold_ms(self) -> float:
-        """:returns: for how long memory is set aside at a time
+        """:returns: how long one order reserves memory
 
-        If this VM dies, its memory is free again after this; the rest of the bound is
-        for the order's way and for what an engine does before it looks.
+        If this VM dies, the memory is free again after this time. The rest of the bound
+        covers the transfer of the order and the delay until the engine checks for
+        expired reservations.
         """
         return self.free_ms * HOLD_SHARE
 
 
 class EntryProcessor(NamedTuple):
-    """What a VM can do for others: those with more watch and relay for them."""
+    """Processor of a VM: those with more capacity watch and relay for other VMs."""
 
     share: Annotated[
-        float, Option("Part of the time that the VM may run.", minimum=0.001)
+        float, Option("Share of the time for which the VM may run.", minimum=0.001)
     ] = 1.0
     speed: Annotated[
-        float, Option("How many times as fast as one core it is then.", minimum=0.001)
+        float, Option("Speed while it runs, in multiples of a core.", minimum=0.001)
     ] = 1.0
 
     @property
     def capacity(self) -> float:
-        """:returns: the processor in cores
+        """:returns: the capacity of the processor in cores
 
-        Rounded as other VMs are told it: by a finer figure of its own a VM would take
-        itself for faster than its equals, and each of them would watch and relay.
+        It is rounded as in messages to other VMs. With a more precise value for itself,
+        each of several equal VMs might rank itself first, and all would watch and
+        relay.
         """
         return max(MIN_CAPACITY, round(self.share * self.speed, N_CAPACITY_DIGITS))
 
 
 class EntrySettings(NamedTuple):
-    """One entry VM: its addresses, the platform's store, and the bounds."""
+    """Settings of one entry VM."""
 
     vm: Annotated[str, Option("Id of this VM.", minimum=1)]
     availability_zone: Annotated[str, Option("Zone of this VM.")]
-    listen: Annotated[EntryListen, Option("Addresses.")]
-    store_address: Annotated[str, _address("The platform's store.")]
+    listen: Annotated[EntryListen, Option("Listen addresses.")]
+    store_address: Annotated[str, _address("Address of the platform's store.")]
     seeds: Annotated[
-        tuple[str, ...], _address("Peer addresses of some VMs, perhaps gone.")
+        tuple[str, ...], _address("Peer addresses to join by; some may be gone.")
     ] = ()
     peer_port: Annotated[
-        int, Option("Where VMs tell each other; 0: they do not.", maximum=65_535)
+        int, Option("Port for exchange between VMs; 0: none.", maximum=65_535)
     ] = 0
-    processor: Annotated[EntryProcessor, Option("The VM's processor.")] = (
+    processor: Annotated[EntryProcessor, Option("Processor of this VM.")] = (
         EntryProcessor()
     )
-    bounds: Annotated[EntryBounds, Option("Promises.")] = EntryBounds()
+    bounds: Annotated[EntryBounds, Option("Guaranteed bounds.")] = EntryBounds()
     policies: Annotated[
-        Policies, Option("Which policies decide, all named; others are for comparison.")
+        Policies, Option("Policies, all or none named; changed for comparisons only.")
     ] = ENTRY_POLICIES
     random_state: Annotated[int, Option("Seed of random choices; 0: any.")] = 0
 
--- a/tests/entry/test_settings.py
+++ b/tests/entry/test_settings.py
@@ -99,8 +99,8 @@
     with pytest.raises(FindingsError) as caught:
         load_text(text, EntrySettings, "entry.yaml")
     assert [finding.render() for finding in caught.value.findings] == [
-        "entry.yaml:3: listen.callers: is missing: For callers.",
-        "entry.yaml:3: listen.readiness: is missing: For the balancer's question.",
+        "entry.yaml:3: listen.callers: is missing: Address for requests of callers.",
+        "entry.yaml:3: listen.readiness: is missing: Address for readiness checks.",
     ]
 
 
