--- a/src/quetzaldeck/entry/__init__.py
+++ b/src/quetzaldeck/entry/__init__.py
@@ -1,3 +1,3 @@
-"""An entry VM on the users' platform: one process between callers and replicas."""
+"""The entry VM of the users' platform: a reverse proxy from callers to replicas."""
 
 from __future__ import annotations
--- a/src/quetzaldeck/entry/admission.py
+++ b/src/quetzaldeck/entry/admission.py
@@ -1,8 +1,8 @@
-"""Decides at the door: which route a request takes, whose it is, and its terms.
+"""Admission of a request: its route, service, customer, priority and deadline.
 
-Load pattern: a configuration that changes while requests arrive, keys that are taken
-away, a VM that is cut off from the source of its belief. What is decided here rests on
-one configuration; it is looked at again before each send, see :func:`check_again`.
+The configuration may change while requests arrive, keys may be revoked, and the VM may
+lose its connection to the platform's store. A request is admitted under one version of
+the configuration and checked again before each send, see :func:`recheck_call`.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
     from quetzaldeck.entry.view import RoutingView
 
 DEFAULT_DEADLINE_MS = 60_000.0
-"""For a caller that does not say how long it waits, on a route without a bound."""
+"""Applies if neither the caller nor the route sets a deadline."""
 
-ELSEWHERE_MS = 0.0
-"""When to come back after a refusal for a reason that lies in this VM alone: at once,
-for a new connection leads to another one."""
+RETRY_ELSEWHERE_MS = 0.0
+"""Retry-after time of a refusal whose cause affects this VM only: the caller may retry
+at once, as a new connection goes to another VM."""
 
 
 class Admitted(NamedTuple):
-    """A request that may be served.
+    """The outcome of admission for a request that may be served.
 
-    :param service: service that was chosen for it among the route's
+    :param service: the service chosen from the route's targets
     :param customer: ``""`` on a public route
-    :param deadline_ms: monotonic time by which it has to be answered
-    :param version: version of the configuration that this rests on
+    :param deadline_ms: monotonic time by which the response is due
+    :param version: version of the configuration under which it was admitted
     """
 
     route: Route
@@ -50,13 +50,13 @@
     path: str,
     *,
     now_ms: float,
-    believes_keys: bool,
+    are_keys_fresh: bool,
     random_state: random.Random,
 ) -> Admitted | Failure:
-    """Decide on a request that arrived.
+    """Admit or refuse an incoming request.
 
-    :param believes_keys: whether the list of keys is fresh enough
-    :returns: its terms, or the refusal
+    :param are_keys_fresh: whether the key list is recent enough to authenticate with
+    :returns: the admitted request, or the refusal
     """
     route = view.routes.find(host, path)
     if route is None:
@@ -64,9 +64,11 @@
     customer = ""
     priority = route.priority
     if view.keys is not None and not route.is_public:
-        if not believes_keys:
-            detail = "this VM cannot confirm keys at the moment"
-            return Failure(Reason.NO_BUNDLE, retry_after_ms=ELSEWHERE_MS, detail=detail)
+        if not are_keys_fresh:
+            detail = "the API key list of this VM is too old to authenticate requests"
+            return Failure(
+                Reason.NO_BUNDLE, retry_after_ms=RETRY_ELSEWHERE_MS, detail=detail
+            )
         owner = view.keys.get(head.api_key or "")
         if owner is None:
             return Failure(Reason.UNKNOWN_CUSTOMER)
@@ -85,22 +87,26 @@
     )
 
 
-def check_again(
+def recheck_call(
     view: RoutingView, admitted: Admitted, head: CallHead, host: str, path: str
 ) -> Failure | None:
-    """Look at a request again before it is sent, if the configuration has changed.
+    """Check a request again before it is sent, if the configuration has changed.
 
-    One that waited may belong to a route that is gone or moved, or to a key that was
-    taken away meanwhile.
+    While the request was queued its route may have been removed or pointed to another
+    service, or its key revoked.
 
-    :returns: the refusal; ``None``: it may be sent
+    :returns: the refusal; ``None`` if it may be sent
     """
     if view.version == admitted.version:
         return None
     route = view.routes.find(host, path)
     if route is None or not route.serves(admitted.service):
-        detail = f"the route changed with version {view.version}"
-        return Failure(Reason.NO_UPSTREAM, retry_after_ms=ELSEWHERE_MS, detail=detail)
+        detail = (
+            f"configuration version {view.version} removed the route or its service"
+        )
+        return Failure(
+            Reason.NO_UPSTREAM, retry_after_ms=RETRY_ELSEWHERE_MS, detail=detail
+        )
     if view.keys is not None and not route.is_public:
         owner = view.keys.get(head.api_key or "")
         if owner is None or owner.customer != admitted.customer:
@@ -109,7 +115,7 @@
 
 
 def choose_service(route: Route, random_state: random.Random) -> str:
-    """:returns: one of the route's services, by their weights"""
+    """:returns: one of the route's services, chosen at random by weight"""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [target.weight for target in route.targets]
@@ -118,4 +124,10 @@
     return random_state.choices(route.targets, weights)[0].service
 
 
-__all__ = ("ELSEWHERE_MS", "Admitted", "admit_call", "check_again", "choose_service")
+__all__ = (
+    "RETRY_ELSEWHERE_MS",
+    "Admitted",
+    "admit_call",
+    "choose_service",
+    "recheck_call",
+)
--- a/src/quetzaldeck/entry/attempt.py
+++ b/src/quetzaldeck/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to an upstream, until the head of its answer is judged."""
+"""Sends a request to an upstream once and validates the head of the response."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from quetzaldeck.decisions import AttemptFault, LoadReport
 from quetzaldeck.decisions.retries.silence import first_byte_bound_ms, gap_bound_ms
 from quetzaldeck.entry.forwarding_parameters import ForwardingParameters, Helper
-from quetzaldeck.entry.memory import AttemptMemory
+from quetzaldeck.entry.memory_reservation import MemoryReservation
 from quetzaldeck.entry.response_head import ResponseHead
 from quetzaldeck.entry.silence_watch import SilenceWatch
 from quetzaldeck.gateway.messages import ObserveLoad
@@ -28,17 +28,17 @@
     from quetzaldeck.routing import Replica
 
 
-class Answer(NamedTuple):
-    """An answer whose head is in order; its body has yet to be read."""
+class OpenResponse(NamedTuple):
+    """A response whose head has been validated; its body is not read yet."""
 
     head: ResponseHead
     response: aiohttp.ClientResponse
 
 
 class AttemptRunner:
-    """Sends a call where a dispatch says, and judges what comes back.
+    """Sends a call to the upstream of a dispatch and validates the response.
 
-    :param ticket: the admitted request
+    :param ticket: the scheduler's handle for the admitted request
     """
 
     def __init__(self, state: EntryState, call: Call, ticket: Ticket) -> None:
@@ -51,56 +51,58 @@
 
     @property
     def incarnation(self) -> str:
-        """:returns: the start of the replica that was sent to last; ``""``: not told"""
+        """:returns: incarnation of the last replica sent to; ``""`` if unknown"""
         return self._incarnation
 
     @property
     def may_have_run(self) -> bool:
-        """:returns: whether a replica may have begun, or will yet begin, the call"""
+        """:returns: whether a replica may have run the call, or may yet run it"""
         return self._may_have_run
 
     def watch_first_byte(self, dispatch: Dispatch) -> SilenceWatch:
-        """:returns: what waits for the first byte of an attempt"""
+        """:returns: the watch on the time to the first byte of an attempt"""
         target_ms = self._call.admitted.route.target_latency_ms
-        return self._watch(dispatch, first_byte_bound_ms(target_ms))
+        return self._build_watch(dispatch, first_byte_bound_ms(target_ms))
 
     def watch_gaps(self, dispatch: Dispatch) -> SilenceWatch:
-        """:returns: what waits for the next bytes of a stream that has begun"""
-        return self._watch(dispatch, gap_bound_ms(self._call.admitted.route.max_gap_ms))
+        """:returns: the watch on the gaps in a stream that has begun"""
+        return self._build_watch(
+            dispatch, gap_bound_ms(self._call.admitted.route.max_gap_ms)
+        )
 
     @asynccontextmanager
     async def open(
         self, dispatch: Dispatch, *, last_event_id: str | None
-    ) -> AsyncIterator[Answer]:
-        """Send, and yield the answer; the connection is given back at the end.
+    ) -> AsyncIterator[OpenResponse]:
+        """Send, and yield the response; the connection is released on exit.
 
-        :param last_event_id: event after which a stream goes on
-        :raises UpstreamError: if the upstream did not answer, or not as it must
+        :param last_event_id: event after which to resume a stream
+        :raises UpstreamError: if the upstream did not respond, or not with a valid head
         """
-        before = self._may_have_run
+        may_have_run_before = self._may_have_run
         try:
-            async with self._open(dispatch, last_event_id) as answer:
-                yield answer
+            async with self._open_response(dispatch, last_event_id) as opened:
+                yield opened
         except UpstreamError as error:
             if not error.has_reached:
-                self._may_have_run = before
+                self._may_have_run = may_have_run_before
             raise
 
     @asynccontextmanager
-    async def _open(
+    async def _open_response(
         self, dispatch: Dispatch, last_event_id: str | None
-    ) -> AsyncIterator[Answer]:
+    ) -> AsyncIterator[OpenResponse]:
         name = dispatch.upstreams[-1]
         async with AsyncExitStack() as stack:
             helpers = self._list_helpers(dispatch)
             self._members = frozenset()
             if dispatch.plan is not None:
                 until_ms = self._call.admitted.deadline_ms
-                memory = AttemptMemory(self._state, dispatch, until_ms)
-                await stack.enter_async_context(memory)
+                reservation = MemoryReservation(self._state, dispatch, until_ms)
+                await stack.enter_async_context(reservation)
                 self._members = frozenset(dispatch.plan.upstreams)
                 self._ticket.note_reserved(dispatch.attempt_id)
-                helpers = (*memory.list_helpers(), *helpers)
+                helpers = (*reservation.list_helpers(), *helpers)
             await stack.enter_async_context(translate_faults(name))
             watch = self.watch_first_byte(dispatch)
             response = await watch.wait(
@@ -108,9 +110,9 @@
             )
             try:
                 head = read_answer_head(response.status, response.headers)
-                self._note_load(name, head)
-                self._check(name, head)
-                yield Answer(head, response)
+                self._report_load(name, head)
+                self._check_head(name, head)
+                yield OpenResponse(head, response)
             except BaseException:
                 response.close()
                 raise
@@ -153,22 +155,22 @@
         )
 
     def _find_replica(self, name: str) -> Replica:
-        """:returns: a replica that takes new work
+        """:returns: the replica that a dispatch names
 
-        :raises UpstreamError: if it went while the dispatch was under way
+        :raises UpstreamError: if it has left, or begun to leave, since the dispatch
         """
         replica = self._state.belief.replicas.get(name)
         if replica is None or replica.is_leaving:
             raise UpstreamError(
                 AttemptFault.OVERLOADED,
-                f"{name}: left meanwhile",
+                f"{name}: the replica left after the request was dispatched to it",
                 has_reached=False,
                 has_arrived=False,
                 upstream=name,
             )
         return replica
 
-    def _note_load(self, name: str, head: ResponseHead) -> None:
+    def _report_load(self, name: str, head: ResponseHead) -> None:
         if head.load is None:
             return
         now_ms = self._state.clock.now_ms()
@@ -184,31 +186,32 @@
         )
         self._state.dispatch.send(ObserveLoad(report))
 
-    def _check(self, name: str, head: ResponseHead) -> None:
-        """:raises UpstreamError: if the answer cannot be passed on"""
+    def _check_head(self, name: str, head: ResponseHead) -> None:
+        """:raises UpstreamError: if the response must not be forwarded to the caller"""
         if head.call_id and head.call_id != self._call.head.call_id:
-            detail = f"{name}: the answer is to {head.call_id!r}"
+            detail = f"{name}: the response is for request {head.call_id!r}"
             raise UpstreamError(AttemptFault.BAD_ANSWER, detail, upstream=name)
         if head.has_not_run:
             self._raise_not_run(name, head)
         if head.is_encoded:
-            detail = f"{name}: the body was encoded on its way"
+            detail = f"{name}: an intermediary changed the encoding of the body"
             raise UpstreamError(AttemptFault.BAD_ANSWER, detail, upstream=name)
         if not head.is_sealed:
-            detail = f"{name}: status {head.status} without the replica's mark"
+            detail = f"{name}: status {head.status} without the replica's seal header"
             raise UpstreamError(AttemptFault.BAD_ANSWER, detail, upstream=name)
 
     def _raise_not_run(self, name: str, head: ResponseHead) -> None:
-        """Tell a busy replica from one that is gone.
+        """Classify a request that was not run: the replica is busy, or it is gone.
 
-        A replica that is not the one asked is gone. A helper that did not take its part
-        is gone, or helps others already; nothing tells which. One that has just set
-        memory aside is not gone. Taken for dead, a busy helper would be named in no
-        prompt for a second; each attempt of one long prompt took another one out.
+        If another replica responds at the address, the one addressed is gone. A helper
+        that did not take its prompt part is either gone or busy with other prompts, and
+        the response does not say which; a member that has just reserved memory is
+        alive. A busy helper that is taken for dead is excluded from all prompts for a
+        second, so that each attempt of one long prompt would exclude another helper.
 
         :raises UpstreamError: always
         """
-        faulty = self._find_faulty(name, head)
+        faulty = self._find_faulty_replica(name, head)
         if head.is_other_replica:
             fault = AttemptFault.CONNECT
         elif faulty == name or faulty in self._members:
@@ -217,24 +220,24 @@
             fault = AttemptFault.HELPER
         raise UpstreamError(
             fault,
-            f"{name}: status {head.status}, not run",
+            f"{name}: status {head.status}, the request was not run",
             has_reached=False,
             upstream=faulty,
         )
 
-    def _find_faulty(self, name: str, head: ResponseHead) -> str:
-        """:returns: the replica to blame: a helper may have failed the one asked"""
+    def _find_faulty_replica(self, name: str, head: ResponseHead) -> str:
+        """:returns: the replica that failed: the one addressed or one of its helpers"""
         if not head.faulty_address:
             return name
         replicas = self._state.belief.replicas
         service = replicas[name].service if name in replicas else ""
         for replica in replicas.values():
-            # An entry of another service may name the same address.
+            # Entries of other services may list the same address.
             if replica.service == service and replica.address == head.faulty_address:
                 return replica.replica_id
         return name
 
-    def _watch(self, dispatch: Dispatch, bound_ms: float | None) -> SilenceWatch:
+    def _build_watch(self, dispatch: Dispatch, bound_ms: float | None) -> SilenceWatch:
         if not self._call.admitted.route.is_repeatable:
             bound_ms = None
         return SilenceWatch(
@@ -246,4 +249,4 @@
         )
 
 
-__all__ = ("Answer", "AttemptRunner")
+__all__ = ("AttemptRunner", "OpenResponse")
--- a/src/quetzaldeck/entry/belief_bounds.py
+++ b/src/quetzaldeck/entry/belief_bounds.py
@@ -1,4 +1,4 @@
-"""How old belief may be, by what operators promise."""
+"""Derives the age limits of the fleet state from the operators' settings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def build_belief_bounds(bounds: EntryBounds) -> BeliefBounds:
-    """:returns: how old belief may be, by the operators' promises"""
+    """:returns: how old this VM's fleet state may be under the configured bounds"""
     return BeliefBounds(bounds.key_revocation_ms, bounds.leaving_ms)
 
 
--- a/src/quetzaldeck/entry/belief_sources.py
+++ b/src/quetzaldeck/entry/belief_sources.py
@@ -1,4 +1,4 @@
-"""What an entry VM may ask for news, and what it tells others."""
+"""Where an entry VM gets updates of the fleet state, and its feed to other VMs."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class BeliefSources:
-    """The source, and the other VMs as sources.
+    """The platform's store and the other VMs, as sources of the fleet state.
 
-    :param source: can only be read
+    :param source: the platform's store, which is read-only
     :param client: used for other VMs only
     :param table: the other VMs
-    :param own: this VM's address
+    :param own_address: address of this VM
     """
 
     def __init__(
@@ -32,16 +32,16 @@
         client: aiohttp.ClientSession,
         table: PeerTable,
         *,
-        own: str,
+        own_address: str,
     ) -> None:
         self._state = state
         self._client = client
         self._table = table
         self._source = source
         self._feed = BeliefFeed(state.belief, state.clock)
-        self._own = own
+        self._own_address = own_address
         self._choice = SourceChoice(
-            own,
+            own_address,
             self.bounds,
             random_state=state.random_state,
             find_capacity=self._find_capacity,
@@ -49,25 +49,25 @@
 
     @property
     def source(self) -> BeliefSource:
-        """:returns: the source that all VMs' news come from"""
+        """:returns: the platform's store, the origin of all updates"""
         return self._source
 
     @property
     def feed(self) -> BeliefFeed:
-        """:returns: what tells other VMs what this one believes"""
+        """:returns: the feed that publishes this VM's fleet state to other VMs"""
         return self._feed
 
     @property
     def choice(self) -> SourceChoice:
-        """:returns: what chooses whom to ask"""
+        """:returns: the policy that chooses the next source to query"""
         return self._choice
 
     @property
     def bounds(self) -> SharingBounds:
-        """:returns: the figures, from the settings in force
+        """:returns: the bounds that follow from the settings in force
 
-        Keys are a change as well: they are believed up to an age that leaves time for
-        the request and for a source that drops its history.
+        Key revocations count as changes, with a shorter bound than the configured one:
+        it leaves time for the request itself and for a store that drops its history.
         """
         bounds = self._state.settings.bounds
         max_key_age_ms = build_belief_bounds(bounds).max_key_age_ms
@@ -75,7 +75,7 @@
         return SharingBounds(max(1.0, shortest_ms))
 
     def choose(self) -> str | None:
-        """:returns: the VM to ask next; ``None``: the source"""
+        """:returns: address of the VM to query next; ``None``: the store"""
         if not self._state.settings.peer_port:
             return None
         zone = self._state.settings.availability_zone
@@ -88,7 +88,7 @@
         )
 
     def _find_capacity(self, address: str) -> float:
-        if address == self._own:
+        if address == self._own_address:
             return self._state.settings.processor.capacity
         return self._table.find_capacity(address)
 
--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -1,4 +1,4 @@
-"""The task that keeps a VM's belief up to date."""
+"""The task that keeps a VM's copy of the fleet state up to date."""
 
 from __future__ import annotations
 
@@ -15,55 +15,56 @@
 
 FIRST_RETRY_MS = 100.0
 MAX_RETRY_MS = 400.0
-"""Pauses before the source is asked again after an error: all VMs together may ask
-2,000 times a second, and its return has to be noticed well within a bound."""
+"""Retry delays after an error of the source. All VMs together may send it 2,000
+requests per second, and its recovery has to be noticed well within the configured
+bounds."""
 
-EXPIRY_LOOK_MS = 50.0
-"""Pause between two looks at replicas that have to return, while there are any; within
-the margin that the bound on a leaving replica's work has."""
+EXPIRY_POLL_MS = 50.0
+"""Interval between expiry checks while replicas have lost their entry. It is less than
+the margin kept of the bound on work for leaving replicas."""
 
 
 class BeliefTask:
-    """Asks the source or another VM, and tells the state what to believe.
+    """Queries the source or another VM and applies what it reads to the state.
 
-    :param sources: whom it may ask; none of them can be written to
+    :param sources: the read-only sources that it may query
     """
 
     def __init__(self, state: EntryState, sources: BeliefSources) -> None:
         self._state = state
         self._sources = sources
-        self._must_read_all = True
+        self._needs_full_read = True
         self._n_errors = 0
-        self._has_lapses = asyncio.Event()
+        self._has_lapsed_replicas = asyncio.Event()
         self._questions = state.metrics.peers.questions
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Query until cancelled."""
         while True:
-            pause_ms = await self._ask()
+            pause_ms = await self._query()
             await asyncio.sleep(pause_ms / 1_000)
 
     async def run_expiry(self) -> None:
-        """Give up replicas that do not return, until cancelled.
+        """Remove replicas whose entry does not reappear in time, until cancelled.
 
-        The question to the source is held for over a second. Looked at between two
-        questions only, a replica that left would get work for that much too long.
+        This does not wait for the queries: the source holds each for over a second, for
+        which a replica that has left would go on receiving work.
         """
         while True:
-            await self._has_lapses.wait()
-            await asyncio.sleep(EXPIRY_LOOK_MS / 1_000)
-            self._note(self._state.belief.expire(self._state.clock.uptime_ms()))
+            await self._has_lapsed_replicas.wait()
+            await asyncio.sleep(EXPIRY_POLL_MS / 1_000)
+            self._apply_notes(self._state.belief.expire(self._state.clock.uptime_ms()))
             if not self._state.belief.n_lapsed:
-                self._has_lapses.clear()
+                self._has_lapsed_replicas.clear()
 
-    async def _ask(self) -> float:
-        """:returns: pause before the next question, in milliseconds"""
+    async def _query(self) -> float:
+        """:returns: pause before the next query, in milliseconds"""
         peer = self._sources.choose()
         if peer is not None:
-            return await self._ask_peer(peer)
-        return await self._ask_source()
+            return await self._query_peer(peer)
+        return await self._query_source()
 
-    async def _ask_source(self) -> float:
+    async def _query_source(self) -> float:
         clock = self._state.clock
         asked_ms = clock.uptime_ms()
         try:
@@ -72,57 +73,57 @@
         except HistoryGoneError as error:
             log_event("source_history_gone", level="WARNING", error=error)
             self._questions.labels("source", "history_gone").inc()
-            self._must_read_all = True
+            self._needs_full_read = True
             self._sources.choice.note_history_gone()
             self._state.belief.note_trouble(clock.uptime_ms())
             return 0.0
         except SourceError as error:
-            return self._note_error(error)
-        self._note_regained(teller="")
+            return self._handle_source_error(error)
+        self._log_source_recovery(peer="")
         self._sources.choice.note_source_answer()
         self._questions.labels("source", "answered").inc()
-        self._take(reading, asked_ms)
+        self._apply_reading(reading, asked_ms)
         return self._sources.bounds.batch_ms if reading.changes else 0.0
 
-    async def _ask_peer(self, address: str) -> float:
-        """Ask another VM; whatever is wrong with it, the source is asked next."""
+    async def _query_peer(self, address: str) -> float:
+        """Query another VM; after any fault the next query goes to the source."""
         clock = self._state.clock
         asked_ms = clock.uptime_ms()
         choice = self._sources.choice
         try:
-            teller = self._sources.open_peer(address)
-            reading = await self._read(teller, self._sources.bounds.wait_ms)
+            source = self._sources.open_peer(address)
+            reading = await self._read(source, self._sources.bounds.wait_ms)
         except SourceError as error:
             log_event("teller_failed", level="WARNING", peer=address, error=error)
             choice.note_peer_error(address, clock.uptime_ms())
             self._questions.labels("vm", "failed").inc()
             return 0.0
         self._questions.labels("vm", "answered").inc()
-        self._take(reading, asked_ms)
+        self._apply_reading(reading, asked_ms)
         now_ms = clock.uptime_ms()
         age_ms = self._state.belief.age_ms(now_ms)
         if choice.note_told(address, age_ms, now_ms):
             log_event("teller_is_old", level="WARNING", peer=address, age_ms=age_ms)
         elif not choice.is_source_away:
-            self._note_regained(teller=address)
+            self._log_source_recovery(peer=address)
         return 0.0
 
     async def _read(self, source: BeliefSource, wait_ms: float) -> Reading:
-        if self._must_read_all:
+        if self._needs_full_read:
             return await source.read_all()
         revision = self._state.belief.revision
         return await source.wait_for_changes(revision, round(wait_ms))
 
-    def _take(self, reading: Reading, asked_ms: float) -> None:
+    def _apply_reading(self, reading: Reading, asked_ms: float) -> None:
         belief = self._state.belief
         now_ms = self._state.clock.uptime_ms()
         notes = belief.take(reading, asked_ms=asked_ms, now_ms=now_ms)
-        self._must_read_all = False
-        self._note(notes)
+        self._needs_full_read = False
+        self._apply_notes(notes)
         self._sources.feed.note(reading)
 
-    def _note(self, notes: list[BeliefNote]) -> None:
-        """Log what was decided and put it in force."""
+    def _apply_notes(self, notes: list[BeliefNote]) -> None:
+        """Log what a reading or an expiry changed, and apply it to the state."""
         for note in notes:
             level = "WARNING" if note.is_warning else "INFO"
             revision = self._state.belief.revision
@@ -130,18 +131,19 @@
         if notes:
             self._state.apply_belief()
         if self._state.belief.n_lapsed:
-            self._has_lapses.set()
+            self._has_lapsed_replicas.set()
 
-    def _note_regained(self, teller: str) -> None:
-        """Log the end of an outage.
+    def _log_source_recovery(self, peer: str) -> None:
+        """Log the end of an outage of the source.
 
-        :param teller: the VM whose news show it; ``""``: the source answered this VM
+        :param peer: the VM whose updates show it; ``""`` if this VM reached the source
         """
         if self._n_errors:
-            log_event("source_regained", n_errors=self._n_errors, peer=teller)
+            log_event("source_regained", n_errors=self._n_errors, peer=peer)
             self._n_errors = 0
 
-    def _note_error(self, error: SourceError) -> float:
+    def _handle_source_error(self, error: SourceError) -> float:
+        """:returns: delay before the next query, in milliseconds"""
         now_ms = self._state.clock.uptime_ms()
         self._state.belief.note_trouble(now_ms)
         self._sources.choice.note_source_error(now_ms)
--- a/src/quetzaldeck/entry/call.py
+++ b/src/quetzaldeck/entry/call.py
@@ -1,4 +1,4 @@
-"""One request on its way through an entry VM."""
+"""An admitted request, and the form of it that the scheduler works with."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from quetzaldeck.entry.view import RoutingView
 
-PLAIN_TOKENS = 1
-"""A request without a prompt weighs as little as it can in accounts of tokens."""
+TOKENS_WITHOUT_PROMPT = 1
+"""Token count of a request without a prompt: the least that token accounting allows."""
 
 
 class Call(NamedTuple):
-    """A request that was let in, with its whole body.
+    """An admitted request with its complete body.
 
-    :param request_id: this VM's own id; a caller may use one of its ids twice
+    :param request_id: assigned by this VM, because callers may reuse their own ids
     :param body: ``None`` if the request has none
     :param arrived_ms: monotonic time of its arrival
     """
@@ -37,7 +37,7 @@
 
 
 def build_request(call: Call, view: RoutingView) -> Request:
-    """:returns: what the decision modules know of a call"""
+    """:returns: the scheduler's description of a call"""
     admitted = call.admitted
     route = admitted.route
     service = view.services.get(admitted.service)
@@ -48,7 +48,9 @@
         customer=admitted.customer,
         model=admitted.service if is_engine else "",
         service="" if is_engine else admitted.service,
-        n_prompt_tokens=PLAIN_TOKENS if prompt is None else prompt.n_prompt_tokens,
+        n_prompt_tokens=TOKENS_WITHOUT_PROMPT
+        if prompt is None
+        else prompt.n_prompt_tokens,
         max_output_tokens=0 if prompt is None else prompt.max_output_tokens,
         priority=admitted.priority,
         arrived_ms=call.arrived_ms,
@@ -63,14 +65,17 @@
 
 
 def _patience_ms(route: Route) -> float:
-    """:returns: silence after which a caller hangs up; 0: it waits for its deadline"""
+    """:returns: time without a token after which the caller disconnects
+
+    0: the caller waits until its deadline.
+    """
     if route.kind is not RequestKind.STREAMING:
         return 0.0
     return patience_ms(route.target_latency_ms, route.max_gap_ms)
 
 
 def _fingerprint(call: Call) -> int:
-    """:returns: the same number for the same request from the same customer"""
+    """:returns: a hash of customer, path and body, equal for repeated requests"""
     digest = xxhash.xxh3_64(call.admitted.customer.encode())
     digest.update(call.http_request.raw_path.encode())
     digest.update(call.body or b"")
--- a/src/quetzaldeck/entry/call_head.py
+++ b/src/quetzaldeck/entry/call_head.py
@@ -1,4 +1,4 @@
-"""What a caller says of its request before the body."""
+"""What the headers of a caller's request state."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class PromptSize(NamedTuple):
-    """Size of a prompt and of its answer.
+    """Token counts of a prompt and its output.
 
-    :param n_prompt_tokens: tokens to read
-    :param max_output_tokens: most tokens that the answer may have
-    :param expected_output_tokens: the caller's own guess; ``None``: it made none
+    :param n_prompt_tokens: tokens of the prompt
+    :param max_output_tokens: limit on the generated tokens
+    :param expected_output_tokens: the caller's estimate; ``None`` if it gives none
     """
 
     n_prompt_tokens: int
@@ -21,11 +21,11 @@
 class CallHead(NamedTuple):
     """The head of one request.
 
-    :param call_id: the caller's id of this attempt; upstreams repeat it
+    :param call_id: the caller's id of this attempt; upstreams echo it
     :param api_key: ``None`` if the caller sent none
-    :param deadline_ms: time that the caller will wait; ``None``: it did not say
+    :param deadline_ms: how long the caller will wait; ``None`` if it does not say
     :param prompt: ``None`` if the request carries no prompt
-    :param last_event_id: event after which a stream goes on, if it does
+    :param last_event_id: event after which to resume a stream; ``None`` for a new one
     """
 
     call_id: str
--- a/src/quetzaldeck/entry/call_run.py
+++ b/src/quetzaldeck/entry/call_run.py
@@ -1,4 +1,4 @@
-"""The attempts of one call, until its caller has an answer."""
+"""Runs a call: attempts are made until one yields a complete response."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from quetzaldeck.decisions import AttemptEnd, AttemptFault
-from quetzaldeck.entry.admission import check_again
+from quetzaldeck.entry.admission import recheck_call
 from quetzaldeck.entry.attempt import AttemptRunner
 from quetzaldeck.entry.stream_relay import StreamRelay
 from quetzaldeck.gateway.errors import RequestError
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from quetzaldeck.decisions import Dispatch
-    from quetzaldeck.entry.attempt import Answer
+    from quetzaldeck.entry.attempt import OpenResponse
     from quetzaldeck.entry.call import Call
     from quetzaldeck.entry.state import EntryState
     from quetzaldeck.gateway.ticket import Ticket
@@ -30,10 +30,10 @@
 class CallRun:
     """Runs one call.
 
-    A failure that a replica itself answered is kept: if no other attempt can be made,
-    the caller gets it as it is.
+    A 5xx response from a replica is kept: if no further attempt can be made, the caller
+    receives it unchanged.
 
-    :param ticket: the admitted request
+    :param ticket: the scheduler's handle for the admitted request
     """
 
     def __init__(self, state: EntryState, call: Call, ticket: Ticket) -> None:
@@ -42,81 +42,89 @@
         self._ticket = ticket
         self._runner = AttemptRunner(state, call, ticket)
         self._relay = StreamRelay(call, state.clock)
-        self._failed_answer: web.Response | None = None
+        self._failed_response: web.Response | None = None
         self.n_attempts = 0
         self.upstream = ""
         self.predicted_first_event_ms: float | None = None
 
     @property
     def may_have_run(self) -> bool:
-        """:returns: whether a replica may have begun, or will yet begin, the call"""
+        """:returns: whether a replica may have run the call, or may yet run it"""
         return self._runner.may_have_run
 
     @property
     def relay(self) -> StreamRelay:
-        """:returns: the caller's stream, if it gets one"""
+        """:returns: the relay of the caller's event stream, unused for other calls"""
         return self._relay
 
     async def run(self) -> web.StreamResponse:
-        """Make attempts until one gives a whole answer.
+        """Make attempts until one yields a complete response.
 
         :returns: the response
-        :raises RequestError: if there is none to give
+        :raises RequestError: if there is none
         """
         while True:
             dispatch = await self._ticket.next_dispatch()
-            self._note_dispatch(dispatch)
+            self._record_dispatch(dispatch)
             try:
                 return await self._attempt(dispatch)
             except UpstreamError as error:
                 try:
-                    await self._note_fault(dispatch, error)
+                    await self._report_fault(dispatch, error)
                 except RequestError:
-                    if self._failed_answer is None or self._relay.response is not None:
+                    if (
+                        self._failed_response is None
+                        or self._relay.response is not None
+                    ):
                         raise
-                    return self._failed_answer
+                    return self._failed_response
 
     async def _attempt(self, dispatch: Dispatch) -> web.StreamResponse:
-        self._check_again()
+        self._recheck()
         self.n_attempts = dispatch.n_attempt
         self.upstream = dispatch.upstreams[-1]
         last_event_id = self._relay.last_event_id
-        async with self._runner.open(dispatch, last_event_id=last_event_id) as answer:
+        async with self._runner.open(dispatch, last_event_id=last_event_id) as opened:
             is_stream = self._call.admitted.route.kind is RequestKind.STREAMING
-            if is_stream and answer.head.status == OK_STATUS:
+            if is_stream and opened.head.status == OK_STATUS:
                 await self._relay.relay(
                     self.upstream,
-                    answer.response,
+                    opened.response,
                     first_byte=self._runner.watch_first_byte(dispatch),
                     gaps=self._runner.watch_gaps(dispatch),
-                    on_first=lambda: self._ticket.note_first_token(dispatch.attempt_id),
+                    on_first_event=lambda: self._ticket.note_first_token(
+                        dispatch.attempt_id
+                    ),
                 )
                 await self._ticket.end_attempt(AttemptEnd(dispatch.attempt_id))
                 return await self._relay.finish()
-            response = await self._read_whole(answer)
+            response = await self._read_whole(opened)
         await self._ticket.end_attempt(AttemptEnd(dispatch.attempt_id))
         return response
 
-    async def _read_whole(self, answer: Answer) -> web.Response:
-        """:raises UpstreamError: if the replica says that it failed"""
-        body = await answer.response.read()
+    async def _read_whole(self, opened: OpenResponse) -> web.Response:
+        """Read a response that is not a stream.
+
+        :raises UpstreamError: if its status is a server error
+        """
+        body = await opened.response.read()
         response = web.Response(
             body=body,
-            status=answer.head.status,
-            headers=build_answer_headers(answer.response.headers),
+            status=opened.head.status,
+            headers=build_answer_headers(opened.response.headers),
         )
-        if answer.head.status < SERVER_ERROR_STATUS:
+        if opened.head.status < SERVER_ERROR_STATUS:
             return response
-        self._failed_answer = response
-        detail = f"{self.upstream}: status {answer.head.status}"
+        self._failed_response = response
+        detail = f"{self.upstream}: status {opened.head.status}"
         raise UpstreamError(AttemptFault.FAILED, detail, upstream=self.upstream)
 
-    def _check_again(self) -> None:
+    def _recheck(self) -> None:
         view = self._state.view
         if view is None:
             return
         http_request = self._call.http_request
-        failure = check_again(
+        failure = recheck_call(
             view,
             self._call.admitted,
             self._call.head,
@@ -126,7 +134,7 @@
         if failure is not None:
             raise RequestError(failure)
 
-    async def _note_fault(self, dispatch: Dispatch, error: UpstreamError) -> None:
+    async def _report_fault(self, dispatch: Dispatch, error: UpstreamError) -> None:
         self._state.metrics.attempt_faults.labels(error.fault.value).inc()
         log_event(
             "attempt_failed",
@@ -138,7 +146,7 @@
             may_have_run=error.has_reached,
             error=error,
         )
-        is_asked = error.upstream in ("", dispatch.upstreams[-1])
+        is_addressed = error.upstream in ("", dispatch.upstreams[-1])
         end = AttemptEnd(
             dispatch.attempt_id,
             error.fault,
@@ -146,11 +154,11 @@
             has_reached=error.has_reached,
             has_arrived=error.has_arrived,
             upstream=error.upstream,
-            incarnation=self._runner.incarnation if is_asked else "",
+            incarnation=self._runner.incarnation if is_addressed else "",
         )
         await self._ticket.end_attempt(end)
 
-    def _note_dispatch(self, dispatch: Dispatch) -> None:
+    def _record_dispatch(self, dispatch: Dispatch) -> None:
         wait_ms = self._state.clock.now_ms() - self._call.arrived_ms
         if dispatch.first_token_ms:
             self.predicted_first_event_ms = wait_ms + dispatch.first_token_ms
--- a/src/quetzaldeck/entry/refusal.py
+++ b/src/quetzaldeck/entry/error_response.py
@@ -1,4 +1,4 @@
-"""Which status a failure has on the wire of the entry."""
+"""Builds the HTTP responses that tell callers of failures."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 
 NOT_RUN_STATUS = 503
 FAILED_STATUS = 502
-LATE_STATUS = 504
+TIMEOUT_STATUS = 504
 
-_OWN_STATUS = {
+_STATUS_BY_REASON = {
     Reason.MALFORMED_REQUEST: 400,
     Reason.UNKNOWN_CUSTOMER: 401,
     Reason.NOT_FOUND: 404,
     Reason.SLOW_SENDER: 408,
     Reason.BODY_TOO_LARGE: 413,
 }
-_LATE = frozenset((Reason.DEADLINE_EXCEEDED, Reason.UPSTREAM_SILENT))
+_TIMEOUT_REASONS = frozenset((Reason.DEADLINE_EXCEEDED, Reason.UPSTREAM_SILENT))
 
 
-def status_of(failure: Failure) -> int:
-    """:returns: the status; 503 and 408 only where the request has not run
+def http_status(failure: Failure) -> int:
+    """:returns: the status; 503 and 408 only if the request has not run
 
-    Callers send again what was not run. A status that says so for a request that may
-    have run would run a booking twice.
+    Callers retry requests that have not run. One of these statuses for a request that
+    may have run would let, say, a booking run twice.
     """
     if failure.ran is not Ran.NO:
-        return LATE_STATUS if failure.reason in _LATE else FAILED_STATUS
-    return _OWN_STATUS.get(failure.reason, NOT_RUN_STATUS)
+        return TIMEOUT_STATUS if failure.reason in _TIMEOUT_REASONS else FAILED_STATUS
+    return _STATUS_BY_REASON.get(failure.reason, NOT_RUN_STATUS)
 
 
-def refusal_response(failure: Failure, call_id: str, id_header: str) -> web.Response:
+def error_response(failure: Failure, call_id: str, id_header: str) -> web.Response:
     """:returns: the response that tells a caller of a failure
 
-    :param id_header: header in which answers repeat the caller's id
+    :param id_header: header in which responses echo the caller's id
     """
     headers = {id_header: call_id} if call_id else {}
-    status = status_of(failure)
+    status = http_status(failure)
     if status == NOT_RUN_STATUS and failure.come_back_ms is not None:
         headers["Retry-After"] = f"{failure.come_back_ms / 1_000:.3f}"
     body = build_error_body(failure, call_id)
     return json_response(body, status=status, headers=headers)
 
 
-__all__ = ("refusal_response", "status_of")
+__all__ = ("error_response", "http_status")
--- a/src/quetzaldeck/entry/event_reader.py
+++ b/src/quetzaldeck/entry/event_reader.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of bytes into whole events."""
+"""Splits a byte stream into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -6,17 +6,16 @@
 from typing import NamedTuple
 
 MAX_EVENT_BYTES = 1 << 20
-"""An event of more than this is no event: memory must not grow with a faulty
-upstream."""
+"""Limit on the size of an event, so that a faulty upstream cannot exhaust memory."""
 
-_ID = re.compile(rb"(?:^|\n)id:[ ]?([^\r\n]*)")
-_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"(?:^|\n)id:[ ]?([^\r\n]*)")
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
 
 
 class StreamEvent(NamedTuple):
-    """One whole event.
+    """One complete event.
 
-    :param data: its bytes, the empty line at its end included
+    :param data: its bytes, including the blank line that ends it
     :param event_id: ``""`` if it has none
     """
 
@@ -25,45 +24,46 @@
 
 
 class EventTooLargeError(ValueError):
-    """An event has no end."""
+    """An event is longer than :data:`MAX_EVENT_BYTES`."""
 
 
 class EventReader:
-    """Keeps the beginning of an event until its end has come.
+    """Buffers an incomplete event until its end arrives.
 
-    An upstream may stop in the middle of an event. Bytes that were passed on cannot be
-    taken back, and a stream that goes on at another upstream would join two halves.
+    An upstream may fail in the middle of an event. Bytes already forwarded cannot be
+    taken back, so a stream resumed on another upstream would follow half an event with
+    the whole event.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial = b""
 
     @property
-    def has_rest(self) -> bool:
-        """:returns: whether an event has begun and not ended"""
-        return bool(self._rest)
+    def has_partial_event(self) -> bool:
+        """:returns: whether an incomplete event is buffered"""
+        return bool(self._partial)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """:returns: the events that ended in ``data``
+        """:returns: the events that ``data`` completes
 
-        :raises EventTooLargeError: if one does not end
+        :raises EventTooLargeError: if an incomplete event exceeds the size limit
         """
-        text = self._rest + data
+        buffered = self._partial + data
         events = []
-        begin = 0
-        for end in _END.finditer(text):
-            whole = text[begin : end.end()]
-            begin = end.end()
-            events.append(StreamEvent(whole, _read_id(whole)))
-        self._rest = text[begin:]
-        if len(self._rest) > MAX_EVENT_BYTES:
-            msg = f"an event is over {MAX_EVENT_BYTES} bytes"
+        start = 0
+        for end in _EVENT_END.finditer(buffered):
+            event = buffered[start : end.end()]
+            start = end.end()
+            events.append(StreamEvent(event, _read_id(event)))
+        self._partial = buffered[start:]
+        if len(self._partial) > MAX_EVENT_BYTES:
+            msg = f"an event exceeds {MAX_EVENT_BYTES} bytes"
             raise EventTooLargeError(msg)
         return events
 
 
 def _read_id(data: bytes) -> str:
-    match = _ID.search(data)
+    match = _EVENT_ID.search(data)
     return "" if match is None else match.group(1).decode("utf-8", "replace").strip()
 
 
--- a/src/quetzaldeck/entry/forwarding_parameters.py
+++ b/src/quetzaldeck/entry/forwarding_parameters.py
@@ -1,4 +1,4 @@
-"""On which terms a request is passed on to an upstream."""
+"""What an entry VM states to an upstream about a request that it forwards."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Helper(NamedTuple):
-    """An engine that reads a part of a prompt for another one.
+    """An engine that prefills part of a prompt for the engine that responds.
 
-    :param address: IP number and port
-    :param reservation: id of the memory that it set aside; ``""``: none
+    :param address: ``IP:PORT``
+    :param reservation: id of its memory reservation; ``""`` if it has none
     """
 
     address: str
@@ -17,15 +17,15 @@
 
 
 class ForwardingParameters(NamedTuple):
-    """What the VM adds to a caller's request.
+    """What the VM adds to the headers of a caller's request.
 
-    :param replica_id: the only incarnation that may run it
+    :param replica_id: the only replica that may run it
     :param customer: ``""`` if the route needs no key
-    :param remaining_ms: time in which it has to be answered
+    :param remaining_ms: time until the deadline
     :param rank: order among the requests at an engine; 0 goes first
-    :param helpers: engines that read parts of the prompt
-    :param last_event_id: event after which the stream goes on; ``None``: as the caller
-        said
+    :param helpers: engines that prefill parts of the prompt
+    :param last_event_id: event after which to resume the stream; ``None``: forward the
+        caller's header as it is
     """
 
     replica_id: str
--- a/src/quetzaldeck/entry/handler.py
+++ b/src/quetzaldeck/entry/handler.py
@@ -1,4 +1,4 @@
-"""Serves one request of a caller, from its head to the end of its answer."""
+"""Serves one request of a caller, from its headers to the end of its response."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from quetzaldeck.clock.clock import MS_PER_SECOND
 from quetzaldeck.decisions import classify_length
 from quetzaldeck.decisions.admission.starting import START_RETRY_MS, start_wait_ms
-from quetzaldeck.entry.admission import ELSEWHERE_MS, admit_call
+from quetzaldeck.entry.admission import RETRY_ELSEWHERE_MS, admit_call
 from quetzaldeck.entry.call import Call, build_request
 from quetzaldeck.entry.call_run import CallRun
-from quetzaldeck.entry.refusal import refusal_response, status_of
+from quetzaldeck.entry.error_response import error_response, http_status
 from quetzaldeck.gateway.body import read_body
 from quetzaldeck.gateway.errors import RequestError
 from quetzaldeck.gateway.settings import CallerBounds
@@ -30,13 +30,13 @@
 
 
 class CallHandler:
-    """Serves the callers of one VM."""
+    """Handles the HTTP requests of a VM's callers."""
 
     def __init__(self, state: EntryState) -> None:
         self._state = state
 
     async def handle(self, http_request: web.Request) -> web.StreamResponse:
-        """Serve one request; each gets its final answer here."""
+        """Serve one request; every outcome becomes a response here."""
         arrived_ms = self._state.clock.now_ms()
         request_id = uuid.uuid4().hex
         call_id = http_request.headers.get(CALL_ID, "")
@@ -45,23 +45,23 @@
             with self._state.in_flight.track(request_id):
                 response = await self._serve(http_request, request_id, arrived_ms)
         except RequestError as error:
-            self._note_failure(error.failure, call_id, arrived_ms, error.route)
+            self._record_failure(error.failure, call_id, arrived_ms, error.route)
             if error.response is not None:
                 return error.response
-            response = refusal_response(error.failure, call_id, CALL_ID)
+            response = error_response(error.failure, call_id, CALL_ID)
         except asyncio.CancelledError:
             failure = Failure(Reason.CALLER_GONE, Ran.UNKNOWN)
-            self._note_failure(failure, call_id, arrived_ms)
+            self._record_failure(failure, call_id, arrived_ms)
             raise
         except Exception as error:
             failure = Failure(
                 Reason.INTERNAL_ERROR, Ran.UNKNOWN, detail=locate_error(error)
             )
-            self._note_failure(failure, call_id, arrived_ms)
-            response = refusal_response(failure, call_id, CALL_ID)
+            self._record_failure(failure, call_id, arrived_ms)
+            response = error_response(failure, call_id, CALL_ID)
         if not self._state.is_ready and not response.prepared:
-            # The balancer moves new connections only; on one that stays open the
-            # next request would be refused here as well.
+            # The load balancer redirects new connections only: the next request on a
+            # connection that stays open would be refused by this VM again.
             response.force_close()
         return response
 
@@ -69,10 +69,10 @@
         self, http_request: web.Request, request_id: str, arrived_ms: float
     ) -> web.StreamResponse:
         if self._state.drain.refuses:
-            failure = Failure(Reason.SHUTTING_DOWN, retry_after_ms=ELSEWHERE_MS)
+            failure = Failure(Reason.SHUTTING_DOWN, retry_after_ms=RETRY_ELSEWHERE_MS)
             raise RequestError(failure)
         head = _read_head(http_request)
-        view = await self._find_view(head)
+        view = await self._wait_for_view(head)
         admitted = self._admit(view, http_request, head, arrived_ms)
         try:
             body = await read_body(http_request, _caller_bounds(view))
@@ -89,10 +89,10 @@
             error.route = admitted.route.name
             raise
 
-    async def _find_view(self, head: CallHead) -> RoutingView:
-        """:returns: the configuration in force; a VM that starts waits for its first
+    async def _wait_for_view(self, head: CallHead) -> RoutingView:
+        """:returns: the configuration in force; a VM that just started waits for one
 
-        :raises RequestError: if there is none in time
+        :raises RequestError: if none is loaded in time
         """
         view = self._state.view
         if view is None:
@@ -100,7 +100,7 @@
             log_event("waits_for_configuration", request=head.call_id, wait_ms=wait_ms)
             view = await self._state.wait_for_view(wait_ms)
         if view is None:
-            detail = "this VM starts and knows no configuration yet"
+            detail = "this VM has just started and has not loaded a configuration yet"
             failure = Failure(Reason.NO_BUNDLE, Ran.NO, START_RETRY_MS, detail)
             raise RequestError(failure)
         return view
@@ -118,7 +118,7 @@
             http_request.host,
             http_request.rel_url.raw_path,
             now_ms=arrived_ms,
-            believes_keys=self._state.believes_keys,
+            are_keys_fresh=self._state.are_keys_fresh,
             random_state=self._state.random_state,
         )
         if isinstance(admitted, Failure):
@@ -135,24 +135,26 @@
                     response = await run.run()
         except TimeoutError:
             ran = Ran.UNKNOWN if run.may_have_run else Ran.NO
-            raise self._fail(run, Failure(Reason.DEADLINE_EXCEEDED, ran)) from None
+            raise self._build_error(
+                run, Failure(Reason.DEADLINE_EXCEEDED, ran)
+            ) from None
         except RequestError as error:
-            raise self._fail(run, error.failure) from None
+            raise self._build_error(run, error.failure) from None
         except Exception as error:
             detail = locate_error(error)
             failure = Failure(Reason.INTERNAL_ERROR, Ran.UNKNOWN, detail=detail)
-            raise self._fail(run, failure) from error
-        self._note_answer(call, run, response)
+            raise self._build_error(run, failure) from error
+        self._record_response(call, run, response)
         return response
 
-    def _fail(self, run: CallRun, failure: Failure) -> RequestError:
-        """End a call without an answer.
+    def _build_error(self, run: CallRun, failure: Failure) -> RequestError:
+        """End a failed call.
 
-        A refusal written after the beginning of a stream would be taken for a part of
-        it: the caller reads bytes that are no answer. So the connection is broken,
-        which shows that the stream is not whole.
+        An error body written after a stream has started would be read as a part of the
+        stream. The connection is aborted instead, which shows the caller that the
+        stream is incomplete.
 
-        :returns: the error; with the response that began, if one did
+        :returns: the error, with the response if one has started
         """
         response = run.relay.response
         if response is None:
@@ -160,7 +162,7 @@
         run.relay.abort()
         return RequestError(failure._replace(ran=Ran.YES), response)
 
-    def _note_answer(
+    def _record_response(
         self, call: Call, run: CallRun, response: web.StreamResponse
     ) -> None:
         elapsed_ms = self._state.clock.now_ms() - call.arrived_ms
@@ -192,7 +194,7 @@
             elapsed_ms=elapsed_ms,
         )
 
-    def _note_failure(
+    def _record_failure(
         self, failure: Failure, call_id: str, arrived_ms: float, route: str = ""
     ) -> None:
         labels = (failure.reason.value, failure.ran.value)
@@ -204,7 +206,7 @@
             route=route,
             reason=failure.reason.value,
             ran=failure.ran.value,
-            status=status_of(failure),
+            status=http_status(failure),
             retry_after_ms=failure.come_back_ms,
             elapsed_ms=state.clock.now_ms() - arrived_ms,
             version=0 if state.view is None else state.view.version,
--- a/src/quetzaldeck/entry/memory.py
+++ b/src/quetzaldeck/entry/memory_reservation.py
@@ -1,4 +1,4 @@
-"""Memory that one attempt sets aside on the engines that hold its prompt."""
+"""Reserves memory for an attempt on the engines that hold parts of its prompt."""
 
 from __future__ import annotations
 
@@ -18,19 +18,20 @@
     from quetzaldeck.entry.state import EntryState
 
 RENEWALS_PER_HOLD = 3
-"""Renewals within the time for which memory is held: two may be lost."""
+"""Renewals sent within one hold time, so that two may be lost."""
 
-LATE_ORDER_MS = 13_000.0
-"""An order without an answer may be carried out up to twelve seconds later; it is taken
-back again until then."""
+REPEAT_RELEASE_MS = 13_000.0
+"""How long the release of an unanswered order is repeated: an engine may carry such an
+order out up to 12 s after it was sent."""
 
 
-class AttemptMemory:
-    """A context manager: sets memory aside, renews it while used, and releases it.
+class MemoryReservation:
+    """A context manager that reserves memory, renews the reservation and releases it.
 
-    Memory is held for a short time at a time, so that it lapses soon if this VM dies.
+    Each order holds the memory for a short time only, so that it is soon free again if
+    this VM dies.
 
-    :param until_ms: monotonic time by which the request has to be answered
+    :param until_ms: monotonic time by which the response is due
     """
 
     def __init__(self, state: EntryState, dispatch: Dispatch, until_ms: float) -> None:
@@ -40,20 +41,20 @@
         self._reservation_id = dispatch.attempt_id.replace(",", "")
         self._hold_ms = state.settings.bounds.reservation_hold_ms
         self._unanswered: set[str] = set()
-        self._asked: dict[str, str] = {}
+        self._incarnations: dict[str, str] = {}
         self._renewal: asyncio.Task[None] | None = None
         self._reservation = GroupReservation(
             dispatch.plan,
-            ask=self._ask,
+            ask=self._reserve,
             release=self._release,
             clock=state.clock,
             until_ms=until_ms,
             bounds=state.group_bounds,
         )
 
-    async def __aenter__(self) -> AttemptMemory:
-        # Time runs from the first member's answer: it may need renewing before the
-        # last one has given any.
+    async def __aenter__(self) -> MemoryReservation:
+        # The hold time of the first member starts with its response and may need
+        # renewal before the last member has responded.
         self._renewal = asyncio.create_task(self._renew())
         try:
             await self._reservation.__aenter__()
@@ -72,7 +73,7 @@
         await self._reservation.__aexit__(exc_type, exc, traceback)
 
     def list_helpers(self) -> tuple[Helper, ...]:
-        """:returns: the members, the one that answers first"""
+        """:returns: the members, headed by the engine that the request is sent to"""
         replicas = self._state.belief.replicas
         return tuple(
             Helper(replicas[name].address, self._reservation_id)
@@ -80,18 +81,18 @@
             if name in replicas
         )
 
-    async def _ask(self, name: str, n_tokens: int) -> bool:
+    async def _reserve(self, name: str, n_tokens: int) -> bool:
         replica = self._state.belief.replicas.get(name)
         if replica is None or replica.is_leaving:
             return False
-        self._asked.setdefault(name, replica.incarnation)
+        self._incarnations.setdefault(name, replica.incarnation)
         try:
             is_held = await self._state.orders.reserve(
                 replica, self._reservation_id, n_tokens, self._hold_ms
             )
         except UpstreamError as error:
             self._unanswered.add(name)
-            # Memory was asked for and nothing else: the prompt has not left yet.
+            # Only the reservation was attempted; the prompt itself was not sent.
             raise UpstreamError(
                 error.fault,
                 str(error),
@@ -113,20 +114,20 @@
             members = zip(self._plan.upstreams, self._plan.reserved_tokens, strict=True)
             for name, n_tokens in members:
                 if self._reservation.has_asked(name):
-                    await self._renew_one(name, n_tokens)
+                    await self._renew_member(name, n_tokens)
 
-    async def _renew_one(self, name: str, n_tokens: int) -> None:
-        """Ask a member for more time; if it does not answer, the next round asks again.
+    async def _renew_member(self, name: str, n_tokens: int) -> None:
+        """Renew the reservation of one member; the next round retries a failure.
 
-        The request goes on meanwhile: two of three renewals within a hold may be lost.
-        A member that has started again lost the memory with the prompt. Asked again it
-        would set memory aside anew, for a request that cannot use it.
+        The request continues meanwhile, as two of three renewals within a hold time may
+        be lost. A member that has restarted is skipped: it lost the reservation with
+        the prompt, and an order would reserve memory that the request cannot use.
         """
         replica = self._state.belief.replicas.get(name)
-        if replica is not None and replica.incarnation != self._asked.get(name):
+        if replica is not None and replica.incarnation != self._incarnations.get(name):
             return
         try:
-            await self._ask(name, n_tokens)
+            await self._reserve(name, n_tokens)
         except UpstreamError as error:
             log_event(
                 "memory_not_renewed",
@@ -141,9 +142,9 @@
             await asyncio.gather(self._renewal, return_exceptions=True)
 
     def _release(self, name: str) -> None:
-        repeat_ms = LATE_ORDER_MS if name in self._unanswered else 0.0
+        repeat_ms = REPEAT_RELEASE_MS if name in self._unanswered else 0.0
         release = Release(name, self._reservation_id, repeat_ms)
         self._state.releases.send(release)
 
 
-__all__ = ("AttemptMemory",)
+__all__ = ("MemoryReservation",)
--- a/src/quetzaldeck/entry/pace_task.py
+++ b/src/quetzaldeck/entry/pace_task.py
@@ -1,4 +1,8 @@
-"""Asks engines how fast they work, and tells the other VMs which are slow."""
+"""Polls engines for their pace and publishes the slow ones to the other VMs.
+
+The pace is the slowdown that an engine reports of itself: how many times longer than
+stated its work takes.
+"""
 
 from __future__ import annotations
 
@@ -19,18 +23,18 @@
     from quetzaldeck.platform import ReplicaReports
     from quetzaldeck.routing import Replica
 
-ASK_INTERVAL_MS = 1_000.0
-"""Time between two questions to an engine: one that is slow is known within a second
-and a half, with the lag of what engines say. Each question is paid for, so that asking
-twice as often would cost twice as much for half a second."""
+POLL_INTERVAL_MS = 1_000.0
+"""Time between two polls of an engine. Including the lag of the reports, a slow engine
+is detected within 1.5 s. Each poll is paid for: polling twice as often would cost twice
+as much to gain half a second."""
 
 
 class PaceTask:
-    """Owns the questions of one VM.
+    """Polls the engines that are assigned to this VM.
 
     :param table: the other VMs
-    :param tell: tells them paces by engine
-    :param own: this VM's address
+    :param publish: sends paces by engine to them
+    :param own_address: address of this VM
     """
 
     def __init__(
@@ -38,30 +42,32 @@
         state: EntryState,
         reports: ReplicaReports,
         table: PeerTable,
-        tell: Callable[[Mapping[str, float]], None],
+        publish: Callable[[Mapping[str, float]], None],
         *,
-        own: str,
+        own_address: str,
     ) -> None:
         self._state = state
         self._reports = reports
         self._table = table
-        self._tell = tell
-        self._own = own
-        self._watch = PaceWatch(own)
+        self._publish = publish
+        self._own_address = own_address
+        self._watch = PaceWatch(own_address)
         self._unanswered: set[str] = set()
 
     async def run(self) -> None:
-        """Ask, and ask again, until cancelled."""
+        """Poll until cancelled."""
         while True:
-            await asyncio.sleep(ASK_INTERVAL_MS / MS_PER_SECOND)
-            await self._ask_all()
+            await asyncio.sleep(POLL_INTERVAL_MS / MS_PER_SECOND)
+            await self._poll()
 
-    async def _ask_all(self) -> None:
+    async def _poll(self) -> None:
         engines = self._list_engines()
         self._unanswered &= engines.keys()
         zones = {name: engine.availability_zone for name, engine in engines.items()}
         asked = self._watch.choose_asked(zones, self._list_vms())
-        answers = await asyncio.gather(*(self._ask(engines[name]) for name in asked))
+        answers = await asyncio.gather(
+            *(self._read_pace(engines[name]) for name in asked)
+        )
         paces = tuple(
             (name, pace)
             for name, pace in zip(asked, answers, strict=True)
@@ -69,12 +75,12 @@
         )
         if paces:
             self._state.dispatch.send(ObservePaces(paces))
-        told = self._watch.choose_told(paces)
-        if told:
-            self._tell(told)
+        published = self._watch.choose_told(paces)
+        if published:
+            self._publish(published)
 
-    async def _ask(self, engine: Replica) -> float | None:
-        """:returns: the pace; ``None`` if the engine did not tell it"""
+    async def _read_pace(self, engine: Replica) -> float | None:
+        """:returns: the pace; ``None`` if the engine did not report it"""
         name = engine.replica_id
         questions = self._state.metrics.upstreams.pace_questions
         try:
@@ -101,11 +107,11 @@
         }
 
     def _list_vms(self) -> dict[str, list[str]]:
-        """:returns: the VMs that may ask, this one among them, by zone"""
+        """:returns: addresses of the VMs that poll, by zone, including this VM"""
         vms = self._table.list_by_zone()
         own_zone = self._state.settings.availability_zone
-        vms.setdefault(own_zone, []).append(self._own)
+        vms.setdefault(own_zone, []).append(self._own_address)
         return vms
 
 
-__all__ = ("ASK_INTERVAL_MS", "PaceTask")
+__all__ = ("POLL_INTERVAL_MS", "PaceTask")
--- a/src/quetzaldeck/entry/response_head.py
+++ b/src/quetzaldeck/entry/response_head.py
@@ -1,4 +1,4 @@
-"""What an upstream says before the body of its answer."""
+"""Status and headers of an upstream's response."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ReplicaLoad(NamedTuple):
-    """Load that a replica adds to its answers."""
+    """Load that a replica reports in the headers of its responses."""
 
     n_running: int
     n_waiting: int
@@ -14,16 +14,17 @@
 
 
 class ResponseHead(NamedTuple):
-    """The head of one answer.
+    """The head of one response.
 
-    :param call_id: id of the request that it answers
-    :param is_sealed: whether it bears the mark of the replica that made it
+    :param call_id: id of the request that it responds to
+    :param is_sealed: whether it carries the seal header that only replicas set
     :param has_not_run: whether the replica states that it did not run the request
-    :param is_other_replica: whether another incarnation answered than the one asked
-    :param is_encoded: whether something on the way has changed the body's encoding
-    :param load: ``None`` if the replica does not tell
-    :param replica_id: who answered, if it says so
-    :param faulty_address: replica that was at fault in place of the one asked
+    :param is_other_replica: whether the responding replica is not the one addressed
+    :param is_encoded: whether an intermediary has changed the body's encoding
+    :param load: ``None`` if the replica does not report it
+    :param replica_id: the responding replica; ``""`` if it does not say
+    :param faulty_address: address of the replica that failed, if it is not the one
+        addressed; ``""`` otherwise
     """
 
     status: int
--- a/src/quetzaldeck/entry/service.py
+++ b/src/quetzaldeck/entry/service.py
@@ -1,4 +1,4 @@
-"""The HTTP side of an entry VM: callers on one address, the balancer on another."""
+"""The HTTP servers of an entry VM for callers, metrics and readiness checks."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     from quetzaldeck.entry.settings import EntrySettings
 
 
-QUICK_SHUTDOWN_S = 0.1
-"""Callers were told to close their connections with each answer since the stop began;
-waiting for those that do not would outlast the grace."""
+SHUTDOWN_TIMEOUT_S = 0.1
+"""Wait for open connections at shutdown. Since the stop began each response has asked
+its caller to close the connection; waiting for callers that do not would exceed the
+grace period."""
 
 
 class EntryService(HttpServiceBase):
-    """Takes the requests of callers, and owns the session that serves them."""
+    """Serves the requests of callers and owns the session behind it."""
 
-    shutdown_timeout_s = QUICK_SHUTDOWN_S
+    shutdown_timeout_s = SHUTDOWN_TIMEOUT_S
 
     def __init__(
         self, settings: EntrySettings, *, clock: Clock | None = None, **kwargs: Any
@@ -33,7 +34,7 @@
 
     @property
     def session(self) -> EntrySession:
-        """:returns: the run that the service serves"""
+        """:returns: the session that serves the requests"""
         return self._session
 
     async def open(self) -> web.Application:
@@ -45,15 +46,15 @@
         return application
 
     def apply_settings(self, settings: EntrySettings) -> None:
-        """Take settings that changed while the program runs."""
+        """Apply settings that changed while the program runs."""
         self._session.apply_settings(settings)
 
     async def drain(self) -> int:
-        """Go out of service; see :class:`quetzaldeck.gateway.drain.Drain`."""
+        """Drain requests; see :class:`quetzaldeck.gateway.drain.Drain`."""
         return await self._session.state.drain.run()
 
     def cut_off(self) -> None:
-        """Cut off what is still in progress."""
+        """Abort the requests that are still in progress."""
         self._session.state.drain.cut_off()
 
     async def close(self) -> None:
@@ -62,9 +63,9 @@
 
 
 class MetricsService(HttpServiceBase):
-    """Gives metrics on an address of their own, which need not be a caller's."""
+    """Serves metrics on an address of their own, which callers need not reach."""
 
-    shutdown_timeout_s = QUICK_SHUTDOWN_S
+    shutdown_timeout_s = SHUTDOWN_TIMEOUT_S
 
     def __init__(
         self, settings: EntrySettings, entry: EntryService, **kwargs: Any
@@ -86,12 +87,12 @@
 
 
 class ReadinessService(HttpServiceBase):
-    """Answers the balancer's question.
+    """Serves the load balancer's readiness checks.
 
-    :param entry: the service that it speaks for; it must have been started before
+    :param entry: the service to report on; it must be started first
     """
 
-    shutdown_timeout_s = QUICK_SHUTDOWN_S
+    shutdown_timeout_s = SHUTDOWN_TIMEOUT_S
 
     def __init__(
         self, settings: EntrySettings, entry: EntryService, **kwargs: Any
--- a/src/quetzaldeck/entry/session.py
+++ b/src/quetzaldeck/entry/session.py
@@ -1,4 +1,4 @@
-"""One run of an entry VM: it owns the tasks and the connections."""
+"""The session of an entry VM: owns its state, tasks and connections."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
     @property
     def sources(self) -> BeliefSources:
-        """:returns: whom this VM asks for news, and what it tells others
+        """:returns: the sources that this VM reads fleet updates from
 
         :raises RuntimeError: before the session is entered
         """
@@ -60,7 +60,7 @@
 
     @property
     def feed(self) -> BeliefFeed:
-        """:returns: what tells other VMs what this one believes"""
+        """:returns: the feed that publishes this VM's fleet state to other VMs"""
         return self.sources.feed
 
     async def open(self) -> None:
@@ -88,7 +88,7 @@
         store = PlatformStore(client, self._settings.store_address)
         peers = await self._stack.enter_async_context(aiohttp.ClientSession())
         self._sources = BeliefSources(
-            self._state, store, peers, self._table, own=self._own_host
+            self._state, store, peers, self._table, own_address=self._own_host
         )
         belief = BeliefTask(self._state, self._sources)
         paces = PaceTask(
@@ -96,7 +96,7 @@
             ReplicaReports(upstreams),
             self._table,
             peer_task.tell_paces,
-            own=self._own_host,
+            own_address=self._own_host,
         )
         await self._stack.enter_async_context(
             run_tasks(
@@ -109,7 +109,7 @@
         )
 
     def apply_settings(self, settings: EntrySettings) -> None:
-        """Take settings that changed; addresses need a new start and stay."""
+        """Apply changed settings, except listen addresses, which need a restart."""
         if settings.listen != self._settings.listen:
             log_event("settings_need_restart", level="WARNING", place="listen")
         self._settings = settings
--- a/src/quetzaldeck/entry/settings_watch.py
+++ b/src/quetzaldeck/entry/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notices that the settings file has changed, with a signal or without."""
+"""Reloads the settings file when it changes, or at once on SIGHUP."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 T = TypeVar("T")
 
-LOOK_MS = 1_000.0
-"""Pause between two looks at the file: operators expect a change within seconds."""
+POLL_INTERVAL_MS = 1_000.0
+"""Interval between two checks: operators expect a change to apply within seconds."""
 
 
 class SettingsWatch:
-    """Reads a settings file again when it changes; faulty settings are not taken.
+    """Reloads a settings file that has changed; invalid settings are ignored.
 
     :param path: the file
-    :param cls: what it holds
-    :param settings: what was read at the start
-    :param apply: takes other settings
+    :param cls: class of the settings
+    :param settings: the settings read at start
+    :param apply: called with changed settings
     """
 
     def __init__(
@@ -35,32 +35,32 @@
         self._cls = cls
         self._settings = settings
         self._apply = apply
-        self._data = self._read()
-        self._must_look = asyncio.Event()
+        self._last_data = self._read()
+        self._reload_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Look until cancelled; SIGHUP makes it look at once."""
+        """Check the file at intervals until cancelled, and at once on SIGHUP."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, self._must_look.set)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
         try:
             while True:
                 try:
-                    async with asyncio.timeout(LOOK_MS / 1_000):
-                        await self._must_look.wait()
+                    async with asyncio.timeout(POLL_INTERVAL_MS / 1_000):
+                        await self._reload_requested.wait()
                     log_event("reload_asked", signal="SIGHUP")
                 except TimeoutError:
                     pass
-                self._must_look.clear()
-                self.look()
+                self._reload_requested.clear()
+                self.reload_if_changed()
         finally:
             loop.remove_signal_handler(signal.SIGHUP)
 
-    def look(self) -> None:
-        """Read the file if it is not what it was."""
+    def reload_if_changed(self) -> None:
+        """Load the file and apply its settings if its content has changed."""
         data = self._read()
-        if data is None or data == self._data:
+        if data is None or data == self._last_data:
             return
-        self._data = data
+        self._last_data = data
         try:
             settings = load_file(self._path, self._cls)
         except FindingsError as error:
@@ -73,7 +73,7 @@
             self._apply(settings)
 
     def _read(self) -> bytes | None:
-        """:returns: what the file holds; ``None`` if it cannot be read now"""
+        """:returns: the content of the file; ``None`` if it cannot be read"""
         try:
             return self._path.read_bytes()
         except OSError as error:
--- a/src/quetzaldeck/entry/silence_watch.py
+++ b/src/quetzaldeck/entry/silence_watch.py
@@ -1,4 +1,4 @@
-"""Waits for an upstream's next bytes, until the scheduler leaves it for another one."""
+"""Waits for an upstream's next bytes until the scheduler abandons the attempt."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     from quetzaldeck.clock import Clock
     from quetzaldeck.gateway.ticket import Ticket
 
-Answered = TypeVar("Answered")
+Result = TypeVar("Result")
 
 
 class SilenceWatch:
-    """Bounds the waits of one attempt.
+    """Bounds the time for which one attempt waits on a silent upstream.
 
-    :param ticket: the request, by which the scheduler is asked
+    :param ticket: the scheduler's handle for the request
     :param attempt_id: the attempt
     :param call_id: the caller's id of the request, for the logs
-    :param bound_ms: silence after which the scheduler is asked; ``None``: it never is
+    :param bound_ms: silence after which the scheduler is consulted; ``None``: never
     """
 
     def __init__(
@@ -42,16 +42,16 @@
         self._bound_ms = bound_ms
 
     async def wait(
-        self, begin: Callable[[], Coroutine[object, object, Answered]]
-    ) -> Answered:
-        """Wait for a coroutine that is not cut off before its attempt is left.
+        self, start: Callable[[], Coroutine[object, object, Result]]
+    ) -> Result:
+        """Await a coroutine, which is cancelled if the scheduler abandons the attempt.
 
-        :param begin: gives the coroutine
-        :raises TimeoutError: if the attempt is to be left
+        :param start: creates the coroutine
+        :raises TimeoutError: if the attempt is abandoned
         """
         if self._bound_ms is None:
-            return await begin()
-        task = asyncio.create_task(begin())
+            return await start()
+        task = asyncio.create_task(start())
         began_ms = self._clock.now_ms()
         wait_ms = self._bound_ms
         try:
@@ -61,14 +61,14 @@
                     return task.result()
                 silent_ms = self._clock.now_ms() - began_ms
                 verdict = await self._ticket.judge_silence(self._attempt_id, silent_ms)
-                is_left = verdict is SilenceVerdict.LEFT
+                is_abandoned = verdict is SilenceVerdict.LEFT
                 if task.done():
-                    # It came while the scheduler was asked; dropped, its connection
-                    # would stay open and the upstream at work for nobody.
+                    # The result came while the scheduler was consulted. Dropping it
+                    # would leave its connection open and the upstream working in vain.
                     return task.result()
-                if wait_ms == self._bound_ms or is_left:
-                    self._note(silent_ms, verdict)
-                if is_left:
+                if wait_ms == self._bound_ms or is_abandoned:
+                    self._log_verdict(silent_ms, verdict)
+                if is_abandoned:
                     raise TimeoutError
                 wait_ms = LOOK_AGAIN_MS
         finally:
@@ -76,8 +76,8 @@
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
-    def _note(self, silent_ms: float, verdict: SilenceVerdict) -> None:
-        """Say what the first look and the last one gave; others change nothing."""
+    def _log_verdict(self, silent_ms: float, verdict: SilenceVerdict) -> None:
+        """Log a verdict: the first one, or the one that abandons the attempt."""
         log_event(
             "attempt_silent",
             request=self._call_id,
--- a/src/quetzaldeck/entry/state.py
+++ b/src/quetzaldeck/entry/state.py
@@ -1,4 +1,4 @@
-"""What all parts of one entry VM share."""
+"""State shared by all parts of one entry VM."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 from quetzaldeck.clock.clock import MS_PER_SECOND
 from quetzaldeck.entry.belief_bounds import build_belief_bounds
-from quetzaldeck.entry.pool import build_bundle, list_incarnations, list_leaving
+from quetzaldeck.entry.upstream_pool import (
+    build_bundle,
+    list_incarnations,
+    list_leaving,
+)
 from quetzaldeck.entry.view import build_view
 from quetzaldeck.gateway.drain import Drain
 from quetzaldeck.gateway.in_flight import InFlightRequests
@@ -28,20 +32,20 @@
     from quetzaldeck.telemetry import GatewayMetrics
 
 BALANCER_LAG_MS = 3_000
-"""The balancer asks each second and gives a VM up after two misses; the third second
-is for connections that it opened just before."""
+"""The load balancer checks readiness every second and removes a VM after two failures.
+The third second is for connections opened just before the removal."""
 
-EXIT_SHARE = 0.125
-"""Part of the time between SIGTERM and SIGKILL that is kept for telling callers who are
-cut off, for closing connections, and for the end of the process. Operators bear that a
-request is cut off in the last sixth of that time, not sooner."""
+EXIT_RESERVE_SHARE = 0.125
+"""Share of the time between SIGTERM and SIGKILL that is reserved for notifying aborted
+callers, closing connections and exiting. Operators tolerate aborted requests in the
+last sixth of that time, not before."""
 
-FAREWELL_MS = 200
-"""Time in which callers who are cut off are told so, at the end of the grace."""
+CUT_OFF_NOTICE_MS = 200
+"""Time to notify callers of aborted requests, at the end of the grace period."""
 
 
 class EntryState:
-    """Belief, connections and decisions of one entry VM."""
+    """Fleet state, upstream connections and scheduler of one entry VM."""
 
     def __init__(
         self,
@@ -63,7 +67,7 @@
         self.belief = belief
         self.orders = orders
         self.group_bounds = group_bounds
-        self.releases = ReleaseTask(self._cancel, metrics.upstreams)
+        self.releases = ReleaseTask(self._release_memory, metrics.upstreams)
         self.random_state = random.Random(settings.random_state or None)
         self.in_flight = InFlightRequests()
         metrics.in_flight.set_function(self.in_flight.__len__)
@@ -77,19 +81,19 @@
         return self._view
 
     @property
-    def believes_keys(self) -> bool:
-        """:returns: whether the list of keys is fresh enough to let anyone in"""
+    def are_keys_fresh(self) -> bool:
+        """:returns: whether the key list is recent enough to authenticate requests"""
         return self.belief.believes_keys(self.clock.uptime_ms())
 
     @property
     def is_ready(self) -> bool:
-        """:returns: whether the balancer shall send new connections"""
+        """:returns: whether the load balancer should send new connections"""
         return (
-            self._view is not None and not self.drain.is_leaving and self.believes_keys
+            self._view is not None and not self.drain.is_leaving and self.are_keys_fresh
         )
 
     async def wait_for_view(self, timeout_ms: float) -> RoutingView | None:
-        """:returns: the first configuration; ``None`` if it did not come in time"""
+        """:returns: the first configuration; ``None`` if none is loaded in time"""
         try:
             async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
                 await self._has_view.wait()
@@ -97,22 +101,22 @@
             return None
         return self._view
 
-    async def _cancel(self, release: Release) -> None:
-        """Release memory at a replica; one that is gone holds none.
+    async def _release_memory(self, release: Release) -> None:
+        """Release memory on a replica; one that is gone holds none.
 
-        :raises UpstreamError: if it has to be tried again
+        :raises UpstreamError: if the release has to be retried
         """
         replica = self.belief.replicas.get(release.upstream)
         if replica is not None:
             await self.orders.release(replica, release.held_id)
 
     def apply_settings(self, settings: EntrySettings) -> None:
-        """Take bounds that changed, for decisions from now on."""
+        """Use changed bounds for decisions from now on."""
         self.settings = settings
         self.belief.set_bounds(build_belief_bounds(settings.bounds))
 
     def apply_belief(self) -> None:
-        """Put what is believed in force for requests that are not placed yet."""
+        """Apply the current fleet state to requests that are not placed yet."""
         configuration = self.belief.configuration
         if configuration is None:
             return
@@ -128,13 +132,13 @@
 
 
 def build_shutdown(bounds: EntryBounds) -> ShutdownSettings:
-    """:returns: when a VM that is stopped takes no more work, and when it cuts off"""
+    """:returns: the shutdown phases that fit into the configured grace period"""
     grace_ms = bounds.grace_s * 1_000
     lag_ms = min(BALANCER_LAG_MS, round(grace_ms / 2))
     return ShutdownSettings(
         balancer_lag_ms=lag_ms,
-        max_drain_ms=max(1, round(grace_ms * (1.0 - EXIT_SHARE)) - lag_ms),
-        farewell_ms=FAREWELL_MS,
+        max_drain_ms=max(1, round(grace_ms * (1.0 - EXIT_RESERVE_SHARE)) - lag_ms),
+        farewell_ms=CUT_OFF_NOTICE_MS,
     )
 
 
--- a/src/quetzaldeck/entry/stream_relay.py
+++ b/src/quetzaldeck/entry/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passes the events of a stream on, each once and in order, over all its attempts."""
+"""Forwards the events of a stream to its caller, each once, over all attempts."""
 
 from __future__ import annotations
 
@@ -25,10 +25,11 @@
 
 
 class StreamRelay:
-    """One caller's stream.
+    """The response stream of one caller.
 
-    The response begins with the first whole event: until then another upstream may be
-    asked without the caller seeing it. It keeps the head of the upstream that began it.
+    The response starts with the first complete event: until then the request can move
+    to another upstream unnoticed by the caller. Status and headers are those of the
+    upstream that sent this event, also if another one continues the stream.
     """
 
     def __init__(self, call: Call, clock: Clock) -> None:
@@ -40,31 +41,31 @@
         self._response: web.StreamResponse | None = None
         self._last_event_id = ""
         self._n_events = 0
-        self.n_repeated = 0
+        self.n_duplicates = 0
 
     @property
     def response(self) -> web.StreamResponse | None:
-        """:returns: the response, once it has begun"""
+        """:returns: the response; ``None`` until it starts"""
         return self._response
 
     @property
     def last_event_id(self) -> str | None:
-        """:returns: event after which another attempt goes on; ``None``: none yet"""
+        """:returns: id of the event after which to resume; ``None`` if there is none"""
         return self._last_event_id or None
 
     @property
     def n_events(self) -> int:
-        """:returns: events that the caller was sent"""
+        """:returns: number of events sent to the caller"""
         return self._n_events
 
     @property
     def first_event_ms(self) -> float | None:
-        """:returns: time from the call's arrival to its first event"""
+        """:returns: time from the call's arrival to the first event sent"""
         return self._first_event_ms
 
     @property
     def max_gap_ms(self) -> float:
-        """:returns: longest pause between two events that were passed on"""
+        """:returns: longest gap between two events sent to the caller"""
         return self._max_gap_ms
 
     async def relay(
@@ -74,15 +75,15 @@
         *,
         first_byte: SilenceWatch,
         gaps: SilenceWatch,
-        on_first: Callable[[], None],
+        on_first_event: Callable[[], None],
     ) -> None:
-        """Pass one attempt's events on; call :meth:`finish` after its whole end.
+        """Forward the events of one attempt; call :meth:`finish` once it completes.
 
-        :param name: the upstream that answers
-        :param first_byte: waits for its first event
-        :param gaps: waits for the next ones
-        :param on_first: told when it has come
-        :raises UpstreamError: if the stream broke off, or what came is no stream
+        :param name: the upstream that responds
+        :param first_byte: bounds the wait for the first event
+        :param gaps: bounds the wait for each further one
+        :param on_first_event: called when the first event has been forwarded
+        :raises UpstreamError: if the stream ends early or is not an event stream
         """
         reader = EventReader()
         has_begun = False
@@ -91,28 +92,30 @@
             data = await watch.wait(upstream.content.readany)
             if not data:
                 break
-            for event in self._cut(name, reader, data):
-                await self._pass_on(upstream, event)
+            for event in self._parse_events(name, reader, data):
+                await self._forward(upstream, event)
                 if not has_begun:
                     has_begun = True
-                    on_first()
-        if reader.has_rest or not self._n_events:
-            detail = f"{name}: the stream ended inside an event"
+                    on_first_event()
+        if reader.has_partial_event or not self._n_events:
+            detail = f"{name}: the stream ended without an event or within one"
             raise UpstreamError(AttemptFault.BAD_ANSWER, detail, upstream=name)
 
     async def finish(self) -> web.StreamResponse:
-        """:returns: the response, ended as a whole one"""
+        """:returns: the response, properly terminated"""
         assert self._response is not None
         await self._response.write_eof()
         return self._response
 
     def abort(self) -> None:
-        """Break the connection, so that what was sent does not look whole."""
+        """Abort the caller's connection, so that it sees the stream as incomplete."""
         transport = self._call.http_request.transport
         if transport is not None:
             transport.abort()
 
-    def _cut(self, name: str, reader: EventReader, data: bytes) -> list[StreamEvent]:
+    def _parse_events(
+        self, name: str, reader: EventReader, data: bytes
+    ) -> list[StreamEvent]:
         try:
             return reader.feed(data)
         except EventTooLargeError as error:
@@ -120,24 +123,24 @@
                 AttemptFault.BAD_ANSWER, f"{name}: {error}", upstream=name
             ) from error
 
-    async def _pass_on(
+    async def _forward(
         self, upstream: aiohttp.ClientResponse, event: StreamEvent
     ) -> None:
-        if self._is_repeated(event):
-            self.n_repeated += 1
+        if self._is_duplicate(event):
+            self.n_duplicates += 1
             return
         try:
             if self._response is None:
-                await self._begin(upstream)
+                await self._start_response(upstream)
             assert self._response is not None
             await self._response.write(event.data)
         except ConnectionError:
             raise RequestError(Failure(Reason.CALLER_GONE, Ran.YES)) from None
-        self._note_time()
+        self._record_event_time()
         self._n_events += 1
         self._last_event_id = event.event_id or self._last_event_id
 
-    def _note_time(self) -> None:
+    def _record_event_time(self) -> None:
         now_ms = self._clock.now_ms()
         if self._first_event_ms is None:
             self._first_event_ms = now_ms - self._call.arrived_ms
@@ -145,14 +148,14 @@
             self._max_gap_ms = max(self._max_gap_ms, now_ms - self._last_event_ms)
         self._last_event_ms = now_ms
 
-    async def _begin(self, upstream: aiohttp.ClientResponse) -> None:
+    async def _start_response(self, upstream: aiohttp.ClientResponse) -> None:
         self._response = web.StreamResponse(
             status=upstream.status, headers=build_answer_headers(upstream.headers)
         )
         await self._response.prepare(self._call.http_request)
 
-    def _is_repeated(self, event: StreamEvent) -> bool:
-        """:returns: whether the caller has the event already"""
+    def _is_duplicate(self, event: StreamEvent) -> bool:
+        """:returns: whether the event was already sent, judged by numeric ids"""
         last, new = self._last_event_id, event.event_id
         return last.isdigit() and new.isdigit() and int(new) <= int(last)
 
--- a/src/quetzaldeck/entry/upstream_client.py
+++ b/src/quetzaldeck/entry/upstream_client.py
@@ -1,4 +1,4 @@
-"""Sends requests to upstreams and keeps the connections to them."""
+"""The HTTP client for upstreams, with a pool of connections."""
 
 from __future__ import annotations
 
@@ -16,21 +16,24 @@
     from multidict import CIMultiDict
 
 MAX_IDLE_S = 15.0
-"""A connection that no request used for this long will hardly be used again; each one
-holds a place of those that an upstream takes from all VMs together."""
+"""Idle time after which a connection is closed: it is unlikely to be used again, and
+each one counts towards the connections that an upstream accepts from all VMs
+together."""
 
-CONNECT_MS = 500.0
-"""Hundreds of times the way between zones; less than what a caller at a desk waits."""
+CONNECT_TIMEOUT_MS = 500.0
+"""Hundreds of times the latency between zones, but less than an interactive caller is
+willing to wait."""
 
 MAX_HEAD_BYTES = 32_768
-"""Longest line or header of an answer; four times what servers usually allow."""
-_OWN_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+"""Limit on the status line and on each response header, four times what servers usually
+allow."""
+_SUPPRESSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class UpstreamClient:
     """A context manager that owns the connections to all upstreams.
 
-    :param echo_header: header in which an upstream repeats the id of a request
+    :param echo_header: header in which an upstream echoes the id of a request
     """
 
     def __init__(self, *, echo_header: str) -> None:
@@ -49,7 +52,7 @@
             cookie_jar=aiohttp.DummyCookieJar(),
             max_line_size=MAX_HEAD_BYTES,
             max_field_size=MAX_HEAD_BYTES,
-            skip_auto_headers=_OWN_HEADERS,
+            skip_auto_headers=_SUPPRESSED_HEADERS,
         )
         return self
 
@@ -70,13 +73,15 @@
         headers: CIMultiDict[str],
         body: bytes | None,
     ) -> aiohttp.ClientResponse:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the head of its response.
 
         :param raw_path: path and query as the caller sent them
-        :returns: the answer; close it, also after an error
+        :returns: the response, which has to be closed, also after an error
         """
         assert self._client is not None
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_MS / 1_000)
+        timeout = aiohttp.ClientTimeout(
+            total=None, sock_connect=CONNECT_TIMEOUT_MS / 1_000
+        )
         return await self._client.request(
             method,
             URL(f"http://{address}{raw_path}", encoded=True),
--- a/src/quetzaldeck/entry/pool.py
+++ b/src/quetzaldeck/entry/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The upstreams that the scheduler works with, from what is believed."""
+"""Builds the scheduler's pool of upstreams from the fleet state."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
     from quetzaldeck.belief import FleetBelief
     from quetzaldeck.routing import Replica, RoutingConfiguration
 
-NEVER_MS = 1 << 53
-"""A configuration of the platform has no end of validity."""
+NO_EXPIRY_MS = 1 << 53
+"""End of validity of bundles built here: the platform's configuration never expires."""
 
 
 def build_bundle(belief: FleetBelief) -> Bundle | None:
-    """:returns: the bundle that stands for the belief; ``None`` before the first
+    """:returns: the fleet state as a bundle; ``None`` before the first configuration
 
-    Replicas of a service that the configuration does not name are left out: no route
-    leads there.
+    Replicas of services that the configuration does not list are omitted, as no route
+    can lead to them.
     """
     configuration = belief.configuration
     if configuration is None:
@@ -28,20 +28,20 @@
     )
     return Bundle(
         configuration.version,
-        NEVER_MS,
+        NO_EXPIRY_MS,
         upstreams=tuple(spec for spec in specs if spec is not None),
     )
 
 
 def list_leaving(belief: FleetBelief) -> tuple[str, ...]:
-    """:returns: ids of the replicas that take no new work"""
+    """:returns: ids of the replicas that are leaving and get no new work"""
     return tuple(
         replica.replica_id for replica in belief.replicas.values() if replica.is_leaving
     )
 
 
 def list_incarnations(belief: FleetBelief) -> tuple[tuple[str, str], ...]:
-    """:returns: by id, which of its starts each replica says that this is"""
+    """:returns: pairs of replica id and incarnation, where a replica states one"""
     return tuple(
         (replica.replica_id, replica.incarnation)
         for replica in belief.replicas.values()
--- a/src/quetzaldeck/entry/upstream_protocol.py
+++ b/src/quetzaldeck/entry/upstream_protocol.py
@@ -1,4 +1,4 @@
-"""HTTP connections to upstreams, stricter than the client library's own."""
+"""HTTP connections to upstreams, with stricter checks than those of aiohttp."""
 
 from __future__ import annotations
 
@@ -20,69 +20,73 @@
     from aiohttp.client_reqrep import ClientResponse
     from aiohttp.connector import AddrInfoType, Connection
 
-UNACKNOWLEDGED_MS = 1_500
-"""After this time without an acknowledgement the kernel gives a connection up: an
-upstream behind a partition never answers, and nothing else would say so."""
+TCP_USER_TIMEOUT_MS = 1_500
+"""After this time without an acknowledgement the kernel closes a connection: nothing
+else detects an upstream behind a network partition, which never responds."""
 
 PROBE_IDLE_S = 1
 PROBE_INTERVAL_S = 1
 N_PROBES = 2
-"""A connection that something between the ends has forgotten is found after three
-seconds of silence, while it is idle, not by the next request that needs it."""
+"""TCP keep-alive detects a connection that a device on the path has dropped after three
+seconds of silence, while it is idle, instead of failing the next request on it."""
 
-UNSTATED_IDLE_MS = 900.0
-"""For how long a connection is kept whose upstream does not say how long it keeps it:
-one that keeps it for a second or more has to say so."""
+DEFAULT_KEEP_ALIVE_MS = 900.0
+"""Keep-alive time assumed for an upstream that states none: one that keeps idle
+connections for a second or longer is required to state it."""
 
-IDLE_SHARE = 0.6
-"""Part of the stated time after which a connection is not used again. A request that
-crosses the upstream's close may or may not have run, and nobody can tell."""
+KEEP_ALIVE_SHARE = 0.6
+"""Share of the keep-alive time for which a connection is reused. Whether a request ran
+that was sent just as the upstream closed the connection cannot be determined."""
 
-_TIMEOUT = re.compile(r"timeout=(\d+)")
+_KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
 class UpstreamProtocol(ResponseHandler):
-    """One connection to an upstream.
-
-    - A body without a length ends with its connection; if that is reset, the library
-      takes what came for the whole body.
-    - An upstream may send an answer that nobody asked for. If it came before a
-      request, the connection is not used; if it comes in place of an answer, it is
-      told by the id that it repeats, and the next one is waited for.
-    - An upstream says for how long it keeps an idle connection.
+    """One connection to an upstream, guarded against three faults.
+
+    - A body without a length ends with its connection. If the connection is reset,
+      aiohttp takes the bytes received so far for the whole body; here the body fails.
+    - An upstream may send a response to no request. If it arrives while the connection
+      is idle, the connection is not reused. If it arrives in place of the expected
+      response, the id that it echoes shows this, and the next response is awaited.
+    - A connection is reused only within the keep-alive time that the upstream states,
+      as it may be closed at any moment after that.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *, echo_header: str) -> None:
         super().__init__(loop)
         self._echo_header = echo_header
         self._expected_id: str | None = None
-        self._usable_until_s: float | None = None
+        self._reusable_until_s: float | None = None
 
     @property
     def echo_header(self) -> str:
-        """:returns: header in which an answer repeats the id of its request"""
+        """:returns: header in which a response echoes the id of its request"""
         return self._echo_header
 
-    def expect(self, request_id: str | None) -> None:
-        """Take the id of the request that is sent now; ``None``: it has none."""
+    def expect_response_to(self, request_id: str | None) -> None:
+        """Set the id of the request about to be sent; ``None`` if it has none."""
         self._expected_id = request_id
 
     def is_connected(self) -> bool:
-        """:returns: whether the connection may carry a request"""
+        """:returns: whether the connection may be used for another request"""
         if self._buffer or self._tail:
             return False
-        if self._usable_until_s is not None and time.monotonic() > self._usable_until_s:
+        if (
+            self._reusable_until_s is not None
+            and time.monotonic() > self._reusable_until_s
+        ):
             return False
         return super().is_connected()
 
     async def read(self) -> Any:
-        """:returns: the next answer that is not another request's"""
+        """:returns: the next response that does not belong to another request"""
         while True:
             item = await super().read()
             message = item[0]
             answered = message.headers.get(self._echo_header)
             if answered is None or self._expected_id in (None, answered):
-                self._note_idle_time(message.headers)
+                self._record_keep_alive(message.headers)
                 return item
             log_event(
                 "foreign_answer_dropped",
@@ -92,27 +96,29 @@
             )
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail a body that was under way when the connection was reset."""
+        """Fail a body that was incomplete when the connection was reset."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
-            reset = aiohttp.ClientPayloadError(f"the connection was reset: {exc!r}")
+            reset = aiohttp.ClientPayloadError(f"connection reset by upstream: {exc!r}")
             payload.set_exception(reset)
         super().connection_lost(exc)
 
-    def _note_idle_time(self, headers: Any) -> None:
-        match = _TIMEOUT.search(headers.get("Keep-Alive", ""))
-        idle_ms = UNSTATED_IDLE_MS if match is None else int(match.group(1)) * 1_000
-        self._usable_until_s = time.monotonic() + idle_ms * IDLE_SHARE / 1_000
+    def _record_keep_alive(self, headers: Any) -> None:
+        match = _KEEP_ALIVE_TIMEOUT.search(headers.get("Keep-Alive", ""))
+        idle_ms = (
+            DEFAULT_KEEP_ALIVE_MS if match is None else int(match.group(1)) * 1_000
+        )
+        self._reusable_until_s = time.monotonic() + idle_ms * KEEP_ALIVE_SHARE / 1_000
 
 
 class UpstreamRequest(ClientRequest):
-    """A request that tells its connection which answer it waits for."""
+    """A request that tells its connection which response to expect."""
 
     async def send(self, conn: Connection) -> ClientResponse:
         """Send; see the base class."""
         protocol = conn.protocol
         if isinstance(protocol, UpstreamProtocol):
-            protocol.expect(self.headers.get(protocol.echo_header))
+            protocol.expect_response_to(self.headers.get(protocol.echo_header))
         return await super().send(conn)
 
 
@@ -126,18 +132,18 @@
             socket_factory=open_socket,
             use_dns_cache=False,
         )
-        # The library declares its own class here; a subclass of it serves as well.
+        # aiohttp annotates this attribute with its own class; a subclass works as well.
         self._factory = functools.partial(  # type: ignore[assignment]
             UpstreamProtocol, loop=self._loop, echo_header=echo_header
         )
 
 
 def open_socket(address: AddrInfoType) -> socket.socket:
-    """:returns: a socket that notices by itself when its other end is gone"""
+    """:returns: a socket on which the kernel detects that the other end is gone"""
     family, kind, protocol, _, _ = address
     opened = socket.socket(family, kind, protocol)
-    opened.setblocking(False)  # noqa: FBT003 - its own interface
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    opened.setblocking(False)  # noqa: FBT003 - interface of the standard library
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
--- a/src/quetzaldeck/entry/view.py
+++ b/src/quetzaldeck/entry/view.py
@@ -1,4 +1,4 @@
-"""The configuration in the form that requests are looked up in."""
+"""The routing configuration, indexed for request lookup."""
 
 from __future__ import annotations
 
@@ -15,7 +15,12 @@
 
 
 class RoutingView(NamedTuple):
-    """One version, indexed; a request holds one from its arrival to its send."""
+    """One indexed version of the configuration.
+
+    A request uses the same view from its arrival until its first send.
+
+    :param keys: owners by API key; ``None`` if the configuration requires no keys
+    """
 
     version: int
     routes: RouteTable
--- a/tests/entry/test_event_reader.py
+++ b/tests/entry/test_event_reader.py
@@ -29,13 +29,13 @@
     ]
     assert b"".join(event.data for event in events) == WHOLE
     assert [event.event_id for event in events] == ["1", "2", ""]
-    assert not reader.has_rest
+    assert not reader.has_partial_event
 
 
 def test_begun_event_is_kept_back() -> None:
     reader = EventReader()
     assert not reader.feed(b"id: 1\ndata: ha")
-    assert reader.has_rest
+    assert reader.has_partial_event
 
 
 def test_event_without_end_is_refused() -> None:
--- a/tests/entry/test_memory.py
+++ b/tests/entry/test_memory_reservation.py
@@ -169,7 +169,7 @@
     """Engines break off each second renewal; the caller's answer is not touched."""
     events: list[str] = []
     monkeypatch.setattr(
-        "quetzaldeck.entry.memory.log_event",
+        "quetzaldeck.entry.memory_reservation.log_event",
         lambda event, **fields: events.append(event),
     )
     memory = Memory()
--- a/tests/entry/test_paces.py
+++ b/tests/entry/test_paces.py
@@ -10,7 +10,7 @@
 from tests.support.platform.replica import StandInReplica, event
 from tests.support.platform.site import ENGINES, PLAN_PATH, build_entry, run_site
 
-from quetzaldeck.entry.pace_task import ASK_INTERVAL_MS
+from quetzaldeck.entry.pace_task import POLL_INTERVAL_MS
 
 if TYPE_CHECKING:
     from tests.support.platform.fleet import EntryFleet, EntryVm
@@ -104,7 +104,7 @@
             vms: tuple[EntryVm, ...] = tuple(fleet.vms.values())
             await fleet.wait(lambda: all("slow" in find_slow(vm.state) for vm in vms))
             n_before = engine.n_reports
-            await asyncio.sleep(2.5 * ASK_INTERVAL_MS / 1_000)
+            await asyncio.sleep(2.5 * POLL_INTERVAL_MS / 1_000)
             assert 1 <= engine.n_reports - n_before <= 3
             engine.pace = 1.0
             await fleet.wait(
--- a/tests/entry/test_settings_watch.py
+++ b/tests/entry/test_settings_watch.py
@@ -58,7 +58,7 @@
 def test_change_without_a_signal_is_noticed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(settings_watch, "LOOK_MS", 50.0)
+    monkeypatch.setattr(settings_watch, "POLL_INTERVAL_MS", 50.0)
     changed = TEXT.replace("2000", "3000")
     assert len(watch(tmp_path / "s.yaml", changed, has_signal=False)) == 1
 
--- a/tests/entry/test_upstream_protocol.py
+++ b/tests/entry/test_upstream_protocol.py
@@ -24,7 +24,7 @@
     The request crosses the replica's close of a connection that was idle for as long
     as the replica keeps it.
     """
-    monkeypatch.setattr(upstream_protocol, "UNSTATED_IDLE_MS", 5_000.0)
+    monkeypatch.setattr(upstream_protocol, "DEFAULT_KEEP_ALIVE_MS", 5_000.0)
 
     async def behave(arrival: Arrival, connection: Connection) -> None:
         head = f"Keep-Alive: {keep_alive}" if keep_alive else ""
