--- a/tests/entry/test_answers.py
+++ b/tests/entry/test_answers.py
@@ -1,4 +1,4 @@
-"""Faulty answers: a caller gets its own whole answer, or is told that there is none."""
+"""Faulty responses: a caller gets its own complete response or an error."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 async def send_unframed(arrival: Arrival, connection: Connection) -> None:
-    """Send an answer without a length, as far as it goes."""
+    """Send half a response body without a content length."""
     await connection.send(build_head(arrival, 200, "Connection: close", SEAL))
     await connection.send(b"half of the bo")
     await asyncio.sleep(0.05)
 
 
-def test_answer_without_length_that_is_reset_is_not_whole() -> None:
-    """A caller takes half of a booking's confirmation for the whole.
+def test_response_without_length_that_is_reset_is_not_whole() -> None:
+    """A truncated response is forwarded as complete.
 
-    The replica sends an answer that ends with its connection, and crashes on the way:
-    the connection is reset. The client library hands out what came as the whole body.
+    The replica sends a response that ends with its connection and crashes, which resets
+    the connection. aiohttp returns the bytes received so far as the whole body.
     """
 
     async def behave(arrival: Arrival, connection: Connection) -> None:
@@ -39,7 +39,7 @@
     run_site(test, desks=(behave,))
 
 
-def test_answer_without_length_that_ends_in_order_is_whole() -> None:
+def test_response_without_length_that_ends_in_order_is_whole() -> None:
     async def behave(arrival: Arrival, connection: Connection) -> None:
         await send_unframed(arrival, connection)
         connection.close()
@@ -51,11 +51,11 @@
     run_site(test, desks=(behave,))
 
 
-def test_second_answer_to_one_request_reaches_nobody() -> None:
-    """A member is shown the booking of another.
+def test_second_response_to_a_request_is_dropped() -> None:
+    """A caller receives the response to another caller's request.
 
-    The replica answers a request twice. The second answer lies in the connection, and
-    the next request on it takes it for its own.
+    The replica responds to a request twice. The second response stays in the connection
+    and is taken for the response to the next request on it.
     """
 
     async def behave(arrival: Arrival, connection: Connection) -> None:
@@ -71,17 +71,17 @@
     run_site(test, desks=(behave,))
 
 
-def test_second_answer_that_comes_late_reaches_nobody() -> None:
-    """As above, but it comes after the next request was sent on the connection.
+def test_late_second_response_is_dropped() -> None:
+    """As above, but it arrives after the next request was sent on the connection.
 
-    Only the id that an answer repeats tells whose it is; the right one follows.
+    Only the echoed id shows which request it belongs to; the expected response follows.
     """
-    held: list[Arrival] = []
+    previous: list[Arrival] = []
 
     async def behave(arrival: Arrival, connection: Connection) -> None:
-        for late in held:
+        for late in previous:
             await connection.answer(late, body=late.target.encode())
-        held[:] = [arrival]
+        previous[:] = [arrival]
         await connection.answer(arrival, body=arrival.target.encode())
 
     async def test(site: Site) -> None:
@@ -93,7 +93,7 @@
     run_site(test, desks=(behave,))
 
 
-def test_bytes_that_are_no_answer_are_not_passed_on() -> None:
+def test_bytes_that_are_not_http_are_not_forwarded() -> None:
     async def behave(arrival: Arrival, connection: Connection) -> None:
         await connection.send(b"\x16\x03\x01 nonsense\r\n\r\n")
 
@@ -105,8 +105,8 @@
     run_site(test, desks=(behave,))
 
 
-def test_answer_without_the_mark_or_with_an_encoding_is_not_passed_on() -> None:
-    async def unmarked(arrival: Arrival, connection: Connection) -> None:
+def test_response_without_seal_or_with_an_encoding_is_not_forwarded() -> None:
+    async def unsealed(arrival: Arrival, connection: Connection) -> None:
         await connection.send(build_head(arrival, 200, "Content-Length: 2") + b"ok")
 
     async def encoded(arrival: Arrival, connection: Connection) -> None:
@@ -115,15 +115,15 @@
     async def test(site: Site) -> None:
         assert (await site.call(BOOK_PATH)).status == 502
 
-    run_site(test, desks=(unmarked,))
+    run_site(test, desks=(unsealed,))
     run_site(test, desks=(encoded,))
 
 
-def test_early_answer_does_not_spoil_the_next_request() -> None:
-    """The next caller's request is read as the rest of a long body.
+def test_early_response_does_not_corrupt_the_next_request() -> None:
+    """The next request is read as the rest of the previous request's body.
 
-    The replica answers before it has read a long body. If the connection were used
-    again while the rest is unsent, the replica would take what follows for that rest.
+    The replica responds before it has read a long body. If the connection were reused
+    while the rest is unsent, the replica would take the next request for that rest.
     """
 
     async def test(site: Site) -> None:
@@ -135,7 +135,7 @@
     run_site(test)
 
 
-def test_failure_of_a_replica_is_returned_as_it_is_if_there_is_no_other_way() -> None:
+def test_error_response_of_a_replica_is_forwarded_if_no_retry_is_possible() -> None:
     async def fail(arrival: Arrival, connection: Connection) -> None:
         await connection.answer(arrival, status=500, body=b"own failure")
 
--- a/tests/entry/test_at_most_once.py
+++ b/tests/entry/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Which requests are sent again, and what a refusal says."""
+"""Which requests are retried, and what a refusal tells the caller."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 
 BOUNDS = EntryBounds(retry_ratio=1.0)
-"""So that the budget of repeated sends does not end a test of six calls."""
+"""Large enough that the retry budget lasts for a test of six calls."""
 
 
-async def cut(arrival: Arrival, connection: Connection) -> None:
-    """Take a request and close without an answer."""
+async def close_unanswered(arrival: Arrival, connection: Connection) -> None:
+    """Accept a request and close the connection without a response."""
     connection.close()
 
 
 async def refuse(arrival: Arrival, connection: Connection) -> None:
-    """Say that the request was not run."""
+    """Respond that the request was not run."""
     await connection.not_run(arrival)
 
 
-def test_booking_whose_answer_is_lost_is_not_sent_again() -> None:
-    """Two members arrive for one rack.
+def test_booking_whose_response_is_lost_is_not_retried() -> None:
+    """A booking runs twice.
 
-    The replica books and dies before it answers. Sent again, to it or to another
-    replica, the booking would run twice; a status that says that it has not run would
-    have the caller do the same.
+    The replica runs the booking and crashes before it responds. A retry on any replica
+    would run it again, and so would the caller's retry after a status that claims it
+    has not run.
     """
 
     async def test(site: Site) -> None:
@@ -42,18 +42,18 @@
         assert "retry-after" not in answer.headers
         assert sum(len(desk.calls) for desk in site.desks) == 1
 
-    run_site(test, desks=(cut, cut, cut))
+    run_site(test, desks=(close_unanswered, close_unanswered, close_unanswered))
 
 
-def test_lookup_whose_answer_is_lost_is_asked_of_another() -> None:
+def test_lookup_whose_response_is_lost_is_retried_elsewhere() -> None:
     async def test(site: Site) -> None:
         answers = [await site.call(LOOK_PATH) for _ in range(6)]
         assert {answer.status for answer in answers} == {200}
 
-    run_site(test, desks=(cut, None), bounds=BOUNDS)
+    run_site(test, desks=(close_unanswered, None), bounds=BOUNDS)
 
 
-def test_booking_that_was_not_run_is_sent_to_another() -> None:
+def test_booking_that_was_not_run_is_retried_elsewhere() -> None:
     async def test(site: Site) -> None:
         answers = [await site.call(BOOK_PATH) for _ in range(6)]
         assert {answer.status for answer in answers} == {200}
@@ -61,7 +61,7 @@
     run_site(test, desks=(refuse, None), bounds=BOUNDS)
 
 
-def test_refusal_of_what_has_not_run_says_so_and_when_to_come_back() -> None:
+def test_refusal_of_a_request_that_has_not_run_has_retry_after() -> None:
     async def test(site: Site) -> None:
         answer = await site.call(BOOK_PATH, deadline_ms=900)
         assert answer.status == 503
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("path", [BOOK_PATH, LOOK_PATH])
-def test_no_replica_is_said_at_once(path: str) -> None:
+def test_missing_replica_is_reported_at_once(path: str) -> None:
     async def test(site: Site) -> None:
         for desk in site.desks:
             site.store.delete(f"servers/{desk.replica_id}")
@@ -83,14 +83,14 @@
     run_site(test)
 
 
-def test_replica_at_a_used_address_does_not_run_the_request() -> None:
-    """A booking of the gym is run by the service that got its replica's address.
+def test_replica_at_a_reused_address_does_not_run_the_request() -> None:
+    """A request is run by another service that got the address of its replica.
 
-    The request names the incarnation that it is for. Another one answers that it is
-    not that, which proves that it did not run it.
+    The request names the replica that it is for. Another replica responds with status
+    421, which proves that it did not run the request.
     """
 
-    async def other(arrival: Arrival, connection: Connection) -> None:
+    async def respond_misdirected(arrival: Arrival, connection: Connection) -> None:
         await connection.not_run(arrival, status=421)
 
     async def test(site: Site) -> None:
@@ -98,14 +98,14 @@
         assert answer.status == 200
         assert len(site.desks[1].calls) == 1
 
-    run_site(test, desks=(other, None))
+    run_site(test, desks=(respond_misdirected, None))
 
 
-def test_deadline_after_a_proof_that_nothing_ran_is_told_as_not_run() -> None:
-    """A booking that nobody took is not sent again by its caller.
+def test_deadline_of_a_refused_request_is_reported_as_not_run() -> None:
+    """A caller does not retry a booking although it has not run.
 
-    The only replica refuses it, truly; it waits for a place until its time is up. What
-    is known is that it has not run, so that is what its caller is told.
+    The only replica refuses the booking, which is then queued until its deadline. As it
+    is known not to have run, the caller has to be told so.
     """
 
     async def test(site: Site) -> None:
--- a/tests/entry/test_clock.py
+++ b/tests/entry/test_clock.py
@@ -1,4 +1,4 @@
-"""The time of day jumps on a VM while it serves."""
+"""Changes of a VM's wall clock while it serves requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def answer_stream(arrival: Arrival, connection: Connection) -> None:
-    """Answer with two events, some time apart."""
+    """Respond with two events, some time apart."""
     await connection.begin_stream(arrival)
     await connection.send_chunk(event(1))
     await asyncio.sleep(0.05)
@@ -27,22 +27,21 @@
 
 
 class JumpingClock(Clock):
-    """A clock whose time of day is set back and forth; its steady clock goes on."""
+    """A clock whose wall time can be shifted; its monotonic time is unaffected."""
 
     def __init__(self) -> None:
         self.offset_ms = 0.0
 
     def wall_ms(self) -> float:
-        """:returns: the time of day with the present offset"""
+        """:returns: the wall time plus the current offset"""
         return super().wall_ms() + self.offset_ms
 
 
-def test_time_of_day_decides_nothing_for_callers() -> None:
-    """All VMs of a zone refuse keys, or cut requests off, when their clock is set.
+def test_wall_clock_changes_do_not_affect_callers() -> None:
+    """VMs reject keys or abort requests when their wall clock is set.
 
-    An operator sets the time of day forward and back while requests run. Deadlines and
-    the age of what is believed are counted by clocks that cannot be set, so callers
-    notice nothing.
+    The wall clock is set forward and back while requests run. Deadlines and the age of
+    the fleet state use monotonic clocks, so callers notice nothing.
     """
     clock = JumpingClock()
 
--- a/tests/entry/test_entries.py
+++ b/tests/entry/test_entries.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under their id, and entries of another writer."""
+"""Replicas that restart under the same id, and entries of a foreign writer."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 FOREIGN = "servers/foreign"
 
 
-class Crashing:
-    """A replica that breaks off what it runs, until it starts again."""
+class CrashingReplica:
+    """A replica that closes connections without a response until it restarts."""
 
     def __init__(self) -> None:
         self.is_down = True
@@ -36,13 +36,13 @@
             await connection.answer(arrival)
 
 
-def test_replica_that_started_again_serves_at_once() -> None:
-    """A booking is refused for seconds though its only replica is back.
+def test_restarted_replica_serves_at_once() -> None:
+    """Requests are refused for seconds although their only replica has restarted.
 
-    The replica crashes with two bookings on board and is left alone as a dead one. It
-    starts again under its id; the verdict on its former start has to go with it.
+    The replica crashes while it runs two bookings and is excluded as dead. When it
+    restarts under the same id, the new incarnation must not inherit the exclusion.
     """
-    crashing = Crashing()
+    crashing = CrashingReplica()
 
     async def test(site: Site) -> None:
         desk = site.desks[0]
@@ -61,21 +61,21 @@
     run_site(test, desks=(crashing,))
 
 
-def test_entries_of_another_writer_change_nothing_for_callers() -> None:
-    """Every caller in two is answered by nobody.
+def test_entries_of_a_foreign_writer_do_not_affect_callers() -> None:
+    """Requests are sent to replicas that do not exist.
 
-    Another writer puts entries beside those of the replicas: of a state and a service
-    that do not exist, of wrong types, without an address, and bytes that are no text.
+    A foreign writer adds entries to those of the replicas: with an unknown state or
+    service, with wrong types, without an address, and bytes that are not valid UTF-8.
     """
 
     async def test(site: Site) -> None:
-        sound = build_entry(DESK, "127.0.0.1:9")
+        valid = build_entry(DESK, "127.0.0.1:9")
         foreign = [
-            {**sound, "state": "asleep"},
-            {**sound, "service": "nowhere"},
-            {**sound, "slots": "many"},
+            {**valid, "state": "asleep"},
+            {**valid, "service": "nowhere"},
+            {**valid, "slots": "many"},
             {"service": DESK},
-            [sound],
+            [valid],
             None,
         ]
         for number, entry in enumerate(foreign):
--- a/tests/entry/test_event_reader.py
+++ b/tests/entry/test_event_reader.py
@@ -1,4 +1,4 @@
-"""Events are cut the same wherever the bytes are."""
+"""Events are parsed the same however the byte stream is split into reads."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 @given(st.lists(st.integers(min_value=0, max_value=len(WHOLE)), max_size=6))
-def test_events_do_not_depend_on_the_cuts(cuts: list[int]) -> None:
+def test_events_do_not_depend_on_read_boundaries(cuts: list[int]) -> None:
     reader = EventReader()
-    places = [0, *sorted(cuts), len(WHOLE)]
+    boundaries = [0, *sorted(cuts), len(WHOLE)]
     events = [
         event
-        for begin, end in pairwise(places)
-        for event in reader.feed(WHOLE[begin:end])
+        for start, end in pairwise(boundaries)
+        for event in reader.feed(WHOLE[start:end])
     ]
     assert b"".join(event.data for event in events) == WHOLE
     assert [event.event_id for event in events] == ["1", "2", ""]
     assert not reader.has_partial_event
 
 
-def test_begun_event_is_kept_back() -> None:
+def test_incomplete_event_is_buffered() -> None:
     reader = EventReader()
     assert not reader.feed(b"id: 1\ndata: ha")
     assert reader.has_partial_event
--- a/tests/entry/test_forwarding.py
+++ b/tests/entry/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What a replica receives of a caller's request, and a caller of a replica's answer."""
+"""What is forwarded of requests to replicas and of responses to callers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     run_site(test)
 
 
-def test_request_without_a_body_is_passed_on_without_one() -> None:
+def test_request_without_a_body_is_forwarded_without_one() -> None:
     async def test(site: Site) -> None:
         await site.call(LOOK_PATH, method="GET", body=None)
         assert "content-length" not in site.desks[0].calls[0].headers
@@ -38,12 +38,11 @@
     run_site(test)
 
 
-def test_key_stays_here_and_the_customer_is_named() -> None:
-    """A caller names another customer to be billed for its call.
+def test_key_is_removed_and_the_customer_is_set() -> None:
+    """A caller has its call billed to another customer, or its key leaks.
 
-    It sends its own key and the other's name; the replica believes the name that
-    comes with a request. So the name is set here whatever was sent, and the key, with
-    which others could call, does not go further.
+    The replica trusts the customer header of a request. So the VM sets the header by
+    the key, whatever the caller sent, and does not forward the key itself.
     """
 
     async def test(site: Site) -> None:
@@ -58,7 +57,7 @@
     run_site(test)
 
 
-def test_headers_of_one_connection_stay_on_it() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     async def test(site: Site) -> None:
         await site.call(BOOK_PATH, Connection="X-Hop", X_Hop="1", TE="trailers")
         headers = site.desks[0].calls[0].headers
@@ -68,20 +67,20 @@
     run_site(test)
 
 
-def test_deadline_that_is_passed_on_is_what_is_left() -> None:
+def test_forwarded_deadline_is_the_remaining_time() -> None:
     async def test(site: Site) -> None:
         await site.call(BOOK_PATH, deadline_ms=2_000)
-        left_ms = int(site.desks[0].calls[0].headers["quetzaldeck-deadline-ms"])
-        assert 1_000 < left_ms <= 2_000
+        remaining_ms = int(site.desks[0].calls[0].headers["quetzaldeck-deadline-ms"])
+        assert 1_000 < remaining_ms <= 2_000
         await site.call(BOOK_PATH, deadline_ms=60_000)
-        left_ms = int(site.desks[0].calls[1].headers["quetzaldeck-deadline-ms"])
-        assert left_ms <= 5_000, "the route's bound holds as well"
+        remaining_ms = int(site.desks[0].calls[1].headers["quetzaldeck-deadline-ms"])
+        assert remaining_ms <= 5_000, "the route's timeout applies as well"
 
     run_site(test)
 
 
-def test_answer_is_returned_with_status_body_and_mark_unchanged() -> None:
-    async def refuse(arrival: Arrival, connection: Connection) -> None:
+def test_response_is_returned_with_status_body_and_seal_unchanged() -> None:
+    async def respond_conflict(arrival: Arrival, connection: Connection) -> None:
         await connection.answer(
             arrival, status=409, body=b"rack taken", head="X-Rack: 7"
         )
@@ -92,10 +91,10 @@
         assert answer.headers["quetzaldeck-response-seal"] == "mark"
         assert answer.headers["x-rack"] == "7"
 
-    run_site(test, desks=(refuse,))
+    run_site(test, desks=(respond_conflict,))
 
 
-def test_connections_to_replicas_are_used_again() -> None:
+def test_connections_to_replicas_are_reused() -> None:
     async def test(site: Site) -> None:
         for _ in range(5):
             await site.call(BOOK_PATH)
--- a/tests/entry/test_keys_and_routes.py
+++ b/tests/entry/test_keys_and_routes.py
@@ -1,4 +1,4 @@
-"""Keys, routes and the configuration in force, with a source that fails."""
+"""Keys, routes and the configuration in force, also while the store fails."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return 0 if view is None else view.version
 
 
-def test_unknown_route_and_unknown_key_are_told_apart() -> None:
+def test_unknown_route_and_unknown_key_have_distinct_statuses() -> None:
     async def test(site: Site) -> None:
         assert (await site.call("/elsewhere/1")).status == 404
         assert (await site.call(LOOK_PATH, Host="other.example")).status == 404
@@ -44,7 +44,7 @@
     run_site(test)
 
 
-def test_route_that_was_added_and_key_that_was_taken_away_are_in_force() -> None:
+def test_added_and_revoked_keys_are_in_force() -> None:
     async def test(site: Site) -> None:
         await publish(site, 5, tenants=[{"name": CUSTOMER, "apiKeys": ["newer"]}])
         assert (await site.call(LOOK_PATH)).status == 401
@@ -53,11 +53,11 @@
     run_site(test)
 
 
-def test_older_configuration_does_not_come_back() -> None:
-    """A key that was taken away opens again.
+def test_older_configuration_is_ignored() -> None:
+    """A revoked key is accepted again.
 
-    The source answers with what it held before: it was restored, or the reading is
-    stale. The version in force only grows.
+    The store returns an older configuration, because it was restored from a backup or
+    the read is stale. The version in force must never decrease.
     """
 
     async def test(site: Site) -> None:
@@ -72,7 +72,7 @@
     run_site(test)
 
 
-def test_configuration_that_cannot_be_read_leaves_the_last_one_in_force() -> None:
+def test_undecodable_configuration_leaves_the_last_one_in_force() -> None:
     async def test(site: Site) -> None:
         belief = site.entry.session.state.belief
         revision = belief.revision
@@ -84,12 +84,12 @@
     run_site(test)
 
 
-def test_keys_are_not_believed_for_longer_than_a_revocation_may_take() -> None:
-    """A dismissed coach goes on reading histories.
+def test_keys_are_not_accepted_beyond_the_revocation_bound() -> None:
+    """A revoked key is accepted for as long as the store is unreachable.
 
-    The VM is cut off from the source while keys are taken away, and cannot know. After
-    the time that a revocation may take it lets nobody in; a route without keys serves
-    on, and so does everything once the source is back.
+    The VM loses its connection to the store and cannot learn of revocations. Once its
+    key list is older than the bound it refuses all requests with keys. Public routes
+    are served throughout, and all routes are again once the store is back.
     """
     bounds = EntryBounds(key_revocation_ms=1_600)
 
@@ -114,7 +114,7 @@
     run_site(test, bounds=bounds)
 
 
-def test_history_that_is_gone_is_read_anew() -> None:
+def test_everything_is_read_again_after_the_store_dropped_its_history() -> None:
     async def test(site: Site) -> None:
         site.store.put(CONFIGURATION_KEY, build_configuration(3))
         site.store.forget_history()
@@ -123,7 +123,7 @@
     run_site(test)
 
 
-def test_replica_that_leaves_gets_no_new_work() -> None:
+def test_leaving_replica_gets_no_new_work() -> None:
     async def test(site: Site) -> None:
         site.register(site.desks[0], "desk", state="draining")
         belief = site.entry.session.state.belief
@@ -135,10 +135,10 @@
     run_site(test, desks=(None, None))
 
 
-def test_request_that_waits_is_looked_at_again_before_it_is_sent() -> None:
-    """A request runs with a key that was taken away while it waited.
+def test_queued_request_is_checked_again_before_it_is_sent() -> None:
+    """A request runs with a key that was revoked while the request was queued.
 
-    All replicas are full; the request waits here. Before it is sent, its route and its
+    All replicas are full, so the request is queued. Before it is sent, its route and
     key are looked up again in the configuration that is then in force.
     """
     release = asyncio.Event()
@@ -170,7 +170,7 @@
     run_site(test)
 
 
-def test_readiness_is_asked_and_metrics_are_read_on_their_addresses() -> None:
+def test_readiness_and_metrics_are_served_on_their_own_addresses() -> None:
     async def test(site: Site) -> None:
         await site.call("/elsewhere/1")
         await site.call(BOOK_PATH)
@@ -184,12 +184,12 @@
     run_site(test)
 
 
-def test_replica_that_does_not_return_gets_no_work_after_its_bound() -> None:
+def test_replica_whose_entry_does_not_reappear_gets_no_work_after_the_bound() -> None:
     """A replica that left during an outage of the store gets work for too long.
 
-    Its entry is missing when the store is back, as those of living ones may be, so it
-    is believed in for a while. That while ends by the clock, not when the next question
-    to the store is answered, which may be held for seconds.
+    After an outage the entries of running replicas may be missing as well, so a missing
+    one is tolerated for a while. This time has to end by the clock, not with the
+    response to the next query, which the store may hold for seconds.
     """
     bounds = EntryBounds(key_revocation_ms=20_000, leaving_ms=1_500)
 
--- a/tests/entry/test_memory_reservation.py
+++ b/tests/entry/test_memory_reservation.py
@@ -1,4 +1,4 @@
-"""Prompts above one engine's memory: set aside, renewed, released on every exit."""
+"""Memory reservations for prompts too large for one engine: renewal and release."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 HUGE = (500_000, 100)
 N_ENGINES = 6
 LONG_MS = 5_000
-"""Long enough for the engines to read the huge prompt."""
+"""Long enough for the engines to prefill the huge prompt."""
 
 
 class Memory:
-    """Reservations of all engines, as their orders say."""
+    """Reservations on all engines, according to the orders they received."""
 
     def __init__(self) -> None:
         self.held: dict[tuple[int, str], int] = {}
         self.n_orders = 0
 
     async def take(self, arrival: Arrival, connection: Connection) -> None:
-        """Carry an order out and say so."""
+        """Carry out an order and confirm it."""
         self.n_orders += 1
         order = json.loads(arrival.body)
         key = (id(connection), order["id"])
@@ -42,7 +42,10 @@
 
 
 def build_engine(memory: Memory, hold_s: float = 0.0):  # type: ignore[no-untyped-def]
-    """:returns: the behaviour of an engine that streams one event"""
+    """:returns: the behaviour of an engine that streams one event
+
+    :param hold_s: time for which it keeps the stream open after the event
+    """
 
     async def behave(arrival: Arrival, connection: Connection) -> None:
         if arrival.target == "/order":
@@ -57,7 +60,7 @@
 
 
 def count_orders(site: Site, op: str) -> int:
-    """:returns: orders of a kind that all engines got"""
+    """:returns: number of orders of a kind that all engines together received"""
     return sum(
         json.loads(arrival.body)["op"] == op
         for engine in site.engines
@@ -67,11 +70,11 @@
 
 
 def has_reserved(engine: StandInReplica) -> bool:
-    """:returns: whether an engine was asked for memory"""
+    """:returns: whether an engine received an order"""
     return any(arrival.target == "/order" for arrival in engine.arrivals)
 
 
-def test_huge_prompt_gets_memory_on_several_engines_and_gives_it_back() -> None:
+def test_huge_prompt_reserves_memory_on_several_engines_and_releases_it() -> None:
     memory = Memory()
 
     async def test(site: Site) -> None:
@@ -82,14 +85,14 @@
         with_memory = [helper for helper in helpers if "/" in helper]
         n_reserved = count_orders(site, "reserve")
         assert len(with_memory) == n_reserved >= 3
-        asked = next(e for e in site.engines if e.calls)
-        assert helpers[0].startswith(asked.address), "its own memory goes first"
+        called = next(e for e in site.engines if e.calls)
+        assert helpers[0].startswith(called.address), "its own reservation comes first"
         await site.wait(lambda: count_orders(site, "release") == n_reserved)
 
     run_site(test, engines=(build_engine(memory),) * N_ENGINES)
 
 
-def test_memory_is_given_back_when_the_caller_leaves() -> None:
+def test_memory_is_released_when_the_caller_disconnects() -> None:
     memory = Memory()
 
     async def test(site: Site) -> None:
@@ -118,8 +121,8 @@
     run_site(test, engines=engines, bounds=bounds)
 
 
-def test_members_that_answered_give_back_when_another_refuses() -> None:
-    """Two long prompts each hold half of the engines and wait for the other half."""
+def test_all_reservations_are_released_when_one_member_refuses() -> None:
+    """Two long prompts deadlock: each holds half of the engines the other one needs."""
     memory = Memory()
 
     async def refuse(arrival: Arrival, connection: Connection) -> None:
@@ -137,11 +140,11 @@
     run_site(test, engines=(*engines, refuse))
 
 
-def test_prompt_that_no_group_can_read_in_time_is_refused_at_once() -> None:
-    """A coach gives a season history a second; all engines together need several.
+def test_prompt_that_no_group_can_prefill_in_time_is_refused_at_once() -> None:
+    """A prompt is admitted although all engines together cannot meet its deadline.
 
-    Admitted, it would hold memory and read in vain, and its caller would hear nothing
-    until the second is over.
+    It would reserve memory and be prefilled in vain, and its caller would learn of the
+    failure only at the deadline.
     """
 
     async def test(site: Site) -> None:
@@ -163,10 +166,10 @@
     run_site(test, engines=(build_engine(Memory()),) * 2)
 
 
-def test_lost_renewal_is_logged_and_asked_for_again(
+def test_lost_renewal_is_logged_and_retried(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Engines break off each second renewal; the caller's answer is not touched."""
+    """Engines reset every second renewal; the caller's response is not affected."""
     events: list[str] = []
     monkeypatch.setattr(
         "quetzaldeck.entry.memory_reservation.log_event",
--- a/tests/entry/test_overload.py
+++ b/tests/entry/test_overload.py
@@ -1,4 +1,4 @@
-"""More requests than the engines can do: who is told what, and when."""
+"""More requests than the engines can serve: which are refused, and when."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 RUN_S = 0.4
 DEADLINE_MS = 1_500
 EARLY_S = 0.5
-"""What is refused at the door has its answer by then; a deadline is thrice as long."""
+"""Requests that are refused on admission have their response within this time, a third
+of the deadline."""
 
 
-async def write_slowly(arrival: Arrival, connection: Connection) -> None:
-    """Answer with one event after a while."""
+async def generate_slowly(arrival: Arrival, connection: Connection) -> None:
+    """Respond with one event after a delay."""
     await asyncio.sleep(RUN_S)
     await connection.begin_stream(arrival)
     await connection.send_chunk(event(1))
@@ -35,12 +36,13 @@
     return answer, time.monotonic() - began_s
 
 
-def test_caller_that_cannot_be_served_is_told_at_once_when_to_come_back() -> None:
-    """Sixty coaches ask at once; the engine does eight at a time.
+def test_request_that_would_miss_its_deadline_is_refused_at_once() -> None:
+    """Queued requests that cannot be served wait in vain until their deadline.
 
-    The first waves are served. Once it is known how fast the queue drains, those whose
-    turn would come after their deadline are refused at the door, each with a time of
-    its own; without that all of them wait in silence until their deadline passes.
+    Sixty requests arrive at once for an engine that runs eight at a time. The first
+    ones are served. Once the drain rate of the queue is known, requests whose turn
+    would come after their deadline are refused on admission, each with its own
+    retry-after time.
     """
 
     async def test(site: Site) -> None:
@@ -48,7 +50,7 @@
         await asyncio.sleep(3 * RUN_S)
         second = await asyncio.gather(*(time_call(site) for _ in range(N_CALLS)))
         served = [answer.status for answer, _ in await first].count(200)
-        assert served >= 2 * N_SLOTS, "the first waves have room before their deadline"
+        assert served >= 2 * N_SLOTS, "two rounds of requests fit into the deadline"
         refused = [(a, s) for a, s in second if a.status == 503]
         early = [answer for answer, elapsed_s in refused if elapsed_s < EARLY_S]
         assert len(early) > N_CALLS / 3
@@ -57,4 +59,4 @@
         assert min(times) > 0.0
         assert all(s * 1_000 < DEADLINE_MS + 300 for _, s in second)
 
-    run_site(test, engines=(write_slowly,))
+    run_site(test, engines=(generate_slowly,))
--- a/tests/entry/test_paces.py
+++ b/tests/entry/test_paces.py
@@ -1,4 +1,4 @@
-"""Engines are asked how fast they work; slow ones are avoided, here and elsewhere."""
+"""Engines are polled for their pace; all VMs avoid the slow ones."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 N_CALLS = 12
 
 
-async def write(arrival: Arrival, connection: Connection) -> None:
-    """Write a stream of one event."""
+async def stream(arrival: Arrival, connection: Connection) -> None:
+    """Stream one event."""
     await connection.begin_stream(arrival)
     await connection.send_chunk(event(1))
     await connection.end_stream()
 
 
 def find_slow(state: EntryState) -> set[str]:
-    """:returns: engines that a VM takes for slow"""
+    """:returns: engines that a VM considers slow"""
     upstreams = state.dispatch._scheduler.upstreams
     return set(upstreams.find_slow(state.clock.now_ms()))
 
 
-def test_slow_engine_gets_no_request_while_others_are_there() -> None:
-    """One engine of three works at a fifth of its speed, then as before."""
+def test_slow_engine_gets_no_request_while_others_are_available() -> None:
+    """One engine of three works at a fifth of its speed, then at full speed again."""
 
     async def test(site: Site) -> None:
         slow = site.engines[1]
@@ -50,7 +50,7 @@
         slow.pace = 1.0
         await site.wait(lambda: not find_slow(state))
 
-    run_site(test, engines=(write,) * 3)
+    run_site(test, engines=(stream,) * 3)
 
 
 @pytest.mark.parametrize(
@@ -66,18 +66,18 @@
     ],
     ids=["empty", "list", "word", "nothing", "no text", "deep", "long"],
 )
-def test_report_that_says_nothing_of_the_pace_changes_nothing(report: bytes) -> None:
+def test_report_without_a_valid_pace_is_ignored(report: bytes) -> None:
     async def test(site: Site) -> None:
         site.engines[0].report = report
         await site.wait(lambda: site.engines[0].n_reports >= 2)
         assert not find_slow(site.entry.session.state)
         assert (await site.call(PLAN_PATH)).status == 200
 
-    run_site(test, engines=(write,))
+    run_site(test, engines=(stream,))
 
 
-def test_engine_that_does_not_report_is_asked_again_and_used() -> None:
-    """An engine leaves the question open; the others are asked all the same."""
+def test_engine_that_does_not_report_is_polled_again_and_used() -> None:
+    """One engine does not respond to polls; the others are polled nevertheless."""
 
     async def test(site: Site) -> None:
         site.engines[0].is_silent_on_reports = True
@@ -90,14 +90,14 @@
         assert site.engines[0].calls
         assert not site.engines[1].calls
 
-    run_site(test, engines=(write,) * 3)
+    run_site(test, engines=(stream,) * 3)
 
 
-def test_one_vm_asks_and_all_know() -> None:
-    """Three VMs: the engine is asked once a second, not three times."""
+def test_one_vm_polls_for_all() -> None:
+    """Three VMs poll an engine once a second in total, not three times."""
 
     async def test(fleet: EntryFleet) -> None:
-        async with StandInReplica("slow", write) as engine:
+        async with StandInReplica("slow", stream) as engine:
             engine.pace = 4.0
             entry = build_entry(ENGINES, engine.address)
             fleet.store.put("servers/slow", entry)
--- a/tests/entry/test_settings.py
+++ b/tests/entry/test_settings.py
@@ -1,4 +1,4 @@
-"""Faults of an entry VM's settings, as an operator reads of them."""
+"""Validation of an entry VM's settings and the messages that operators see."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 """
 
 
-def test_addresses_without_a_port_are_found_with_their_place() -> None:
-    """A VM is started with half an address, and ends with a traceback.
+def test_addresses_without_a_port_are_reported_with_their_line() -> None:
+    """A VM exits with a traceback because an address in its settings has no port.
 
-    The check of its settings had found nothing; that an address has to have a port was
-    only known where the socket is opened.
+    The validation of the settings must find this; without it the error only shows when
+    the socket is opened.
     """
     with pytest.raises(FindingsError) as caught:
         load_text(WITHOUT_PORTS, EntrySettings, "entry.yaml")
@@ -62,7 +62,7 @@
 
 
 def test_each_address_is_checked_before_a_socket_is_opened() -> None:
-    """A VM starts with a seed or a port that cannot be, and ends with a traceback."""
+    """A VM exits with a traceback because of an invalid port or seed address."""
     with pytest.raises(FindingsError) as caught:
         load_text(IMPOSSIBLE_ADDRESSES, EntrySettings, "entry.yaml")
     assert [finding.render() for finding in caught.value.findings] == [
@@ -79,10 +79,10 @@
         pytest.param("\ufeff", id="byte order mark"),
     ],
 )
-def test_a_platform_that_states_little_is_served(text: str) -> None:
-    """A deployment without bounds leaves the sections of the template empty.
+def test_empty_sections_take_their_defaults(text: str) -> None:
+    """A VM refuses to start because sections of a template were left empty.
 
-    Its VMs would refuse to start: an empty section is no mapping.
+    An empty section is read as null, not as a mapping.
     """
     text = text + WITH_PORTS if text.startswith("\ufeff") else WITH_PORTS + text
     settings = load_text(text.replace("\n", "\r\n"), EntrySettings, "entry.yaml")
@@ -91,7 +91,7 @@
     assert settings.seeds == ()
 
 
-def test_a_section_with_required_keys_is_not_replaced_by_nothing() -> None:
+def test_empty_section_with_required_keys_is_refused() -> None:
     """An empty section hides that its required keys are missing."""
     text = WITH_PORTS.replace(
         '{callers: "10.1.0.40:8227", readiness: "10.1.0.40:8220"}', ""
@@ -105,11 +105,11 @@
 
 
 def test_fast_decoder_refuses_what_the_loader_refuses() -> None:
-    half = {"callers": "10.1.0.40:8227", "readiness": "10.1.0.40"}
+    invalid = {"callers": "10.1.0.40:8227", "readiness": "10.1.0.40"}
     with pytest.raises(msgspec.ValidationError, match="readiness"):
-        decode_fast(msgspec.json.encode(half), EntryListen)
-    whole = {**half, "readiness": "10.1.0.40:8220"}
-    decoded = decode_fast(msgspec.json.encode(whole), EntryListen)
+        decode_fast(msgspec.json.encode(invalid), EntryListen)
+    valid = {**invalid, "readiness": "10.1.0.40:8220"}
+    decoded = decode_fast(msgspec.json.encode(valid), EntryListen)
     assert decoded == EntryListen("10.1.0.40:8227", "10.1.0.40:8220")
 
 
@@ -121,7 +121,7 @@
 """
 
 
-def test_policies_can_be_named_to_compare_them(clock: ManualClock) -> None:
+def test_policies_can_be_selected_for_comparison(clock: ManualClock) -> None:
     assert load_text(WITH_PORTS, EntrySettings, "e.yaml").policies == ENTRY_POLICIES
     named = "policies: {queue: fair, placement: first_token, admission: bounds}\n"
     settings = load_text(WITH_PORTS + named, EntrySettings, "e.yaml")
@@ -132,7 +132,7 @@
     assert not isinstance(scheduler.admission, PredictedWait)
 
 
-def test_policy_that_does_not_exist_is_told_with_the_choices(
+def test_unknown_policy_is_reported_with_the_choices(
     clock: ManualClock,
 ) -> None:
     named = ENTRY_POLICIES._replace(head_of_line="short_lane")
--- a/tests/entry/test_settings_watch.py
+++ b/tests/entry/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""A settings file that changes while the program runs."""
+"""Reloading of a settings file that changes while the program runs."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def watch(path: Path, change: str, *, has_signal: bool) -> list[EntrySettings]:
-    """:returns: what was applied after the file was changed"""
+    """:returns: the settings applied after the file was changed"""
     path.write_text(TEXT)
     applied: list[EntrySettings] = []
     settings = load_file(path, EntrySettings)
@@ -48,14 +48,14 @@
     return applied
 
 
-def test_signal_makes_it_read_at_once(tmp_path: Path) -> None:
-    """A VM ends when its operators change a bound: nobody handles the signal."""
+def test_signal_reloads_at_once(tmp_path: Path) -> None:
+    """SIGHUP terminates a VM, because nothing handles the signal."""
     changed = TEXT.replace("2000", "3000")
     applied = watch(tmp_path / "s.yaml", changed, has_signal=True)
     assert [settings.bounds.leaving_ms for settings in applied] == [3_000]
 
 
-def test_change_without_a_signal_is_noticed(
+def test_change_without_a_signal_is_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(settings_watch, "POLL_INTERVAL_MS", 50.0)
@@ -64,7 +64,9 @@
 
 
 @pytest.mark.parametrize("faulty", ["vm: [", "", TEXT.replace("2000", "soon")])
-def test_faulty_settings_leave_the_last_good_ones(tmp_path: Path, faulty: str) -> None:
+def test_invalid_settings_leave_the_last_valid_ones(
+    tmp_path: Path, faulty: str
+) -> None:
     assert not watch(tmp_path / "s.yaml", faulty, has_signal=True)
 
 
--- a/tests/entry/test_sharing.py
+++ b/tests/entry/test_sharing.py
@@ -1,4 +1,4 @@
-"""VMs that learn from each other what the source says."""
+"""VMs that share the fleet state read from the platform's store."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     from tests.support.platform.fleet import EntryFleet, EntryVm
 
 BOUND_MS = 2_000.0
-"""Time in which a change is in force, as the settings promise."""
+"""Time within which a change has to be in force, by the default settings."""
 
 
 async def publish(fleet: EntryFleet, version: int, **changes: object) -> None:
@@ -42,8 +42,8 @@
     return {name: r.is_leaving for name, r in vm.state.belief.replicas.items()}
 
 
-def test_one_vm_asks_the_source_for_all() -> None:
-    """Without changes a watch costs a call in a third of a second for each VM."""
+def test_one_vm_watches_the_store_for_all() -> None:
+    """Each VM watches the store itself: a call every 0.33 s without changes."""
 
     async def test(fleet: EntryFleet) -> None:
         n_before = fleet.store.n_calls
@@ -58,14 +58,14 @@
             timeout_ms=BOUND_MS,
         )
         assert len(fleet.list_watchers()) == 1
-        # Each of six changes and each wait of one VM, where five VMs watched before.
+        # One call for each of the six changes and for each wait of a single watcher.
         assert fleet.store.n_calls - n_before <= 12
 
     run_fleet(test, n_vms=5)
 
 
 def test_change_is_in_force_in_time_though_the_watcher_died() -> None:
-    """The VM that asks for all of a zone is killed; the operator takes a key away."""
+    """The VM that watches the store for a zone is killed, then a key is revoked."""
 
     async def test(fleet: EntryFleet) -> None:
         await fleet.stop(fleet.list_watchers()[0])
@@ -80,7 +80,7 @@
 
 
 def test_change_is_in_force_in_time_though_the_watcher_is_silent() -> None:
-    """The VM that asks for all of a zone stands still: connections open, no answer."""
+    """The VM that watches the store for a zone hangs with its connections open."""
 
     async def test(fleet: EntryFleet) -> None:
         watcher = fleet.vms[fleet.list_watchers()[0]]
@@ -91,11 +91,11 @@
     run_fleet(test)
 
 
-def test_change_is_in_force_in_time_though_the_watcher_lost_the_source() -> None:
-    """The VM that asks for all of a zone is cut off from the source, and answers on.
+def test_change_is_in_force_in_time_though_the_watcher_lost_the_store() -> None:
+    """The VM that watches the store for a zone loses the store but answers its peers.
 
-    What it tells grows old. Its neighbours notice by the age and ask the source, and it
-    learns from them: it goes on serving customers with keys.
+    Its peers notice the age of its updates and query the store themselves. The watcher
+    gets the updates from them and goes on serving customers with keys.
     """
 
     async def test(fleet: EntryFleet) -> None:
@@ -111,10 +111,10 @@
     run_fleet(test)
 
 
-def test_vm_that_starts_while_the_source_is_away_learns_from_another() -> None:
-    """VMs are restarted while the source is down: each refuses everybody.
+def test_vm_that_starts_while_the_store_is_down_learns_from_a_peer() -> None:
+    """A VM that is restarted while the store is down refuses all requests.
 
-    The configuration is known to their neighbours, and so are the replicas.
+    Its peers know the configuration and the replicas.
     """
 
     async def test(fleet: EntryFleet) -> None:
@@ -129,12 +129,11 @@
     run_fleet(test)
 
 
-def test_what_is_told_is_as_old_as_the_tellers_belief() -> None:
-    """A key that was taken away opens for ever.
+def test_shared_state_keeps_its_age() -> None:
+    """Revoked keys are accepted for as long as the store is down.
 
-    The source is down and VMs tell each other what they know. If a word were as fresh
-    as the moment at which it is told, they would confirm keys to each other until the
-    source is back.
+    If the state received from a peer counted as fresh on arrival, VMs would confirm
+    their key lists to each other until the store is back.
     """
 
     async def test(fleet: EntryFleet) -> None:
@@ -152,7 +151,7 @@
 @pytest.mark.parametrize(
     "query", ["", "?after=x&version=1&wait_ms=1", "?after=1&version=1"]
 )
-def test_faulty_question_is_refused_with_its_place(query: str) -> None:
+def test_invalid_query_is_refused_with_its_path(query: str) -> None:
     async def test(fleet: EntryFleet) -> None:
         vm = next(iter(fleet.vms.values()))
         async with (
@@ -175,5 +174,5 @@
 
 
 async def never(*arguments: object) -> None:
-    """Answer nothing."""
+    """Wait for an hour, as a call that gets no response."""
     await asyncio.sleep(3_600)
--- a/tests/entry/test_shutdown.py
+++ b/tests/entry/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned stop: who is still served, and when the rest is cut off."""
+"""Graceful shutdown: which requests complete, and when the rest is aborted."""
 
 from __future__ import annotations
 
@@ -17,11 +17,13 @@
 
 
 @pytest.mark.parametrize("grace_s", [3.0, 8.0, 30.0])
-def test_nothing_is_cut_off_before_the_last_sixth_of_the_grace(grace_s: float) -> None:
-    """A coach loses a plan that was written for three seconds.
+def test_nothing_is_aborted_before_the_last_sixth_of_the_grace_period(
+    grace_s: float,
+) -> None:
+    """A request is aborted although it would complete within the grace period.
 
-    It was sent while the balancer had not noticed the stop, and was cut off at three
-    quarters of the grace, with time left in which it would have ended.
+    It arrived before the load balancer noticed the shutdown, ran for three seconds and
+    was aborted after three quarters of the grace period.
     """
     shutdown = build_shutdown(EntryBounds(grace_s=grace_s))
     cut_off_ms = shutdown.balancer_lag_ms + shutdown.max_drain_ms
@@ -29,7 +31,7 @@
     assert cut_off_ms + shutdown.farewell_ms <= grace_s * 1_000 * 0.95
 
 
-def test_stream_that_ends_within_the_grace_is_whole() -> None:
+def test_stream_that_ends_within_the_grace_period_is_whole() -> None:
     async def behave(arrival: Arrival, connection: Connection) -> None:
         await connection.begin_stream(arrival)
         await connection.send_chunk(b"id: 1\ndata: a\n\n")
--- a/tests/entry/test_silence_watch.py
+++ b/tests/entry/test_silence_watch.py
@@ -1,4 +1,4 @@
-"""Waits for an upstream that is silent for longer than usual."""
+"""Waiting for an upstream that is silent for longer than its bound."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class SlowJudge:
-    """A scheduler that leaves every attempt, and is asked for a while."""
+    """A scheduler that abandons every attempt, after a delay set by the test."""
 
     def __init__(self) -> None:
         self.asked = asyncio.Event()
         self.answers = asyncio.Event()
 
     async def judge_silence(self, attempt_id: str, silent_ms: float) -> SilenceVerdict:
-        """Answer when the test says so."""
+        """Abandon the attempt once the test sets ``answers``."""
         self.asked.set()
         await self.answers.wait()
         return SilenceVerdict.LEFT
@@ -36,24 +36,24 @@
     return SilenceWatch(cast("Ticket", judge), Clock(), "a1", "call1", bound_ms)
 
 
-def test_answer_that_comes_while_the_scheduler_is_asked_is_taken() -> None:
-    """A plan comes in the moment in which its attempt is given up.
+def test_response_that_arrives_during_the_decision_is_used() -> None:
+    """A response that arrives while the scheduler decides to abandon it is dropped.
 
-    Were it dropped, its caller would wait for a second one, and the first upstream
-    would go on writing for nobody.
+    The caller would wait for another attempt while the first upstream goes on working
+    for nobody.
     """
 
     async def run() -> None:
         judge = SlowJudge()
-        answer = asyncio.Event()
+        has_response = asyncio.Event()
 
         async def send() -> str:
-            await answer.wait()
+            await has_response.wait()
             return "answer"
 
         waiting = asyncio.create_task(make_watch(judge).wait(send))
         await judge.asked.wait()
-        answer.set()
+        has_response.set()
         await asyncio.sleep(0)
         judge.answers.set()
         assert await waiting == "answer"
@@ -61,7 +61,7 @@
     uvloop.run(run())
 
 
-def test_attempt_that_is_left_is_cancelled() -> None:
+def test_abandoned_attempt_is_cancelled() -> None:
     async def run() -> None:
         judge = SlowJudge()
         judge.answers.set()
@@ -82,7 +82,7 @@
     uvloop.run(run())
 
 
-def test_wait_without_a_bound_asks_nobody() -> None:
+def test_wait_without_a_bound_does_not_consult_the_scheduler() -> None:
     async def run() -> None:
         judge = SlowJudge()
 
--- a/tests/entry/test_starting.py
+++ b/tests/entry/test_starting.py
@@ -1,8 +1,8 @@
-"""Requests that come to a VM that has just started.
+"""Requests that arrive at a VM that has just started.
 
-All VMs lose power and start again under load. A member is refused by one VM that knows
-no configuration yet, comes back at once to the next one, is refused there as well, and
-gives up: two tenths of a second later both of them serve.
+If all VMs restart under load, a caller that is refused by a VM without a configuration
+retries at once, is refused by the next VM as well and gives up, although both would
+serve 0.2 s later. So such requests wait for the first configuration.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 DEADLINE_MS = 1_500
 
 
-def test_wait_is_a_part_of_the_deadline() -> None:
+def test_startup_wait_is_a_share_of_the_deadline() -> None:
     assert start_wait_ms(900.0) == 300.0
     assert start_wait_ms(60_000.0) == MAX_START_WAIT_MS
     assert start_wait_ms(None) == MAX_START_WAIT_MS
@@ -41,8 +41,8 @@
     run_site(test, publishes=False)
 
 
-def test_request_that_waited_in_vain_is_told_when_to_come_back() -> None:
-    """The store is away as well: the caller hears so while it has time to come back."""
+def test_request_that_waited_in_vain_is_refused_before_its_deadline() -> None:
+    """No configuration is loaded; the caller must be told while it can still retry."""
 
     async def test(site: Site) -> None:
         began_s = time.monotonic()
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: each event once, in order, over all attempts; never a false end."""
+"""Streams: each event once and in order over all attempts, never a false end."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def stream(arrival: Arrival, connection: Connection) -> None:
-    """Give the events after the one that the request names, and end."""
+    """Send the events after the one that the request names, and end the stream."""
     first = int(arrival.headers.get("last-event-id", "0")) + 1
     await connection.begin_stream(arrival)
     for number in range(first, N_EVENTS + 1):
@@ -29,21 +29,21 @@
 
 
 async def break_in_event(arrival: Arrival, connection: Connection) -> None:
-    """Give two events and half of the third, and die."""
+    """Send two events and half of the third, then reset the connection."""
     await connection.begin_stream(arrival)
     await connection.send_chunk(event(1) + event(2) + event(3)[:7])
     await asyncio.sleep(0.05)
     connection.reset()
 
 
-async def give_one_and_wait(arrival: Arrival, connection: Connection) -> None:
-    """Give one event and then nothing."""
+async def send_one_and_hang(arrival: Arrival, connection: Connection) -> None:
+    """Send one event and then nothing."""
     await connection.begin_stream(arrival)
     await connection.send_chunk(event(1))
     await asyncio.sleep(60)
 
 
-def test_whole_stream_is_passed_on() -> None:
+def test_whole_stream_is_forwarded() -> None:
     async def test(site: Site) -> None:
         answer = await site.call(PLAN_PATH)
         assert (answer.status, answer.body) == (200, WHOLE)
@@ -52,11 +52,11 @@
     run_site(test, engines=(stream,))
 
 
-def test_stream_that_breaks_goes_on_at_another_replica() -> None:
-    """A coach reads half a sentence twice.
+def test_broken_stream_is_resumed_on_another_replica() -> None:
+    """A caller receives the first half of an event twice.
 
-    The replica dies in the middle of an event. Its beginning must not reach the
-    caller, for the next replica gives the event again, from its begin.
+    A replica crashes in the middle of an event. The incomplete event must not be
+    forwarded, as the next replica sends it again from its beginning.
     """
 
     async def test(site: Site) -> None:
@@ -71,7 +71,7 @@
         run_site(test, engines=(break_in_event, stream))
 
 
-def test_stream_that_cannot_go_on_does_not_look_whole() -> None:
+def test_stream_that_cannot_be_resumed_does_not_look_whole() -> None:
     async def test(site: Site) -> None:
         answer = await site.call(PLAN_PATH)
         assert not answer.is_whole
@@ -94,7 +94,7 @@
     run_site(test, engines=(end_early,) * 2)
 
 
-def test_events_that_come_again_are_not_passed_on_twice() -> None:
+def test_repeated_events_are_not_forwarded_twice() -> None:
     async def from_the_start(arrival: Arrival, connection: Connection) -> None:
         arrival.headers.pop("last-event-id", None)
         await stream(arrival, connection)
@@ -106,11 +106,11 @@
     run_site(test, engines=(break_in_event, from_the_start))
 
 
-def test_silent_replica_is_given_up_for_another() -> None:
-    """A coach waits in silence though thirteen replicas are idle.
+def test_silent_replica_is_abandoned_for_another() -> None:
+    """A caller waits for a silent replica although others are idle.
 
-    The replica takes the request and never answers: it hangs, or the connection was
-    forgotten on its way. Nothing but a timeout shows it.
+    The replica accepts the request and never responds, because it hangs or a device on
+    the path dropped the connection. Only a timeout detects this.
     """
 
     async def hang(arrival: Arrival, connection: Connection) -> None:
@@ -126,11 +126,11 @@
     run_site(test, engines=(hang, stream))
 
 
-def test_stream_that_a_stop_cuts_off_is_not_followed_by_a_refusal() -> None:
-    """A caller reads a refusal in the middle of its stream.
+def test_stream_aborted_at_shutdown_is_not_followed_by_an_error_body() -> None:
+    """An error body is written into a stream that has started.
 
-    The VM is stopped while a long stream runs. At the end of the grace the stream is
-    cut off; the answer that says so was written into the response that had begun.
+    The VM is stopped while a long stream runs, and aborts the stream at the end of the
+    grace period. The caller must see an incomplete stream, not an error within it.
     """
     bounds = EntryBounds(grace_s=1.2)
 
@@ -143,11 +143,11 @@
         assert not answer.is_whole
         assert answer.body == event(1)
 
-    run_site(test, engines=(give_one_and_wait,), bounds=bounds)
+    run_site(test, engines=(send_one_and_hang,), bounds=bounds)
 
 
-def test_call_whose_caller_left_ends_at_the_replica() -> None:
-    """A replica goes on writing for a caller that has gone."""
+def test_call_ends_at_the_replica_when_its_caller_disconnects() -> None:
+    """A replica goes on generating for a caller that has disconnected."""
 
     async def test(site: Site) -> None:
         call = asyncio.create_task(site.call(PLAN_PATH))
@@ -158,10 +158,10 @@
         await site.wait(lambda: not len(state.in_flight), timeout_ms=500)
         await site.wait(lambda: not state.dispatch.n_running, timeout_ms=500)
 
-    run_site(test, engines=(give_one_and_wait,))
+    run_site(test, engines=(send_one_and_hang,))
 
 
-def test_stream_ends_at_the_bound_of_its_route() -> None:
+def test_stream_ends_at_its_deadline() -> None:
     async def test(site: Site) -> None:
         loop = asyncio.get_running_loop()
         begun = loop.time()
@@ -169,15 +169,14 @@
         assert not answer.is_whole
         assert loop.time() - begun < 0.9
 
-    run_site(test, engines=(give_one_and_wait,))
+    run_site(test, engines=(send_one_and_hang,))
 
 
-def test_helper_that_is_gone_is_not_named_again() -> None:
+def test_unreachable_helper_is_not_chosen_again() -> None:
     """Long prompts are refused while one of fourteen replicas is dead.
 
-    The replica that is asked names the helper that it could not reach. If that counts
-    as a busy replica, the next attempt names the dead helper again, until the budget of
-    repeated sends is spent.
+    The replica names the helper that it could not reach. If this counted as a busy
+    replica, further attempts would use the dead helper until the retry budget is spent.
     """
 
     async def behave(arrival: Arrival, connection: Connection) -> None:
@@ -201,21 +200,21 @@
     run_site(test, engines=(behave,) * 4)
 
 
-def test_busy_engine_is_waited_for_as_long_as_its_backlog_takes() -> None:
-    """A burst of long prompts is read twice, and everybody waits for twice as long.
+def test_busy_engine_is_not_abandoned_while_its_backlog_explains_the_silence() -> None:
+    """A burst of long prompts is prefilled twice, which doubles all waiting times.
 
-    All engines are busy for longer than a first token usually takes. Requests are given
-    up there as if the engines were silent, and sent to others that are as busy.
+    All engines are busy for longer than a first token usually takes. Attempts are
+    abandoned as if the engines hung, and retried on others that are as busy.
     """
 
-    async def answer_late(arrival: Arrival, connection: Connection) -> None:
-        # After the first look at a silence, before half of the caller's patience.
+    async def respond_late(arrival: Arrival, connection: Connection) -> None:
+        # After the first silence check, before half of the caller's idle timeout.
         await asyncio.sleep(0.8)
         await stream(arrival, connection)
 
     async def test(site: Site) -> None:
         engines = site.entry.session.state.dispatch._scheduler.upstreams
-        # A VM is ready when its configuration is queued for the scheduler.
+        # A VM counts as ready once the configuration is queued for the scheduler.
         await site.wait(lambda: len(engines) == len(site.engines) + len(site.desks))
         now_ms = site.entry.session.state.clock.now_ms()
         for state in engines:
@@ -224,17 +223,17 @@
         assert answer.body == WHOLE
         assert sum(len(engine.calls) for engine in site.engines) == 1
 
-    run_site(test, engines=(answer_late,) * 3)
+    run_site(test, engines=(respond_late,) * 3)
 
 
-def test_late_answer_is_passed_on_where_no_other_engine_may_be_asked() -> None:
-    """A coach gets an error in place of a plan that was late.
+def test_late_response_is_forwarded_if_no_other_engine_is_available() -> None:
+    """A caller gets an error in place of a late response.
 
-    The only engine is slow. The request was cut off there as if the engine hung,
-    though it could be sent nowhere else.
+    The only engine is slow. The attempt is abandoned as if the engine hung, although
+    the request cannot be sent anywhere else.
     """
 
-    async def answer_late(arrival: Arrival, connection: Connection) -> None:
+    async def respond_late(arrival: Arrival, connection: Connection) -> None:
         await asyncio.sleep(1.0)
         await stream(arrival, connection)
 
@@ -243,4 +242,4 @@
         assert (answer.status, answer.body) == (200, WHOLE)
         assert len(site.engines[0].calls) == 1
 
-    run_site(test, engines=(answer_late,))
+    run_site(test, engines=(respond_late,))
--- a/tests/entry/test_upstream_protocol.py
+++ b/tests/entry/test_upstream_protocol.py
@@ -1,4 +1,4 @@
-"""When a kept connection is used again."""
+"""Reuse of idle connections to upstreams."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 @pytest.mark.parametrize(("keep_alive", "is_kept"), [("timeout=1", False), ("", True)])
-def test_connection_is_not_used_near_the_end_of_its_stated_time(
+def test_connection_is_not_reused_near_the_end_of_its_keep_alive_time(
     keep_alive: str, *, is_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A booking may or may not have run, and nobody can tell.
+    """It cannot be determined whether a booking has run.
 
-    The request crosses the replica's close of a connection that was idle for as long
-    as the replica keeps it.
+    The request is sent just as the replica closes the connection, which was idle for as
+    long as the replica keeps connections.
     """
     monkeypatch.setattr(upstream_protocol, "DEFAULT_KEEP_ALIVE_MS", 5_000.0)
 
