--- a/src/quetzaldeck/entry/attempt.py
+++ b/src/quetzaldeck/entry/attempt.py
@@ -65,7 +65,7 @@
         return self._build_watch(dispatch, first_byte_bound_ms(target_ms))
 
     def watch_gaps(self, dispatch: Dispatch) -> SilenceWatch:
-        """:returns: the watch on the gaps in a stream that has begun"""
+        """:returns: the watch on the gaps within a stream"""
         return self._build_watch(
             dispatch, gap_bound_ms(self._call.admitted.route.max_gap_ms)
         )
--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -20,8 +20,8 @@
 bounds."""
 
 EXPIRY_POLL_MS = 50.0
-"""Interval between expiry checks while replicas have lost their entry. It is less than
-the margin kept of the bound on work for leaving replicas."""
+"""Interval between expiry checks while the entries of some replicas are missing. It is
+within the margin of the bound after which a leaving replica gets no work."""
 
 
 class BeliefTask:
@@ -36,7 +36,7 @@
         self._needs_full_read = True
         self._n_errors = 0
         self._has_lapsed_replicas = asyncio.Event()
-        self._questions = state.metrics.peers.questions
+        self._query_counter = state.metrics.peers.questions
 
     async def run(self) -> None:
         """Query until cancelled."""
@@ -47,8 +47,8 @@
     async def run_expiry(self) -> None:
         """Remove replicas whose entry does not reappear in time, until cancelled.
 
-        This does not wait for the queries: the source holds each for over a second, for
-        which a replica that has left would go on receiving work.
+        The checks run beside the queries: the source holds a query for over a second,
+        during which a replica that has left would go on receiving work.
         """
         while True:
             await self._has_lapsed_replicas.wait()
@@ -66,13 +66,15 @@
 
     async def _query_source(self) -> float:
         clock = self._state.clock
-        asked_ms = clock.uptime_ms()
+        queried_ms = clock.uptime_ms()
         try:
-            hold_ms = self._sources.bounds.hold_ms(self._state.belief.age_ms(asked_ms))
+            hold_ms = self._sources.bounds.hold_ms(
+                self._state.belief.age_ms(queried_ms)
+            )
             reading = await self._read(self._sources.source, hold_ms)
         except HistoryGoneError as error:
             log_event("source_history_gone", level="WARNING", error=error)
-            self._questions.labels("source", "history_gone").inc()
+            self._query_counter.labels("source", "history_gone").inc()
             self._needs_full_read = True
             self._sources.choice.note_history_gone()
             self._state.belief.note_trouble(clock.uptime_ms())
@@ -81,14 +83,14 @@
             return self._handle_source_error(error)
         self._log_source_recovery(peer="")
         self._sources.choice.note_source_answer()
-        self._questions.labels("source", "answered").inc()
-        self._apply_reading(reading, asked_ms)
+        self._query_counter.labels("source", "answered").inc()
+        self._apply_reading(reading, queried_ms)
         return self._sources.bounds.batch_ms if reading.changes else 0.0
 
     async def _query_peer(self, address: str) -> float:
         """Query another VM; after any fault the next query goes to the source."""
         clock = self._state.clock
-        asked_ms = clock.uptime_ms()
+        queried_ms = clock.uptime_ms()
         choice = self._sources.choice
         try:
             source = self._sources.open_peer(address)
@@ -96,10 +98,10 @@
         except SourceError as error:
             log_event("teller_failed", level="WARNING", peer=address, error=error)
             choice.note_peer_error(address, clock.uptime_ms())
-            self._questions.labels("vm", "failed").inc()
+            self._query_counter.labels("vm", "failed").inc()
             return 0.0
-        self._questions.labels("vm", "answered").inc()
-        self._apply_reading(reading, asked_ms)
+        self._query_counter.labels("vm", "answered").inc()
+        self._apply_reading(reading, queried_ms)
         now_ms = clock.uptime_ms()
         age_ms = self._state.belief.age_ms(now_ms)
         if choice.note_told(address, age_ms, now_ms):
@@ -114,10 +116,10 @@
         revision = self._state.belief.revision
         return await source.wait_for_changes(revision, round(wait_ms))
 
-    def _apply_reading(self, reading: Reading, asked_ms: float) -> None:
+    def _apply_reading(self, reading: Reading, queried_ms: float) -> None:
         belief = self._state.belief
         now_ms = self._state.clock.uptime_ms()
-        notes = belief.take(reading, asked_ms=asked_ms, now_ms=now_ms)
+        notes = belief.take(reading, asked_ms=queried_ms, now_ms=now_ms)
         self._needs_full_read = False
         self._apply_notes(notes)
         self._sources.feed.note(reading)
@@ -147,7 +149,7 @@
         now_ms = self._state.clock.uptime_ms()
         self._state.belief.note_trouble(now_ms)
         self._sources.choice.note_source_error(now_ms)
-        self._questions.labels("source", "failed").inc()
+        self._query_counter.labels("source", "failed").inc()
         if not self._n_errors:
             age_ms = self._state.belief.age_ms(now_ms)
             log_event("source_lost", level="WARNING", error=error, age_ms=age_ms)
--- a/src/quetzaldeck/entry/pace_task.py
+++ b/src/quetzaldeck/entry/pace_task.py
@@ -64,13 +64,13 @@
         engines = self._list_engines()
         self._unanswered &= engines.keys()
         zones = {name: engine.availability_zone for name, engine in engines.items()}
-        asked = self._watch.choose_asked(zones, self._list_vms())
-        answers = await asyncio.gather(
-            *(self._read_pace(engines[name]) for name in asked)
+        polled = self._watch.choose_asked(zones, self._list_vms())
+        reported = await asyncio.gather(
+            *(self._read_pace(engines[name]) for name in polled)
         )
         paces = tuple(
             (name, pace)
-            for name, pace in zip(asked, answers, strict=True)
+            for name, pace in zip(polled, reported, strict=True)
             if pace is not None
         )
         if paces:
@@ -82,16 +82,16 @@
     async def _read_pace(self, engine: Replica) -> float | None:
         """:returns: the pace; ``None`` if the engine did not report it"""
         name = engine.replica_id
-        questions = self._state.metrics.upstreams.pace_questions
+        poll_counter = self._state.metrics.upstreams.pace_questions
         try:
             pace = await self._reports.read_pace(engine)
         except UpstreamError as error:
-            questions.labels("failed").inc()
+            poll_counter.labels("failed").inc()
             if name not in self._unanswered:
                 self._unanswered.add(name)
                 log_event("pace_unknown", upstream=name, error=error)
             return None
-        questions.labels("answered").inc()
+        poll_counter.labels("answered").inc()
         self._unanswered.discard(name)
         return pace
 
--- a/src/quetzaldeck/entry/service.py
+++ b/src/quetzaldeck/entry/service.py
@@ -16,9 +16,9 @@
 
 
 SHUTDOWN_TIMEOUT_S = 0.1
-"""Wait for open connections at shutdown. Since the stop began each response has asked
-its caller to close the connection; waiting for callers that do not would exceed the
-grace period."""
+"""Wait for open connections at shutdown. Since the shutdown began each response has
+asked its caller to close the connection; waiting for callers that do not would exceed
+the grace period."""
 
 
 class EntryService(HttpServiceBase):
--- a/src/quetzaldeck/entry/silence_watch.py
+++ b/src/quetzaldeck/entry/silence_watch.py
@@ -52,14 +52,14 @@
         if self._bound_ms is None:
             return await start()
         task = asyncio.create_task(start())
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         wait_ms = self._bound_ms
         try:
             while True:
                 await asyncio.wait((task,), timeout=wait_ms / MS_PER_SECOND)
                 if task.done():
                     return task.result()
-                silent_ms = self._clock.now_ms() - began_ms
+                silent_ms = self._clock.now_ms() - started_ms
                 verdict = await self._ticket.judge_silence(self._attempt_id, silent_ms)
                 is_abandoned = verdict is SilenceVerdict.LEFT
                 if task.done():
