--- a/src/quetzaldeck/bench/bench_vm.py
+++ b/src/quetzaldeck/bench/bench_vm.py
@@ -22,7 +22,7 @@
     from quetzaldeck.bench.submission import CallState
     from quetzaldeck.decisions import LoadReport, Scheduler
     from quetzaldeck.decisions.groups import GroupBounds
-    from quetzaldeck.decisions.peer_load import UpstreamShare
+    from quetzaldeck.decisions.peer_load import VmLoad
 
     EndHandler = Callable[[CallState, Outcome, Failure | None], None]
 
@@ -88,10 +88,10 @@
             self._events.after(call.patience_ms, lambda: self._hang_up(submission))
         self.poll()
 
-    def list_shares(self) -> list[tuple[str, UpstreamShare]]:
+    def list_shares(self) -> list[tuple[str, VmLoad]]:
         """:returns: what of this VM is at each upstream"""
         now_ms = self._events.now_ms
-        return [(u.spec.name, u.own_share(now_ms)) for u in self.scheduler.upstreams]
+        return [(u.spec.name, u.own_load(now_ms)) for u in self.scheduler.upstreams]
 
     def observe_load(self, report: LoadReport) -> None:
         """Let the load that an answer tells travel to the VM."""
--- a/src/quetzaldeck/bench/call.py
+++ b/src/quetzaldeck/bench/call.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from quetzaldeck.decisions.patience import patience_ms
+from quetzaldeck.decisions.caller_idle_timeout import infer_idle_timeout_ms
 from quetzaldeck.decisions.prefix import PREFIX_TOKENS
 
 
@@ -62,7 +62,11 @@
     @property
     def patience_ms(self) -> float:
         """:returns: silence after which the caller hangs up; 0: it does not"""
-        return patience_ms(self.target_ms, self.max_gap_ms) if self.max_gap_ms else 0.0
+        return (
+            infer_idle_timeout_ms(self.target_ms, self.max_gap_ms)
+            if self.max_gap_ms
+            else 0.0
+        )
 
     def hash_prefixes(self) -> tuple[int, ...]:
         """:returns: one hash for each prefix length that the prompt has"""
--- a/src/quetzaldeck/bench/load_sharing.py
+++ b/src/quetzaldeck/bench/load_sharing.py
@@ -12,7 +12,7 @@
 
     from quetzaldeck.bench.bench_vm import BenchVm
     from quetzaldeck.bench.event_queue import EventQueue
-    from quetzaldeck.decisions.peer_load import UpstreamShare
+    from quetzaldeck.decisions.peer_load import VmLoad
 
 TELL_INTERVAL_MS = 20.0
 """Time between two looks at what has changed, as in an entry VM."""
@@ -45,9 +45,7 @@
                     self._events.after(self._latency_ms, deliver)
         self._events.after(TELL_INTERVAL_MS, self.begin)
 
-    def _deliver(
-        self, teller: BenchVm, shares: list[tuple[str, UpstreamShare]]
-    ) -> None:
+    def _deliver(self, teller: BenchVm, shares: list[tuple[str, VmLoad]]) -> None:
         for vm in self._vms:
             if vm is not teller and not vm.is_down:
                 vm.scheduler.fleet.observe_peer(teller.name, shares)
--- a/src/quetzaldeck/bench/submission.py
+++ b/src/quetzaldeck/bench/submission.py
@@ -73,7 +73,7 @@
         is_repeatable=call.is_repeatable,
         target_ms=call.target_ms,
         max_gap_ms=call.max_gap_ms,
-        patience_ms=call.patience_ms,
+        caller_idle_timeout_ms=call.patience_ms,
     )
 
 
--- a/src/quetzaldeck/decisions/admission/predicted_wait.py
+++ b/src/quetzaldeck/decisions/admission/predicted_wait.py
@@ -246,8 +246,8 @@
         engines read for longer than that is served as well as it can be.
         """
         fastest_ms = self._times_of(request).fastest_ms(request)
-        is_possible = request.arrived_ms + fastest_ms < request.hang_up_ms
-        return request.hang_up_ms if is_possible else math.inf
+        is_possible = request.arrived_ms + fastest_ms < request.next_token_deadline_ms
+        return request.next_token_deadline_ms if is_possible else math.inf
 
     def _correction(self, request: Request) -> Correction:
         kind = _WaitKind(line_of(request), request.length_class)
--- a/src/quetzaldeck/decisions/admission/starting.py
+++ b/src/quetzaldeck/decisions/admission/startup_wait.py
@@ -14,26 +14,31 @@
 
 from __future__ import annotations
 
-MAX_START_WAIT_MS = 1_000.0
+MAX_STARTUP_WAIT_MS = 1_000.0
 """Half of 58 VMs that start at once, with half a core and 2,000 routes, know their
 configuration 480 ms after they listen, the last one after 940 ms."""
 
-START_WAIT_SHARE = 1.0 / 3.0
+STARTUP_WAIT_SHARE = 1.0 / 3.0
 """Part of its deadline that a request waits; the rest is for running it, or for coming
 back to another VM."""
 
-START_RETRY_MS = 500.0
+STARTUP_RETRY_AFTER_MS = 500.0
 """When to come back to a fleet that starts: half of its VMs serve by then."""
 
 
-def start_wait_ms(deadline_ms: float | None) -> float:
+def startup_wait_ms(deadline_ms: float | None) -> float:
     """:returns: how long a request waits for the first configuration
 
     :param deadline_ms: how long its caller waits; ``None``: it does not say
     """
     if deadline_ms is None:
-        return MAX_START_WAIT_MS
-    return min(MAX_START_WAIT_MS, START_WAIT_SHARE * deadline_ms)
+        return MAX_STARTUP_WAIT_MS
+    return min(MAX_STARTUP_WAIT_MS, STARTUP_WAIT_SHARE * deadline_ms)
 
 
-__all__ = ("MAX_START_WAIT_MS", "START_RETRY_MS", "START_WAIT_SHARE", "start_wait_ms")
+__all__ = (
+    "MAX_STARTUP_WAIT_MS",
+    "STARTUP_RETRY_AFTER_MS",
+    "STARTUP_WAIT_SHARE",
+    "startup_wait_ms",
+)
--- a/src/quetzaldeck/decisions/attempt_starter.py
+++ b/src/quetzaldeck/decisions/attempt_starter.py
@@ -51,7 +51,7 @@
         plan = self._placer.reserve(request, attempt_id, now_ms)
         helpers = self._placer.list_helpers(attempt_id)
         rank = self._head_of_line.rank(request, upstreams[-1])
-        backlog_ms = self._table.longest_unread_ms((*upstreams, *helpers), now_ms)
+        backlog_ms = self._table.max_prefill_backlog_ms((*upstreams, *helpers), now_ms)
         self._tracked.update(
             tracked._replace(
                 history=tracked.history._replace(n_dispatched=n_attempt),
--- a/src/quetzaldeck/decisions/patience.py
+++ b/src/quetzaldeck/decisions/caller_idle_timeout.py
@@ -13,13 +13,13 @@
 
 from __future__ import annotations
 
-MIN_PATIENCE_MS = 2_000.0
+MIN_IDLE_TIMEOUT_MS = 2_000.0
 """No caller hangs up sooner, however short the time in which it wants to hear."""
 
-PATIENCE_TARGETS = 4.0
+TIMEOUT_PER_TARGET = 4.0
 """A caller bears this many times the time in which it wants the first token."""
 
-PATIENCE_GAPS = 8.0
+TIMEOUT_PER_GAP = 8.0
 """A caller bears this many times the pause that it accepts between two tokens."""
 
 LINK_MARGIN_MS = 50.0
@@ -27,21 +27,23 @@
 to a caller, and the time for which a busy VM is late."""
 
 
-def patience_ms(target_ms: float, max_gap_ms: float) -> float:
+def infer_idle_timeout_ms(target_ms: float, max_gap_ms: float) -> float:
     """:returns: how long a caller listens to a stream that is silent
 
     :param target_ms: time to the first token that it wants; 0: none is stated
     :param max_gap_ms: pause between two tokens that it accepts; 0: none is stated
     """
     return max(
-        MIN_PATIENCE_MS, PATIENCE_TARGETS * target_ms, PATIENCE_GAPS * max_gap_ms
+        MIN_IDLE_TIMEOUT_MS,
+        TIMEOUT_PER_TARGET * target_ms,
+        TIMEOUT_PER_GAP * max_gap_ms,
     )
 
 
 __all__ = (
     "LINK_MARGIN_MS",
-    "MIN_PATIENCE_MS",
-    "PATIENCE_GAPS",
-    "PATIENCE_TARGETS",
-    "patience_ms",
+    "MIN_IDLE_TIMEOUT_MS",
+    "TIMEOUT_PER_GAP",
+    "TIMEOUT_PER_TARGET",
+    "infer_idle_timeout_ms",
 )
--- a/src/quetzaldeck/decisions/failed_attempts.py
+++ b/src/quetzaldeck/decisions/failed_attempts.py
@@ -55,7 +55,7 @@
         request = tracked.request
         if end.n_output_tokens:
             # Its caller has heard a part and goes on listening.
-            request = request._replace(heard_ms=now_ms)
+            request = request._replace(last_token_ms=now_ms)
         failure = self._placer.check(request, now_ms)
         if failure is not None:
             self._tracked.forget(request.request_id, now_ms)
--- a/src/quetzaldeck/decisions/fleet_observer.py
+++ b/src/quetzaldeck/decisions/fleet_observer.py
@@ -10,7 +10,7 @@
     from quetzaldeck.clock import Clock
     from quetzaldeck.decisions.health.monitor import AttemptMonitor
     from quetzaldeck.decisions.load_report import LoadReport
-    from quetzaldeck.decisions.peer_load import UpstreamShare
+    from quetzaldeck.decisions.peer_load import VmLoad
     from quetzaldeck.decisions.placement import CacheEvents, PlacementPolicy
     from quetzaldeck.decisions.poison import CrashSighting, PoisonRegistry
     from quetzaldeck.decisions.upstream_table import UpstreamTable
@@ -70,9 +70,7 @@
         self._table.observe((report,), self._clock.now_ms())
         self._waiting.note_room()
 
-    def observe_peer(
-        self, vm: str, shares: Iterable[tuple[str, UpstreamShare]]
-    ) -> None:
+    def observe_peer(self, vm: str, shares: Iterable[tuple[str, VmLoad]]) -> None:
         """Take what another VM has at upstreams.
 
         What it has at another start of an upstream than the one known here is nothing
@@ -82,7 +80,7 @@
         for name, share in shares:
             state = self._table.get(name)
             if state is not None and not state.is_of_another_start(share.incarnation):
-                state.take_peer_share(vm, share, now_ms)
+                state.update_peer_load(vm, share, now_ms)
         self._waiting.note_room()
 
     def observe_paces(self, paces: Iterable[tuple[str, float]]) -> None:
--- a/src/quetzaldeck/decisions/head_of_line/reading_lane.py
+++ b/src/quetzaldeck/decisions/head_of_line/reading_lane.py
@@ -136,7 +136,7 @@
         lane = self._order_for_reading(request, pool, now_ms)[:n_free]
         if not lane:
             return True
-        backlog_ms = sum(state.unread_ms(now_ms) for state in lane) / len(lane)
+        backlog_ms = sum(state.prefill_backlog_ms(now_ms) for state in lane) / len(lane)
         own_ms = figures.read_ms(request.n_prompt_tokens, n_parts=len(lane))
         target_ms = _target_ms(request, now_ms)
         waited_ms = max(0.0, now_ms - request.arrived_ms)
@@ -189,7 +189,7 @@
     ) -> list[UpstreamState]:
         """:returns: the engines that read a long prompt"""
         work_ms = figures.read_ms(request.n_prompt_tokens)
-        work_ms += sum(state.unread_ms(now_ms) for state in pool)
+        work_ms += sum(state.prefill_backlog_ms(now_ms) for state in pool)
         target_ms = _target_ms(request, now_ms)
         n_soon = math.ceil(work_ms / (target_ms * READ_SHARE_OF_TARGET))
         n_least = math.ceil(work_ms / (target_ms * MAX_READ_SHARE_OF_TARGET))
@@ -244,7 +244,7 @@
             state
             for state, n_answers in n_by_state
             if n_answers < max_requests
-            and state.unread_ms(now_ms) <= MAX_PACKED_UNREAD_MS
+            and state.prefill_backlog_ms(now_ms) <= MAX_PACKED_UNREAD_MS
         ]
         fitting.sort(key=lambda state: -self._position(request, state))
         # The pool may be a sample of a large one.
--- a/src/quetzaldeck/decisions/load_changes.py
+++ b/src/quetzaldeck/decisions/load_changes.py
@@ -15,26 +15,25 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-IDLE = UpstreamShare()
+IDLE = VmLoad()
 """What others believe of an upstream that they were told nothing of."""
 
-REPEAT_MS = 2_000.0
-"""Pause after which loads that did not change are told again; see ``FORGET_MS`` of the
-peer load, which allows for one lost message. Most answers of short prompts are over
-before it."""
+REFRESH_INTERVAL_MS = 2_000.0
+"""Interval at which unchanged loads are sent again. ``PEER_LOAD_TTL_MS`` allows
+for one lost message. Most answers to short prompts end within the interval."""
 
-N_FEW_PEERS = 8
+N_PEERS_WITHOUT_DELAY = 8
 """Up to so many VMs are told everything at once: that costs little."""
 
-LAZY_MS_PER_PEER = 4.0
+SEND_DELAY_MS_PER_PEER = 4.0
 """Time for which less work may go untold, for each further VM that is to be told."""
 
-MAX_LAZY_MS = 250.0
+MAX_SEND_DELAY_MS = 250.0
 """Longest time for that. A short prompt is read within it, and an answer takes several
 times as long."""
 
@@ -43,20 +42,20 @@
     """Remembers what was told."""
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[float, UpstreamShare]] = {}
+        self._told: dict[str, tuple[float, VmLoad]] = {}
         self._lazy_since_ms: float | None = None
 
     @property
-    def has_untold(self) -> bool:
+    def has_unsent(self) -> bool:
         """:returns: whether something waits to be told"""
         return self._lazy_since_ms is not None
 
     def take(
         self,
-        shares: Iterable[tuple[str, UpstreamShare]],
+        shares: Iterable[tuple[str, VmLoad]],
         now_ms: float,
         n_peers: int = 1,
-    ) -> list[tuple[str, UpstreamShare]]:
+    ) -> list[tuple[str, VmLoad]]:
         """Choose what is told now; what waited travels with what is urgent.
 
         :param n_peers: VMs that are told
@@ -69,7 +68,7 @@
         if self._lazy_since_ms is None:
             self._lazy_since_ms = now_ms
         waited_ms = now_ms - self._lazy_since_ms
-        if not is_urgent and waited_ms < lazy_ms(n_peers):
+        if not is_urgent and waited_ms < max_send_delay_ms(n_peers):
             return []
         self._lazy_since_ms = None
         for upstream, share in changed:
@@ -77,13 +76,13 @@
         return changed
 
     def _list_changed(
-        self, shares: Iterable[tuple[str, UpstreamShare]], now_ms: float
-    ) -> tuple[list[tuple[str, UpstreamShare]], bool]:
+        self, shares: Iterable[tuple[str, VmLoad]], now_ms: float
+    ) -> tuple[list[tuple[str, VmLoad]], bool]:
         changed = []
         is_urgent = False
         for upstream, share in shares:
             told_ms, told = self._told.get(upstream, (now_ms, IDLE))
-            is_due = share.is_repeated and now_ms - told_ms >= REPEAT_MS
+            is_due = share.is_repeated and now_ms - told_ms >= REFRESH_INTERVAL_MS
             if share == told and not is_due:
                 continue
             changed.append((upstream, share))
@@ -91,13 +90,16 @@
         return changed, is_urgent
 
 
-def _is_urgent(share: UpstreamShare, told: UpstreamShare) -> bool:
+def _is_urgent(share: VmLoad, told: VmLoad) -> bool:
     return share.exceeds(told) or share.n_parts < told.n_parts
 
 
-def lazy_ms(n_peers: int) -> float:
+def max_send_delay_ms(n_peers: int) -> float:
     """:returns: time for which less work may go untold"""
-    return min(MAX_LAZY_MS, max(0, n_peers - N_FEW_PEERS) * LAZY_MS_PER_PEER)
+    return min(
+        MAX_SEND_DELAY_MS,
+        max(0, n_peers - N_PEERS_WITHOUT_DELAY) * SEND_DELAY_MS_PER_PEER,
+    )
 
 
-__all__ = ("REPEAT_MS", "LoadChanges", "lazy_ms")
+__all__ = ("REFRESH_INTERVAL_MS", "LoadChanges", "max_send_delay_ms")
--- a/src/quetzaldeck/decisions/pace_watch.py
+++ b/src/quetzaldeck/decisions/pace_polling.py
@@ -23,12 +23,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
 
-MAX_ASKED = 16
+MAX_POLLED = 16
 """Engines that one VM asks at a time, more in turn. A VM that has lost sight of all
 others would ask every engine there is at once."""
 
 
-class PaceWatch:
+class PacePollPlanner:
     """The questions that fall to one VM.
 
     :param own: this VM's address
@@ -40,7 +40,7 @@
         self._n_asked = 0
         self._owned: tuple[object, list[str]] = (None, [])
 
-    def choose_asked(
+    def choose_polled(
         self,
         engines: Mapping[str, str],
         zone_vms: Mapping[str, Sequence[str]],
@@ -56,13 +56,13 @@
             copied = {zone: list(vms) for zone, vms in zone_vms.items()}
             self._owned = ((dict(engines), copied), self._list_owned(*view))
         owned = self._owned[1]
-        if len(owned) <= MAX_ASKED:
+        if len(owned) <= MAX_POLLED:
             return owned
         begin = self._n_asked % len(owned)
-        self._n_asked += MAX_ASKED
-        return (owned + owned)[begin : begin + MAX_ASKED]
+        self._n_asked += MAX_POLLED
+        return (owned + owned)[begin : begin + MAX_POLLED]
 
-    def choose_told(self, paces: Iterable[tuple[str, float]]) -> dict[str, float]:
+    def choose_published(self, paces: Iterable[tuple[str, float]]) -> dict[str, float]:
         """:returns: of what was just asked, what the other VMs are told"""
         told: dict[str, float] = {}
         for name, pace in paces:
@@ -95,4 +95,4 @@
         )
 
 
-__all__ = ("MAX_ASKED", "PaceWatch")
+__all__ = ("MAX_POLLED", "PacePollPlanner")
--- a/src/quetzaldeck/decisions/peer_load.py
+++ b/src/quetzaldeck/decisions/peer_load.py
@@ -19,12 +19,12 @@
 from quetzaldeck.decisions.health.outcomes import Outcomes
 from quetzaldeck.decisions.health.peer_outcomes import PeerOutcomes
 
-FORGET_MS = 4_500.0
+PEER_LOAD_TTL_MS = 4_500.0
 """Age at which what a VM told is forgotten: it repeats itself each two seconds, and may
 lose a message. What a VM that died had at upstreams counts for that long."""
 
 
-class UpstreamShare(NamedTuple):
+class VmLoad(NamedTuple):
     """What of one VM is at one upstream.
 
     :param n_requests: requests that run there
@@ -59,7 +59,7 @@
         """:returns: whether another VM learns anything from it"""
         return self.is_repeated or self.outcomes.n_all > 0
 
-    def exceeds(self, other: UpstreamShare) -> bool:
+    def exceeds(self, other: VmLoad) -> bool:
         """:returns: whether there is more here to reckon with than in ``other``"""
         if self.refuses_help and not other.refuses_help:
             return True
@@ -74,12 +74,12 @@
     """
 
     def __init__(self) -> None:
-        self._shares: dict[str, tuple[float, UpstreamShare]] = {}
+        self._shares: dict[str, tuple[float, VmLoad]] = {}
         self._total = _NOTHING
         self._total_until_ms = math.inf
         self.outcomes = PeerOutcomes()
 
-    def take(self, vm: str, share: UpstreamShare, now_ms: float) -> int:
+    def take(self, vm: str, share: VmLoad, now_ms: float) -> int:
         """Take what a VM told.
 
         :returns: prompt tokens that it has to be read here beyond what it told before
@@ -92,11 +92,11 @@
         if share.outcomes.n_all:
             self.outcomes.take(vm, share.outcomes, now_ms)
         n_before = 0
-        if before is not None and now_ms - before[0] <= FORGET_MS:
+        if before is not None and now_ms - before[0] <= PEER_LOAD_TTL_MS:
             n_before = before[1].n_prefill_tokens
         return max(0, share.n_prefill_tokens - n_before)
 
-    def total(self, now_ms: float) -> UpstreamShare:
+    def total(self, now_ms: float) -> VmLoad:
         """:returns: the sum over all VMs that were heard lately"""
         if now_ms > self._total_until_ms:
             self._add_up(now_ms)
@@ -105,13 +105,13 @@
     def _add_up(self, now_ms: float) -> None:
         oldest_ms = math.inf
         for vm, (heard_ms, _) in list(self._shares.items()):
-            if now_ms - heard_ms > FORGET_MS:
+            if now_ms - heard_ms > PEER_LOAD_TTL_MS:
                 del self._shares[vm]
             else:
                 oldest_ms = min(oldest_ms, heard_ms)
         shares = [share for _, share in self._shares.values()]
-        self._total_until_ms = oldest_ms + FORGET_MS
-        self._total = UpstreamShare(
+        self._total_until_ms = oldest_ms + PEER_LOAD_TTL_MS
+        self._total = VmLoad(
             sum(share.n_requests for share in shares),
             sum(share.n_prefill_tokens for share in shares),
             sum(share.n_kv_tokens for share in shares),
@@ -120,6 +120,6 @@
         )
 
 
-_NOTHING = UpstreamShare()
+_NOTHING = VmLoad()
 
-__all__ = ("FORGET_MS", "PeerLoad", "UpstreamShare")
+__all__ = ("PEER_LOAD_TTL_MS", "PeerLoad", "VmLoad")
--- a/src/quetzaldeck/decisions/placement/first_token.py
+++ b/src/quetzaldeck/decisions/placement/first_token.py
@@ -107,7 +107,7 @@
         best_n, best_ms = 0, math.inf
         for n_helpers, state in enumerate(ordered, start=1):
             read_ms = figures.read_ms(request.n_prompt_tokens, n_parts=n_helpers + 1)
-            ready_ms = state.unread_ms(now_ms) + read_ms
+            ready_ms = state.prefill_backlog_ms(now_ms) + read_ms
             if ready_ms < best_ms:
                 best_n, best_ms = n_helpers, ready_ms
         return best_n
@@ -144,7 +144,7 @@
         figures = state.spec.figures
         if figures is None:
             return cost_ms + n_requests * PLAIN_REQUEST_MS
-        cost_ms += state.unread_ms(now_ms)
+        cost_ms += state.prefill_backlog_ms(now_ms)
         cost_ms += n_requests * _running_ms(figures)
         return cost_ms * state.slow_factor(peer_ms_per_token, now_ms)
 
--- a/src/quetzaldeck/decisions/reading_backlog.py
+++ b/src/quetzaldeck/decisions/prefill_backlog.py
@@ -13,12 +13,12 @@
 
 from __future__ import annotations
 
-BEHIND_SHARE = 0.25
+MIN_REMAINING_SHARE = 0.25
 """Part of what has no first token yet that counts at the least, though by the stated
 speed it should be read."""
 
 
-class ReadingBacklog:
+class PrefillBacklog:
     """Work of one engine, in milliseconds of reading."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         :param unread_ms: all that was sent and has no first token yet
         """
         expected_ms = max(0.0, self._done_ms - now_ms)
-        return min(unread_ms, max(expected_ms, BEHIND_SHARE * unread_ms))
+        return min(unread_ms, max(expected_ms, MIN_REMAINING_SHARE * unread_ms))
 
 
-__all__ = ("BEHIND_SHARE", "ReadingBacklog")
+__all__ = ("MIN_REMAINING_SHARE", "PrefillBacklog")
--- a/src/quetzaldeck/decisions/request.py
+++ b/src/quetzaldeck/decisions/request.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from quetzaldeck.decisions.patience import LINK_MARGIN_MS
+from quetzaldeck.decisions.caller_idle_timeout import LINK_MARGIN_MS
 
 
 class LengthClass(StrEnum):
@@ -51,9 +51,10 @@
     :param fingerprint: hash of what the upstream would run
     :param max_attempts: upstreams that may run it; ``None``: the VM's own bound
     :param target_ms: time to the first token after which the answer is late; 0: none
-    :param max_gap_ms: pause between two tokens after which it is late; 0: none
-    :param patience_ms: silence after which its caller hangs up; 0: it does not
-    :param heard_ms: monotonic time at which the caller last heard a token; 0: never
+    :param max_gap_ms: gap between two tokens after which it is late; 0: none
+    :param caller_idle_timeout_ms: time without a token after which the caller
+        disconnects; 0: it never does
+    :param last_token_ms: monotonic time of the last token sent to the caller; 0: none
     """
 
     request_id: str
@@ -73,16 +74,16 @@
     max_attempts: int | None = None
     target_ms: float = 0.0
     max_gap_ms: float = 0.0
-    patience_ms: float = 0.0
-    heard_ms: float = 0.0
+    caller_idle_timeout_ms: float = 0.0
+    last_token_ms: float = 0.0
 
     @property
-    def hang_up_ms(self) -> float:
+    def next_token_deadline_ms(self) -> float:
         """:returns: monotonic time by which its caller must hear the next word"""
-        if not self.patience_ms:
+        if not self.caller_idle_timeout_ms:
             return math.inf
-        heard_ms = max(self.arrived_ms, self.heard_ms)
-        return heard_ms + self.patience_ms - LINK_MARGIN_MS
+        last_token_ms = max(self.arrived_ms, self.last_token_ms)
+        return last_token_ms + self.caller_idle_timeout_ms - LINK_MARGIN_MS
 
     @property
     def n_kv_tokens(self) -> int:
--- a/src/quetzaldeck/decisions/retries/policy.py
+++ b/src/quetzaldeck/decisions/retries/policy.py
@@ -107,7 +107,7 @@
         ):
             return failure
         due_ms = now_ms + self._delay(end, history)
-        if due_ms >= min(request.deadline_ms, request.hang_up_ms):
+        if due_ms >= min(request.deadline_ms, request.next_token_deadline_ms):
             return failure
         if not self._may_draw(request, end, now_ms):
             return failure._replace(reason=Reason.RETRY_BUDGET_SPENT)
@@ -124,7 +124,7 @@
             return False
         if history.n_run + 1 >= self._max_attempts(request):
             return False
-        if now_ms >= min(request.deadline_ms, request.hang_up_ms):
+        if now_ms >= min(request.deadline_ms, request.next_token_deadline_ms):
             return False
         arrivals = self._arrivals
         if arrivals is not None and not arrivals.has_room(request.target, now_ms):
--- a/src/quetzaldeck/decisions/retries/silence.py
+++ b/src/quetzaldeck/decisions/retries/silence.py
@@ -102,13 +102,13 @@
         """
         request = tracked.request
         explained_ms = SILENCE_BACKLOGS * tracked.backlog_ms
-        if request.patience_ms:
-            patience_ms = MAX_PATIENCE_SHARE * request.patience_ms
+        if request.caller_idle_timeout_ms:
+            patience_ms = MAX_PATIENCE_SHARE * request.caller_idle_timeout_ms
             explained_ms = min(explained_ms, patience_ms)
         if silent_ms < explained_ms:
             return SilenceVerdict.BACKLOG
         if tracked.first_token_ms is not None:
-            request = request._replace(heard_ms=now_ms)
+            request = request._replace(last_token_ms=now_ms)
         if not self._retries.may_retry(request, tracked.history, now_ms):
             return SilenceVerdict.NO_RETRY
         avoided = (*tracked.history.avoided, *tracked.upstreams)
--- a/src/quetzaldeck/decisions/upstream_state.py
+++ b/src/quetzaldeck/decisions/upstream_state.py
@@ -9,8 +9,8 @@
 from quetzaldeck.decisions.health.outcomes import OutcomeCount, Outcomes
 from quetzaldeck.decisions.health.pace import Pace
 from quetzaldeck.decisions.memory import InFlight, MemoryLedger
-from quetzaldeck.decisions.peer_load import PeerLoad, UpstreamShare
-from quetzaldeck.decisions.reading_backlog import ReadingBacklog
+from quetzaldeck.decisions.peer_load import PeerLoad, VmLoad
+from quetzaldeck.decisions.prefill_backlog import PrefillBacklog
 
 if TYPE_CHECKING:
     from quetzaldeck.bundle.document import UpstreamSpec
@@ -47,7 +47,7 @@
         self.pace = Pace()
         self._help_refusals = HelpRefusals()
         self._incarnation = ""
-        self._backlog = ReadingBacklog()
+        self._backlog = PrefillBacklog()
 
     @property
     def incarnation(self) -> str:
@@ -72,7 +72,7 @@
         self.outcomes = OutcomeCount()
         self.pace = Pace()
         self._help_refusals = HelpRefusals()
-        self._backlog = ReadingBacklog()
+        self._backlog = PrefillBacklog()
 
     def is_of_another_start(self, incarnation: str) -> bool:
         """:returns: whether news are of an earlier start, or of one not heard of yet"""
@@ -115,7 +115,7 @@
         self.ledger.reserve(attempt)
         self._note_sent(attempt.n_prefill_tokens, attempt.started_ms)
 
-    def take_peer_share(self, vm: str, share: UpstreamShare, now_ms: float) -> None:
+    def update_peer_load(self, vm: str, share: VmLoad, now_ms: float) -> None:
         """Take what another VM has here."""
         self._note_sent(self.peers.take(vm, share, now_ms), now_ms)
 
@@ -135,10 +135,10 @@
         """
         return self.ledger.release(attempt_id)
 
-    def own_share(self, now_ms: float) -> UpstreamShare:
+    def own_load(self, now_ms: float) -> VmLoad:
         """:returns: what of this VM is here, for the other VMs"""
         ledger = self.ledger
-        return UpstreamShare(
+        return VmLoad(
             len(ledger),
             ledger.n_prefill_tokens,
             ledger.n_kv_tokens,
@@ -225,7 +225,7 @@
         )
         return self.health.slow_factor(peer_ms_per_token, now_ms, pending)
 
-    def unread_ms(self, now_ms: float) -> float:
+    def prefill_backlog_ms(self, now_ms: float) -> float:
         """:returns: time that an engine needs for the prompts that all VMs sent it"""
         figures = self.spec.figures
         if figures is None:
--- a/src/quetzaldeck/decisions/upstream_table.py
+++ b/src/quetzaldeck/decisions/upstream_table.py
@@ -101,11 +101,11 @@
             if state.pace.is_slow(now_ms)
         }
 
-    def longest_unread_ms(self, names: Iterable[str], now_ms: float) -> float:
+    def max_prefill_backlog_ms(self, names: Iterable[str], now_ms: float) -> float:
         """:returns: time that the busiest of some engines needs for its prompts"""
         states = (self.get(name) for name in names)
         return max(
-            (state.unread_ms(now_ms) for state in states if state is not None),
+            (state.prefill_backlog_ms(now_ms) for state in states if state is not None),
             default=0.0,
         )
 
--- a/src/quetzaldeck/entry/call.py
+++ b/src/quetzaldeck/entry/call.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from quetzaldeck.decisions import Request
-from quetzaldeck.decisions.patience import patience_ms
+from quetzaldeck.decisions.caller_idle_timeout import infer_idle_timeout_ms
 from quetzaldeck.entry.admission import Admitted
 from quetzaldeck.entry.call_head import CallHead
 from quetzaldeck.routing import RequestKind, Route
@@ -58,7 +58,7 @@
         max_attempts=route.max_attempts,
         target_ms=route.target_latency_ms,
         max_gap_ms=route.max_gap_ms,
-        patience_ms=_patience_ms(route),
+        caller_idle_timeout_ms=_patience_ms(route),
     )
 
 
@@ -66,7 +66,7 @@
     """:returns: silence after which a caller hangs up; 0: it waits for its deadline"""
     if route.kind is not RequestKind.STREAMING:
         return 0.0
-    return patience_ms(route.target_latency_ms, route.max_gap_ms)
+    return infer_idle_timeout_ms(route.target_latency_ms, route.max_gap_ms)
 
 
 def _fingerprint(call: Call) -> int:
--- a/src/quetzaldeck/entry/handler.py
+++ b/src/quetzaldeck/entry/handler.py
@@ -8,7 +8,10 @@
 
 from quetzaldeck.clock.clock import MS_PER_SECOND
 from quetzaldeck.decisions import classify_length
-from quetzaldeck.decisions.admission.starting import START_RETRY_MS, start_wait_ms
+from quetzaldeck.decisions.admission.startup_wait import (
+    STARTUP_RETRY_AFTER_MS,
+    startup_wait_ms,
+)
 from quetzaldeck.entry.admission import ELSEWHERE_MS, admit_call
 from quetzaldeck.entry.call import Call, build_request
 from quetzaldeck.entry.call_run import CallRun
@@ -96,12 +99,12 @@
         """
         view = self._state.view
         if view is None:
-            wait_ms = start_wait_ms(head.deadline_ms)
+            wait_ms = startup_wait_ms(head.deadline_ms)
             log_event("waits_for_configuration", request=head.call_id, wait_ms=wait_ms)
             view = await self._state.wait_for_view(wait_ms)
         if view is None:
             detail = "this VM starts and knows no configuration yet"
-            failure = Failure(Reason.NO_BUNDLE, Ran.NO, START_RETRY_MS, detail)
+            failure = Failure(Reason.NO_BUNDLE, Ran.NO, STARTUP_RETRY_AFTER_MS, detail)
             raise RequestError(failure)
         return view
 
--- a/src/quetzaldeck/entry/pace_task.py
+++ b/src/quetzaldeck/entry/pace_task.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.clock.clock import MS_PER_SECOND
-from quetzaldeck.decisions.pace_watch import PaceWatch
+from quetzaldeck.decisions.pace_polling import PacePollPlanner
 from quetzaldeck.gateway.messages import ObservePaces
 from quetzaldeck.telemetry import log_event
 from quetzaldeck.upstreams import UpstreamError
@@ -47,7 +47,7 @@
         self._table = table
         self._tell = tell
         self._own = own
-        self._watch = PaceWatch(own)
+        self._watch = PacePollPlanner(own)
         self._unanswered: set[str] = set()
 
     async def run(self) -> None:
@@ -60,7 +60,7 @@
         engines = self._list_engines()
         self._unanswered &= engines.keys()
         zones = {name: engine.availability_zone for name, engine in engines.items()}
-        asked = self._watch.choose_asked(zones, self._list_vms())
+        asked = self._watch.choose_polled(zones, self._list_vms())
         answers = await asyncio.gather(*(self._ask(engines[name]) for name in asked))
         paces = tuple(
             (name, pace)
@@ -69,7 +69,7 @@
         )
         if paces:
             self._state.dispatch.send(ObservePaces(paces))
-        told = self._watch.choose_told(paces)
+        told = self._watch.choose_published(paces)
         if told:
             self._tell(told)
 
--- a/src/quetzaldeck/entry/peers/messages.py
+++ b/src/quetzaldeck/entry/peers/messages.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from quetzaldeck.decisions.health.outcomes import Outcomes
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 
 
 class LoadNews(msgspec.Struct, frozen=True, array_like=True):
-    """What of a VM is at one upstream; see ``UpstreamShare``."""
+    """What of a VM is at one upstream; see ``VmLoad``."""
 
     upstream: str
     n_requests: int
@@ -116,7 +116,7 @@
     return _DECODER.decode(data)
 
 
-def build_load_news(upstream: str, share: UpstreamShare) -> LoadNews:
+def build_load_news(upstream: str, share: VmLoad) -> LoadNews:
     """:returns: what the other VMs are told of one upstream"""
     return LoadNews(
         upstream,
@@ -131,9 +131,9 @@
     )
 
 
-def read_load_news(load: LoadNews) -> UpstreamShare:
+def read_load_news(load: LoadNews) -> VmLoad:
     """:returns: what another VM has at one upstream"""
-    return UpstreamShare(
+    return VmLoad(
         load.n_requests,
         load.n_prefill_tokens,
         load.n_kv_tokens,
--- a/src/quetzaldeck/entry/peers/news_book.py
+++ b/src/quetzaldeck/entry/peers/news_book.py
@@ -5,15 +5,16 @@
 from collections import deque
 from typing import TYPE_CHECKING, NamedTuple
 
-from quetzaldeck.decisions.load_changes import REPEAT_MS
+from quetzaldeck.decisions.load_changes import REFRESH_INTERVAL_MS
 from quetzaldeck.entry.peers.messages import LoadNews, VmNews
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-MAX_TOLD_ON_MS = 1.5 * REPEAT_MS
+MAX_TOLD_ON_MS = 1.5 * REFRESH_INTERVAL_MS
 """Age up to which loads are told to a VM that joins: whoever still has them there
-repeats them each ``REPEAT_MS``. What a dead VM had is not kept alive by others."""
+repeats them each ``REFRESH_INTERVAL_MS``. What a dead VM had is not kept alive by
+others."""
 
 MAX_ENDED_TOLD_MS = 1_000.0
 """Age up to which the end of a load is told to a VM that joins: it may have been told
--- a/src/quetzaldeck/entry/peers/task.py
+++ b/src/quetzaldeck/entry/peers/task.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from quetzaldeck.decisions.load_changes import LoadChanges, lazy_ms
+from quetzaldeck.decisions.load_changes import LoadChanges, max_send_delay_ms
 from quetzaldeck.decisions.poison import CrashSighting
 from quetzaldeck.entry.peers.messages import (
     CrashNews,
@@ -106,8 +106,8 @@
     async def _wait(self) -> None:
         """Wait for news, or for the time to greet, to repeat and to tell old news."""
         wait_ms = GREET_MS
-        if self._changes.has_untold:
-            wait_ms = min(wait_ms, lazy_ms(len(self._table)))
+        if self._changes.has_unsent:
+            wait_ms = min(wait_ms, max_send_delay_ms(len(self._table)))
         try:
             async with asyncio.timeout(wait_ms / 1_000):
                 await self._state.dispatch.wait_for_load_news()
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -32,7 +32,7 @@
     from quetzaldeck.clock import Clock
     from quetzaldeck.decisions import Decision, Request, Scheduler
     from quetzaldeck.decisions.limits import UsageNews
-    from quetzaldeck.decisions.peer_load import UpstreamShare
+    from quetzaldeck.decisions.peer_load import VmLoad
     from quetzaldeck.decisions.poison import CrashSighting, PoisonBounds
     from quetzaldeck.gateway.messages import Message
     from quetzaldeck.telemetry import GatewayMetrics
@@ -92,11 +92,11 @@
         """:returns: by request, what other VMs should know of it and crashes"""
         return self._scheduler.fleet.take_crash_news()
 
-    def list_shares(self) -> list[tuple[str, UpstreamShare]]:
+    def list_shares(self) -> list[tuple[str, VmLoad]]:
         """:returns: what of this VM is at each upstream"""
         now_ms = self._clock.now_ms()
         return [
-            (state.spec.name, state.own_share(now_ms))
+            (state.spec.name, state.own_load(now_ms))
             for state in self._scheduler.upstreams
         ]
 
--- a/src/quetzaldeck/gateway/messages.py
+++ b/src/quetzaldeck/gateway/messages.py
@@ -8,7 +8,7 @@
 from quetzaldeck.bundle import Bundle
 from quetzaldeck.decisions import AttemptEnd, Decision, LoadReport, Request
 from quetzaldeck.decisions.limits import UsageNews
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.placement import CacheEvents
 from quetzaldeck.decisions.poison import CrashSighting
 from quetzaldeck.decisions.retries.silence import SilenceVerdict
@@ -86,7 +86,7 @@
     """What of another VM is at some upstreams."""
 
     vm: str
-    shares: tuple[tuple[str, UpstreamShare], ...]
+    shares: tuple[tuple[str, VmLoad], ...]
 
 
 class ObservePaces(NamedTuple):
--- a/tests/decisions/head_of_line/test_burst_of_long_prompts.py
+++ b/tests/decisions/head_of_line/test_burst_of_long_prompts.py
@@ -18,7 +18,7 @@
 from quetzaldeck.decisions import Request
 from quetzaldeck.decisions.head_of_line import ReadingLane
 from quetzaldeck.decisions.memory import InFlight
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.tuning import tune
 from quetzaldeck.decisions.upstream_state import UpstreamState
 
@@ -153,7 +153,7 @@
     for state in pool:
         state.add(InFlight("a", "r", 0, 1_500_000, 0.0))
     late_ms = 30_000.0
-    assert all(state.unread_ms(late_ms) > 0 for state in pool)
+    assert all(state.prefill_backlog_ms(late_ms) > 0 for state in pool)
     request = make(make_request, 200_000, arrived_ms=late_ms, deadline_ms=60_000.0)
     assert not lane.may_begin(request, pool, late_ms)
 
@@ -198,7 +198,7 @@
     before = len(lane.restrict_helpers(huge, pool, 0.0))
     for state in pool:
         state.add(InFlight("p", "r", 0, 30_000, 0.0, is_part=True))
-        state.take_peer_share("vm-b", UpstreamShare(2, 60_000, 0, 2), 0.0)
+        state.update_peer_load("vm-b", VmLoad(2, 60_000, 0, 2), 0.0)
     assert len(lane.restrict_helpers(huge, pool, 0.0)) == before
 
 
--- a/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
+++ b/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
@@ -15,7 +15,7 @@
 
 from quetzaldeck.bundle.engine_figures import EngineFigures
 from quetzaldeck.decisions.head_of_line.reading_lane import MAX_READ_SHARE_OF_TARGET
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.placement.first_token import MAX_HELPERS
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
 def send(clock: ManualClock, n_tokens: int) -> Dispatch:
     """:returns: how a prompt is sent while each engine writes a few answers"""
     scheduler = make_entry_scheduler(clock, NAMES, figures=FIGURES)
-    share = UpstreamShare(N_WRITERS, 0, 15_000)
+    share = VmLoad(N_WRITERS, 0, 15_000)
     scheduler.fleet.observe_peer("other", [(name, share) for name in NAMES])
     request = make_request(
         n_prompt_tokens=n_tokens,
--- a/tests/decisions/head_of_line/test_many_vms_at_once.py
+++ b/tests/decisions/head_of_line/test_many_vms_at_once.py
@@ -15,7 +15,7 @@
 from quetzaldeck.bundle import Bundle, UpstreamSpec
 from quetzaldeck.bundle.engine_figures import EngineFigures
 from quetzaldeck.decisions.head_of_line import ReadingLane
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.placement.first_token import FirstToken
 from quetzaldeck.decisions.tuning import tune
 from quetzaldeck.decisions.upstream_state import UpstreamState
@@ -73,7 +73,7 @@
                 continue
             state = next(state for state in self.pool if state.spec.name == name)
             n_before = state.peers.total(now_ms).n_requests
-            share = UpstreamShare(n_requests=n_before + change)
+            share = VmLoad(n_requests=n_before + change)
             state.peers.take("others", share, now_ms)
 
 
@@ -111,7 +111,7 @@
     lane = ReadingLane()
     lane.configure(engines.bundle, tune(engines.bundle))
     for state in engines.pool[:4]:
-        state.peers.take("others", UpstreamShare(n_requests=2), 0.0)
+        state.peers.take("others", VmLoad(n_requests=2), 0.0)
     looked_at = {
         state.spec.name
         for number in range(50)
--- a/tests/decisions/head_of_line/test_reading_lane.py
+++ b/tests/decisions/head_of_line/test_reading_lane.py
@@ -11,7 +11,7 @@
 from quetzaldeck.decisions.head_of_line import ReadingLane
 from quetzaldeck.decisions.head_of_line.reading_lane import MAX_READ_SHARE_OF_TARGET
 from quetzaldeck.decisions.memory import InFlight
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.tuning import tune
 from quetzaldeck.decisions.upstream_state import UpstreamState
 
@@ -111,7 +111,7 @@
 ) -> None:
     pool = make_pool()
     first = lane.restrict(make(make_request, SHORT), pool, 0.0)[0]
-    first.take_peer_share("other", UpstreamShare(1, 100_000, 100_000), 0.0)
+    first.update_peer_load("other", VmLoad(1, 100_000, 100_000), 0.0)
     assert first not in lane.restrict(make(make_request, SHORT), pool, 0.0)
 
 
@@ -125,7 +125,7 @@
     pool = make_busy_pool()
     before = len(lane.restrict(make(make_request, LONG), pool, 0.0))
     for state in pool[:6]:
-        state.take_peer_share("other", UpstreamShare(1, 400_000, 200_000), 0.0)
+        state.update_peer_load("other", VmLoad(1, 400_000, 200_000), 0.0)
     after = len(lane.restrict(make(make_request, LONG), pool, 0.0))
     work_ms = FIGURES.read_ms(LONG) + 6 * 400_000 / FIGURES.tokens_per_ms
     assert before < after
@@ -161,7 +161,7 @@
     assert len(first) >= N_ENGINES / 2
     assert not names(first) & busy
     for state in first:
-        state.take_peer_share("other", UpstreamShare(1, 500_000, 50_000), 0.0)
+        state.update_peer_load("other", VmLoad(1, 500_000, 50_000), 0.0)
     second = lane.restrict_helpers(huge, pool, 0.0)
     assert names(second) <= names(first)
     short = lane.restrict(make(make_request, SHORT), pool, 0.0)
--- a/tests/decisions/health/test_partial.py
+++ b/tests/decisions/health/test_partial.py
@@ -120,7 +120,7 @@
 
     def tell(self, teller: Scheduler) -> None:
         now_ms = self.clock.now_ms()
-        shares = [(s.spec.name, s.own_share(now_ms)) for s in teller.upstreams]
+        shares = [(s.spec.name, s.own_load(now_ms)) for s in teller.upstreams]
         for vm in self.vms:
             if vm is not teller:
                 vm.fleet.observe_peer(str(id(teller)), shares)
--- a/tests/decisions/placement/test_busy_helpers.py
+++ b/tests/decisions/placement/test_busy_helpers.py
@@ -14,7 +14,7 @@
 
 from quetzaldeck.decisions import AttemptEnd, AttemptFault, Dispatch
 from quetzaldeck.decisions.health import UpstreamHealth
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 
 if TYPE_CHECKING:
     from quetzaldeck.clock import ManualClock
@@ -51,7 +51,7 @@
     """Other VMs tell that all engines but three help four prompts each."""
     scheduler = make_entry_scheduler(clock, NAMES)
     full = NAMES[:11]
-    share = UpstreamShare(4, 4_000, 0, n_parts=4)
+    share = VmLoad(4, 4_000, 0, n_parts=4)
     scheduler.fleet.observe_peer("other", [(name, share) for name in full])
     dispatch = send(scheduler, clock, LONG)
     assert dispatch.helpers
@@ -63,7 +63,7 @@
 ) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
     full = NAMES[:7]
-    share = UpstreamShare(4, 4_000, 0, n_parts=4)
+    share = VmLoad(4, 4_000, 0, n_parts=4)
     scheduler.fleet.observe_peer("other", [(name, share) for name in full])
     dispatch = send(scheduler, clock, HUGE)
     assert dispatch.plan is not None
@@ -76,9 +76,9 @@
     (helper, *_) = dispatch.helpers
     state = scheduler.upstreams.get(helper)
     assert state is not None
-    assert state.own_share(clock.now_ms()).n_parts == 1
+    assert state.own_load(clock.now_ms()).n_parts == 1
     scheduler.note_first_token(dispatch.attempt_id)
-    assert state.own_share(clock.now_ms()).n_parts == 0
+    assert state.own_load(clock.now_ms()).n_parts == 0
 
 
 def test_prompt_refused_by_busy_helpers_takes_no_engine_out(
--- a/tests/decisions/placement/test_first_token.py
+++ b/tests/decisions/placement/test_first_token.py
@@ -10,7 +10,7 @@
 from quetzaldeck.bundle import UpstreamSpec
 from quetzaldeck.bundle.engine_figures import EngineFigures
 from quetzaldeck.decisions.memory import InFlight
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.placement import FirstToken
 from quetzaldeck.decisions.placement.first_token import MAX_HELPERS
 from quetzaldeck.decisions.upstream_state import UpstreamState
@@ -88,7 +88,7 @@
     """
     pool = make_pool()
     for state in pool[:8]:
-        state.take_peer_share("other", UpstreamShare(1, 200_000, 200_000), 0.0)
+        state.update_peer_load("other", VmLoad(1, 200_000, 200_000), 0.0)
     name, helpers = choose(policy, make_request(45_000), pool)
     busy = {state.spec.name for state in pool[:8]}
     assert not busy & {name, *helpers}
--- a/tests/decisions/placement/test_refused_help.py
+++ b/tests/decisions/placement/test_refused_help.py
@@ -91,7 +91,7 @@
         if not self._tells:
             return
         now_ms = self._clock.now_ms()
-        shares = [(s.spec.name, s.own_share(now_ms)) for s in teller.upstreams]
+        shares = [(s.spec.name, s.own_load(now_ms)) for s in teller.upstreams]
         for vm in self._vms:
             if vm is not teller:
                 vm.fleet.observe_peer(str(id(teller)), shares)
--- a/tests/decisions/retries/test_silence.py
+++ b/tests/decisions/retries/test_silence.py
@@ -12,8 +12,8 @@
 from tests.support.builders import make_entry_scheduler, make_request, poll_dispatch
 
 from quetzaldeck.decisions import AttemptEnd, AttemptFault, Dispatch
-from quetzaldeck.decisions.patience import patience_ms
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.caller_idle_timeout import infer_idle_timeout_ms
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.retries import ArrivalBudget
 from quetzaldeck.decisions.retries.silence import (
     SilenceVerdict,
@@ -43,7 +43,7 @@
     )._replace(
         target_ms=TARGET_MS,
         max_gap_ms=GAP_MS,
-        patience_ms=patience_ms(TARGET_MS, GAP_MS),
+        caller_idle_timeout_ms=infer_idle_timeout_ms(TARGET_MS, GAP_MS),
         is_repeatable=is_repeatable,
         max_attempts=2,
     )
@@ -75,7 +75,7 @@
 def test_engine_with_long_parts_to_read_is_waited_for(clock: ManualClock) -> None:
     """Other VMs had sent every engine a part of 27,000 tokens, which is read first."""
     scheduler = make_entry_scheduler(clock, NAMES)
-    part = UpstreamShare(1, 27_000, 0, n_parts=1)
+    part = VmLoad(1, 27_000, 0, n_parts=1)
     scheduler.fleet.observe_peer("other", [(name, part) for name in NAMES])
     dispatch = send(scheduler, clock)
     clock.advance(SILENT_MS)
@@ -95,7 +95,7 @@
     dispatch = send(scheduler, clock)
     clock.advance(SILENT_MS)
     (name,) = dispatch.upstreams
-    scheduler.fleet.observe_peer("other", [(name, UpstreamShare(9, 90_000, 0))])
+    scheduler.fleet.observe_peer("other", [(name, VmLoad(9, 90_000, 0))])
     assert judge(scheduler, dispatch) is SilenceVerdict.LEFT
 
 
--- a/tests/decisions/test_patience.py
+++ b/tests/decisions/test_caller_idle_timeout.py
@@ -21,7 +21,10 @@
     Rejection,
     Request,
 )
-from quetzaldeck.decisions.patience import LINK_MARGIN_MS, patience_ms
+from quetzaldeck.decisions.caller_idle_timeout import (
+    LINK_MARGIN_MS,
+    infer_idle_timeout_ms,
+)
 from quetzaldeck.outcomes import Failure, Ran, Reason
 
 if TYPE_CHECKING:
@@ -67,7 +70,11 @@
             max_output_tokens=1_300,
             now_ms=self.clock.now_ms(),
             timeout_ms=DEADLINE_MS,
-        )._replace(target_ms=TARGET_MS, max_gap_ms=GAP_MS, patience_ms=self.patience_ms)
+        )._replace(
+            target_ms=TARGET_MS,
+            max_gap_ms=GAP_MS,
+            caller_idle_timeout_ms=self.patience_ms,
+        )
         refusal = self.scheduler.submit(request)
         if refusal is not None:
             self.told.append(Told(request, self.clock.now_ms(), refusal))
@@ -102,20 +109,20 @@
 
 @pytest.fixture
 def desk(clock: ManualClock) -> Desk:
-    desk = Desk(clock, patience=patience_ms(TARGET_MS, GAP_MS))
+    desk = Desk(clock, patience=infer_idle_timeout_ms(TARGET_MS, GAP_MS))
     desk.run(6_000, per_s=32)
     desk.run(4_000, per_s=0)
     return desk
 
 
 def test_patience_is_what_callers_of_streams_bear() -> None:
-    assert patience_ms(300.0, 250.0) == 2_000.0
-    assert patience_ms(1_500.0, 600.0) == 6_000.0
-    assert patience_ms(0.0, 1_000.0) == 8_000.0
+    assert infer_idle_timeout_ms(300.0, 250.0) == 2_000.0
+    assert infer_idle_timeout_ms(1_500.0, 600.0) == 6_000.0
+    assert infer_idle_timeout_ms(0.0, 1_000.0) == 8_000.0
 
 
 def test_request_without_patience_is_bound_by_its_deadline() -> None:
-    assert make_request().hang_up_ms == math.inf
+    assert make_request().next_token_deadline_ms == math.inf
 
 
 def test_no_caller_hangs_up_in_silence_at_twice_the_load(desk: Desk) -> None:
@@ -150,7 +157,7 @@
     Counted from its arrival its patience would be over, and the second attempt
     would be refused though the caller is there.
     """
-    desk = Desk(clock, patience=patience_ms(TARGET_MS, GAP_MS))
+    desk = Desk(clock, patience=infer_idle_timeout_ms(TARGET_MS, GAP_MS))
     desk.arrive()
     (decision,) = desk.scheduler.poll()
     assert isinstance(decision, Dispatch)
@@ -165,7 +172,7 @@
 
 def test_attempt_that_never_spoke_has_no_patience_left(clock: ManualClock) -> None:
     """An engine breaks off before its first event, when the caller hangs up."""
-    desk = Desk(clock, patience=patience_ms(TARGET_MS, GAP_MS))
+    desk = Desk(clock, patience=infer_idle_timeout_ms(TARGET_MS, GAP_MS))
     desk.arrive()
     (decision,) = desk.scheduler.poll()
     assert isinstance(decision, Dispatch)
--- a/tests/decisions/test_upstream_restart.py
+++ b/tests/decisions/test_upstream_restart.py
@@ -12,7 +12,7 @@
 from quetzaldeck.decisions.health.outcomes import Outcomes
 from quetzaldeck.decisions.load_report import LoadReport
 from quetzaldeck.decisions.memory import InFlight
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.upstream_state import UpstreamState
 
 FIRST = "1000"
@@ -26,8 +26,8 @@
     state.note_incarnation(FIRST, 0.0)
     state.add(InFlight("a1", "q1", 300_000, 300_000, 0.0, 300_000))
     state.observe(LoadReport("e0", FIRST, 1, 0.0, 8, 4, 350_000, 0), 10.0)
-    share = UpstreamShare(3, 90_000, 90_000, 3, Outcomes(0.0, 4.0), FIRST)
-    state.take_peer_share("vm-b", share, 10.0)
+    share = VmLoad(3, 90_000, 90_000, 3, Outcomes(0.0, 4.0), FIRST)
+    state.update_peer_load("vm-b", share, 10.0)
     state.outcomes.note(10.0, is_answered=False)
     state.pace.note(5.0, 10.0)
     state.health.note_fault("a0", AttemptFault.CONNECT, 10.0)
@@ -41,7 +41,7 @@
     assert state.n_requests(100.0) == 0
     assert state.n_kv_tokens_used(100.0) == 0
     assert state.n_prefill_tokens() == 0
-    assert state.own_share(0.0) == UpstreamShare(incarnation=AGAIN)
+    assert state.own_load(0.0) == VmLoad(incarnation=AGAIN)
     assert not state.outcomes_at(100.0).n_all
     assert not state.pace.is_slow(100.0)
     assert not state.health.is_ejected
--- a/tests/entry/peers/peer_fleet.py
+++ b/tests/entry/peers/peer_fleet.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from quetzaldeck.decisions.load_changes import LoadChanges
-from quetzaldeck.decisions.peer_load import PeerLoad, UpstreamShare
+from quetzaldeck.decisions.peer_load import PeerLoad, VmLoad
 from quetzaldeck.decisions.relays import RelayBounds
 from quetzaldeck.entry.peers.messages import (
     LoadNews,
@@ -70,7 +70,7 @@
             bounds=bounds,
         )
         self.capacity = capacity
-        self.shares: dict[str, UpstreamShare] = {}
+        self.shares: dict[str, VmLoad] = {}
         self.peers: dict[str, PeerLoad] = {}
         self.frozen_until_ms = 0.0
         self.greeted_ms = float("-inf")
@@ -79,10 +79,10 @@
         self.heard: list[tuple[float, LoadNews]] = []
         self._changes = LoadChanges()
 
-    def total(self, upstream: str, now_ms: float) -> UpstreamShare:
+    def total(self, upstream: str, now_ms: float) -> VmLoad:
         """:returns: what it believes that the others have at an upstream"""
         load = self.peers.get(upstream)
-        return UpstreamShare() if load is None else load.total(now_ms)
+        return VmLoad() if load is None else load.total(now_ms)
 
     def tell(self, now_ms: float) -> None:
         """Tell what has changed."""
@@ -190,14 +190,14 @@
         counts, self._counts = self._counts, Counts(0, 0, 0)
         return counts
 
-    def expected(self, address: str, upstream: str) -> UpstreamShare:
+    def expected(self, address: str, upstream: str) -> VmLoad:
         """:returns: what the other VMs have at an upstream"""
         shares = [
-            vm.shares.get(upstream, UpstreamShare())
+            vm.shares.get(upstream, VmLoad())
             for vm in self.vms.values()
             if vm.address != address
         ]
-        return UpstreamShare(
+        return VmLoad(
             sum(share.n_requests for share in shares),
             sum(share.n_prefill_tokens for share in shares),
             sum(share.n_kv_tokens for share in shares),
--- a/tests/entry/peers/telling_cost.py
+++ b/tests/entry/peers/telling_cost.py
@@ -13,7 +13,7 @@
 import click
 from tests.entry.peers.peer_fleet import PeerFleet
 
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.relays import RelayBounds
 
 SIZES = (7, 30, 77, 195, 300, 410)
@@ -55,7 +55,7 @@
     def __init__(self, fleet: PeerFleet, seed: int) -> None:
         self._fleet = fleet
         self._random_state = random.Random(seed)
-        self._events: list[tuple[float, str, str, UpstreamShare]] = []
+        self._events: list[tuple[float, str, str, VmLoad]] = []
         self._ids = itertools.count(1)
         self.changed_ms: dict[int, float] = {}
 
@@ -66,11 +66,11 @@
         for address in self._fleet.vms:
             if self._random_state.random() < rate:
                 upstream = f"i-{self._random_state.randrange(N_ENGINES):010x}"
-                sent = UpstreamShare(1, 5_000, 0)
+                sent = VmLoad(1, 5_000, 0)
                 self._events += [
                     (now_ms, address, upstream, sent),
-                    (now_ms + FIRST_TOKEN_MS, address, upstream, UpstreamShare(1)),
-                    (now_ms + ANSWER_MS, address, upstream, UpstreamShare()),
+                    (now_ms + FIRST_TOKEN_MS, address, upstream, VmLoad(1)),
+                    (now_ms + ANSWER_MS, address, upstream, VmLoad()),
                 ]
         due = [event for event in self._events if event[0] <= now_ms]
         self._events = [event for event in self._events if event[0] > now_ms]
--- a/tests/entry/peers/test_load_news.py
+++ b/tests/entry/peers/test_load_news.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from quetzaldeck.decisions.health.outcomes import Outcomes
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.entry.peers.messages import LoadNews, build_load_news, read_load_news
 
 COUNTS = st.integers(0, 100_000)
 HUNDREDTHS = st.integers(0, 10_000).map(lambda n: n / 100)
 SHARES = st.builds(
-    UpstreamShare,
+    VmLoad,
     COUNTS,
     COUNTS,
     COUNTS,
@@ -25,7 +25,7 @@
 
 
 @given(SHARES)
-def test_share_arrives_as_it_was_told(share: UpstreamShare) -> None:
+def test_share_arrives_as_it_was_told(share: VmLoad) -> None:
     """A field that is told and not read: each VM finds what others know already."""
     wire = msgspec.json.encode(build_load_news("e0", share))
     news = msgspec.json.decode(wire, type=LoadNews)
--- a/tests/entry/peers/test_peer_node.py
+++ b/tests/entry/peers/test_peer_node.py
@@ -14,21 +14,21 @@
 )
 from tests.entry.peers.peer_fleet import PeerFleet
 
-from quetzaldeck.decisions.load_changes import REPEAT_MS
-from quetzaldeck.decisions.peer_load import FORGET_MS, UpstreamShare
+from quetzaldeck.decisions.load_changes import REFRESH_INTERVAL_MS
+from quetzaldeck.decisions.peer_load import PEER_LOAD_TTL_MS, VmLoad
 from quetzaldeck.entry.peers.messages import CrashNews, LoadNews, VmNews
 from quetzaldeck.entry.peers.news_book import NewsQueue, split_news
 
 MEET_MS = 6_000.0
 """Time in which VMs that start together know each other."""
 
-SETTLE_MS = FORGET_MS + 2 * REPEAT_MS
+SETTLE_MS = PEER_LOAD_TTL_MS + 2 * REFRESH_INTERVAL_MS
 """Time after trouble in which what is believed is true again: what was lost is
 repeated, and what a VM that died had is forgotten."""
 
-BUSY = UpstreamShare(2, 5_000, 6_000, 1)
-MORE = UpstreamShare(3, 9_000, 9_000, 1)
-IDLE = UpstreamShare()
+BUSY = VmLoad(2, 5_000, 6_000, 1)
+MORE = VmLoad(3, 9_000, 9_000, 1)
+IDLE = VmLoad()
 
 
 def make_fleet(n_vms: int, **kwargs: float) -> PeerFleet:
@@ -138,7 +138,7 @@
     fleet.run(2_000.0)
     for vm in fleet.vms.values():
         vm.shares["e0"] = BUSY
-    fleet.run(FORGET_MS)
+    fleet.run(PEER_LOAD_TTL_MS)
     for vm in fleet.vms.values():
         near = sum(
             (other.zone == cut) == (vm.zone == cut) for other in fleet.vms.values()
@@ -155,7 +155,7 @@
     fleet.repeat = 0.3
     vm = next(iter(fleet.vms.values()))
     for number in range(40):
-        vm.shares["e0"] = UpstreamShare(number % 3 + 1, 10 * number, 1)
+        vm.shares["e0"] = VmLoad(number % 3 + 1, 10 * number, 1)
         fleet.run(20.0)
     vm.shares["e0"] = IDLE
     fleet.run(800.0)
@@ -209,7 +209,7 @@
     def change(self, index: int, upstream: str) -> None:
         vm = self.fleet.vms[self._pick(index)]
         held = vm.shares.get(upstream, IDLE).n_requests
-        vm.shares[upstream] = UpstreamShare((held + index) % 4, index, held)
+        vm.shares[upstream] = VmLoad((held + index) % 4, index, held)
         self.fleet.run(50.0)
 
     @rule(index=st.integers(0, 99))
--- a/tests/entry/peers/test_peer_task.py
+++ b/tests/entry/peers/test_peer_task.py
@@ -14,8 +14,8 @@
 from tests.support.platform.site import PLAN_PATH, run_site
 
 from quetzaldeck.decisions.health.outcomes import Outcomes
-from quetzaldeck.decisions.load_changes import REPEAT_MS, LoadChanges
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.load_changes import REFRESH_INTERVAL_MS, LoadChanges
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.entry.peers import PeerTable, PeerTask
 from quetzaldeck.entry.peers.messages import (
     PeerMessage,
@@ -30,9 +30,9 @@
     from tests.support.platform.replica import Arrival, Connection
     from tests.support.platform.site import Site
 
-IDLE = UpstreamShare()
-BUSY = UpstreamShare(2, 5_000, 6_000, 1, Outcomes(7.25, 2.0))
-DONE = UpstreamShare(outcomes=Outcomes(8.0, 2.0))
+IDLE = VmLoad()
+BUSY = VmLoad(2, 5_000, 6_000, 1, Outcomes(7.25, 2.0))
+DONE = VmLoad(outcomes=Outcomes(8.0, 2.0))
 """Nothing runs there any more: what came of it is told once, and not repeated."""
 
 
@@ -81,8 +81,8 @@
     assert not changes.take([("e0", IDLE)], 0.0)
     assert changes.take([("e0", BUSY)], 10.0) == [("e0", BUSY)]
     assert not changes.take([("e0", BUSY)], 20.0)
-    assert changes.take([("e0", BUSY)], 10.0 + REPEAT_MS) == [("e0", BUSY)]
-    done_ms = REPEAT_MS + 400.0
+    assert changes.take([("e0", BUSY)], 10.0 + REFRESH_INTERVAL_MS) == [("e0", BUSY)]
+    done_ms = REFRESH_INTERVAL_MS + 400.0
     assert changes.take([("e0", DONE)], done_ms) == [("e0", DONE)]
     assert not changes.take([("e0", DONE)], done_ms + 7_600.0)
     assert changes.take([("e0", IDLE)], done_ms + 8_100.0) == [("e0", IDLE)]
--- a/tests/entry/test_starting.py
+++ b/tests/entry/test_starting.py
@@ -13,19 +13,19 @@
 from tests.support.platform.site import LOOK_PATH, Site, build_configuration, run_site
 from tests.support.platform.store import CONFIGURATION_KEY
 
-from quetzaldeck.decisions.admission.starting import (
-    MAX_START_WAIT_MS,
-    START_RETRY_MS,
-    start_wait_ms,
+from quetzaldeck.decisions.admission.startup_wait import (
+    MAX_STARTUP_WAIT_MS,
+    STARTUP_RETRY_AFTER_MS,
+    startup_wait_ms,
 )
 
 DEADLINE_MS = 1_500
 
 
 def test_wait_is_a_part_of_the_deadline() -> None:
-    assert start_wait_ms(900.0) == 300.0
-    assert start_wait_ms(60_000.0) == MAX_START_WAIT_MS
-    assert start_wait_ms(None) == MAX_START_WAIT_MS
+    assert startup_wait_ms(900.0) == 300.0
+    assert startup_wait_ms(60_000.0) == MAX_STARTUP_WAIT_MS
+    assert startup_wait_ms(None) == MAX_STARTUP_WAIT_MS
 
 
 def test_request_waits_for_the_first_configuration() -> None:
@@ -50,8 +50,8 @@
             LOOK_PATH, method="GET", body=None, deadline_ms=DEADLINE_MS
         )
         assert answer.status == 503
-        assert float(answer.headers["retry-after"]) * 1_000 == START_RETRY_MS
+        assert float(answer.headers["retry-after"]) * 1_000 == STARTUP_RETRY_AFTER_MS
         elapsed_ms = (time.monotonic() - began_s) * 1_000
-        assert start_wait_ms(DEADLINE_MS) <= elapsed_ms < DEADLINE_MS
+        assert startup_wait_ms(DEADLINE_MS) <= elapsed_ms < DEADLINE_MS
 
     run_site(test, publishes=False)
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -8,7 +8,7 @@
 from tests.support.platform.replica import build_head, event
 from tests.support.platform.site import PLAN_PATH, run_site
 
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.entry.settings import EntryBounds
 
 if TYPE_CHECKING:
@@ -219,7 +219,7 @@
         await site.wait(lambda: len(engines) == len(site.engines) + len(site.desks))
         now_ms = site.entry.session.state.clock.now_ms()
         for state in engines:
-            state.take_peer_share("other", UpstreamShare(1, 100_000, 100_000), now_ms)
+            state.update_peer_load("other", VmLoad(1, 100_000, 100_000), now_ms)
         answer = await site.call(PLAN_PATH)
         assert answer.body == WHOLE
         assert sum(len(engine.calls) for engine in site.engines) == 1
--- a/tests/gateway/test_dispatch_task.py
+++ b/tests/gateway/test_dispatch_task.py
@@ -8,7 +8,7 @@
 
 from quetzaldeck.bundle import Bundle, UpstreamSpec
 from quetzaldeck.decisions import Dispatch, Request
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.policies import Policies, build_scheduler
 from quetzaldeck.gateway.dispatch_task import IDLE_INTERVAL_MS, DispatchTask
 from quetzaldeck.gateway.messages import ObservePeerLoad, Submit
@@ -68,7 +68,7 @@
 
 
 def make_news(name: str, n_requests: int) -> ObservePeerLoad:
-    return ObservePeerLoad("other", ((name, UpstreamShare(n_requests)),))
+    return ObservePeerLoad("other", ((name, VmLoad(n_requests)),))
 
 
 def n_told(task: DispatchTask, name: str, clock: ManualClock) -> int:
