--- a/src/quetzaldeck/decisions/health/__init__.py
+++ b/src/quetzaldeck/decisions/health/__init__.py
@@ -5,13 +5,16 @@
 from quetzaldeck.decisions.health.bounds import HealthBounds
 from quetzaldeck.decisions.health.pool import admit_probes, list_usable
 from quetzaldeck.decisions.health.state import HealthState
-from quetzaldeck.decisions.health.upstream_health import UpstreamHealth, rate_latency
+from quetzaldeck.decisions.health.upstream_health import (
+    UpstreamHealth,
+    compute_ms_per_token,
+)
 
 __all__ = (
     "HealthBounds",
     "HealthState",
     "UpstreamHealth",
     "admit_probes",
+    "compute_ms_per_token",
     "list_usable",
-    "rate_latency",
 )
--- a/src/quetzaldeck/decisions/health/help_refusals.py
+++ b/src/quetzaldeck/decisions/health/help_refusals.py
@@ -12,11 +12,11 @@
 
 from __future__ import annotations
 
-REFUSED_HELP_MS = 4_000.0
+HELP_REFUSAL_HOLD_MS = 4_000.0
 """Time for which an engine is not named as a helper after it refused. One that leaves
 is gone or known to leave by then; leaving out one that is not costs little."""
 
-BUSY_SHARE = 0.5
+FULL_LOAD_SHARE = 0.5
 """Part of the parts that an engine takes at a time, from which a refusal is explained
 by them: what other VMs have sent meanwhile is not known yet."""
 
@@ -33,12 +33,12 @@
         :param n_parts: parts that the engine had to read, as far as is known
         :param max_parts: parts that it reads at a time
         """
-        if n_parts < BUSY_SHARE * max_parts:
-            self._until_ms = now_ms + REFUSED_HELP_MS
+        if n_parts < FULL_LOAD_SHARE * max_parts:
+            self._until_ms = now_ms + HELP_REFUSAL_HOLD_MS
 
     def is_refusing(self, now_ms: float) -> bool:
         """:returns: whether it is not to be named"""
         return now_ms < self._until_ms
 
 
-__all__ = ("BUSY_SHARE", "REFUSED_HELP_MS", "HelpRefusals")
+__all__ = ("FULL_LOAD_SHARE", "HELP_REFUSAL_HOLD_MS", "HelpRefusals")
--- a/src/quetzaldeck/decisions/health/outcomes.py
+++ b/src/quetzaldeck/decisions/health/outcomes.py
@@ -43,7 +43,7 @@
         return Outcomes(self.n_answered * factor, self.n_failed * factor)
 
 
-class OutcomeCount:
+class DecayingOutcomes:
     """Outcomes as of the last one: a number that nothing happened to stays the same.
 
     Were it aged by the clock it would be a new number at each look, and be told to the
@@ -75,4 +75,4 @@
         return self._outcomes.age(now_ms - self._at_ms)
 
 
-__all__ = ("HALF_LIFE_MS", "OutcomeCount", "Outcomes")
+__all__ = ("HALF_LIFE_MS", "DecayingOutcomes", "Outcomes")
--- a/src/quetzaldeck/decisions/health/pace.py
+++ b/src/quetzaldeck/decisions/health/pace.py
@@ -22,7 +22,7 @@
 
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
-USUAL_PACE = 1.0
+NOMINAL_PACE = 1.0
 """What an engine reports that works at its stated speed; twice as much is half as
 fast."""
 
@@ -30,7 +30,7 @@
 """Pace from which an engine is avoided. A prompt in parts waits for its slowest reader,
 so one that takes half as long again costs more than the part that it would read."""
 
-FORGET_PACE_MS = 3_500.0
+MAX_PACE_AGE_MS = 3_500.0
 """Age at which a pace is forgotten: three reports, a second apart, may be lost."""
 
 
@@ -38,7 +38,7 @@
     """What is known of the pace of one engine."""
 
     def __init__(self) -> None:
-        self._pace = USUAL_PACE
+        self._pace = NOMINAL_PACE
         self._noted_ms = -math.inf
 
     def note(self, pace: float, now_ms: float) -> None:
@@ -48,15 +48,15 @@
 
     def at(self, now_ms: float) -> float:
         """:returns: the pace, the usual one if nothing was heard lately"""
-        is_known = now_ms - self._noted_ms <= FORGET_PACE_MS
-        return self._pace if is_known else USUAL_PACE
+        is_known = now_ms - self._noted_ms <= MAX_PACE_AGE_MS
+        return self._pace if is_known else NOMINAL_PACE
 
     def is_slow(self, now_ms: float) -> bool:
         """:returns: whether the engine should be avoided"""
         return self.at(now_ms) >= SLOW_PACE
 
 
-def list_fast(
+def exclude_slow(
     candidates: Sequence[UpstreamState], pool: Sequence[UpstreamState], now_ms: float
 ) -> list[UpstreamState]:
     """:returns: the candidates without the slowest engines of the pool
@@ -73,4 +73,4 @@
     return fast or list(candidates)
 
 
-__all__ = ("FORGET_PACE_MS", "SLOW_PACE", "USUAL_PACE", "Pace", "list_fast")
+__all__ = ("MAX_PACE_AGE_MS", "NOMINAL_PACE", "SLOW_PACE", "Pace", "exclude_slow")
--- a/src/quetzaldeck/decisions/health/partial.py
+++ b/src/quetzaldeck/decisions/health/partial_failures.py
@@ -37,7 +37,7 @@
 the load that it puts on the others."""
 
 
-def list_sound(
+def exclude_failing(
     candidates: Sequence[UpstreamState], pool: Sequence[UpstreamState], now_ms: float
 ) -> list[UpstreamState]:
     """:returns: the candidates without the worst of those that fail in part
@@ -75,4 +75,4 @@
     return outcomes.n_failed / outcomes.n_all if outcomes.n_all > 0 else 0.0
 
 
-__all__ = ("BASE_FACTOR", "MIN_EXCESS", "MIN_FAILED", "find_failing", "list_sound")
+__all__ = ("BASE_FACTOR", "MIN_EXCESS", "MIN_FAILED", "exclude_failing", "find_failing")
--- a/src/quetzaldeck/decisions/health/peer_outcomes.py
+++ b/src/quetzaldeck/decisions/health/peer_outcomes.py
@@ -8,12 +8,12 @@
 
 from __future__ import annotations
 
-from quetzaldeck.decisions.health.outcomes import OutcomeCount, Outcomes
+from quetzaldeck.decisions.health.outcomes import DecayingOutcomes, Outcomes
 
-FORGET_OUTCOMES = 0.05
+MIN_OUTCOME_WEIGHT = 0.05
 """Requests that count for less than this are forgotten, with the VM that told them."""
 
-MIN_KEPT = 16
+MIN_PRUNE_SIZE = 16
 """VMs that are kept without a look at which of them may be forgotten."""
 
 
@@ -21,23 +21,23 @@
     """The outcomes that each VM told, and their sum."""
 
     def __init__(self) -> None:
-        self._counts: dict[str, OutcomeCount] = {}
+        self._counts: dict[str, DecayingOutcomes] = {}
         self._sum = Outcomes()
         self._sum_ms = 0.0
-        self._max_kept = MIN_KEPT
+        self._prune_size = MIN_PRUNE_SIZE
 
     def __len__(self) -> int:
         return len(self._counts)
 
     def take(self, vm: str, outcomes: Outcomes, now_ms: float) -> None:
         """Take what a VM told; the same as before is as old as before."""
-        count = self._counts.setdefault(vm, OutcomeCount())
+        count = self._counts.setdefault(vm, DecayingOutcomes())
         if outcomes == count.last:
             return
         before = count.at(now_ms)
         count.replace(outcomes, now_ms)
         self._set_sum(self.at(now_ms).add(outcomes).subtract(before), now_ms)
-        if len(self._counts) > self._max_kept:
+        if len(self._counts) > self._prune_size:
             self._forget(now_ms)
 
     def at(self, now_ms: float) -> Outcomes:
@@ -49,12 +49,12 @@
         total = Outcomes()
         for vm, count in list(self._counts.items()):
             outcomes = count.at(now_ms)
-            if outcomes.n_all < FORGET_OUTCOMES:
+            if outcomes.n_all < MIN_OUTCOME_WEIGHT:
                 del self._counts[vm]
             else:
                 total = total.add(outcomes)
         self._set_sum(total, now_ms)
-        self._max_kept = max(MIN_KEPT, 2 * len(self._counts))
+        self._prune_size = max(MIN_PRUNE_SIZE, 2 * len(self._counts))
 
     def _set_sum(self, outcomes: Outcomes, now_ms: float) -> None:
         # Rounding may leave a little less than nothing.
@@ -63,4 +63,4 @@
         self._sum_ms = now_ms
 
 
-__all__ = ("FORGET_OUTCOMES", "PeerOutcomes")
+__all__ = ("MIN_OUTCOME_WEIGHT", "PeerOutcomes")
--- a/src/quetzaldeck/decisions/health/upstream_health.py
+++ b/src/quetzaldeck/decisions/health/upstream_health.py
@@ -34,7 +34,7 @@
 LATENCY_WEIGHT = 0.2
 """Weight of a new latency in the moving average: about the last ten answers."""
 
-MIN_WARMTH = 0.1
+MIN_WARM_UP_SHARE = 0.1
 """Share of the usual work for an upstream that has just come back; less would leave it
 without the answers that show that it is well."""
 MAX_SLOW_FACTOR = 8.0
@@ -101,18 +101,18 @@
         """:returns: the state; latencies are judged against the peers' median"""
         if self._ejected is not None:
             return self._ejected
-        if self.warmth(now_ms) < 1.0:
+        if self.warm_up_share(now_ms) < 1.0:
             return HealthState.WARMING
         if self.slow_factor(peer_ms_per_token, now_ms) > 1.0:
             return HealthState.SLOW
         return HealthState.HEALTHY
 
-    def warmth(self, now_ms: float) -> float:
+    def warm_up_share(self, now_ms: float) -> float:
         """:returns: share of full load that it should get, up to 1"""
         if self._warm_since_ms is None:
             return 1.0
         elapsed_ms = now_ms - self._warm_since_ms
-        return min(1.0, max(MIN_WARMTH, elapsed_ms / self._bounds.warm_up_ms))
+        return min(1.0, max(MIN_WARM_UP_SHARE, elapsed_ms / self._bounds.warm_up_ms))
 
     def slow_factor(
         self,
@@ -161,7 +161,7 @@
         elif self._ejected is not None:
             self._hold_until_ms = now_ms
 
-    def start_anew(self, now_ms: float) -> None:
+    def reset_after_restart(self, now_ms: float) -> None:
         """Forget what was seen of an earlier start, but for how often it started."""
         self._n_silent = 0
         self._n_broken = 0
@@ -220,7 +220,7 @@
         :param n_tokens: prompt tokens queued before and with it at dispatch
         """
         self._latency_ms = now_ms
-        sample = rate_latency(n_tokens, duration_ms)
+        sample = compute_ms_per_token(n_tokens, duration_ms)
         held = self._ms_per_token
         self._n_latencies += 1
         if held is None:
@@ -236,7 +236,7 @@
         """Note that an attempt is the probe of an ejected upstream."""
         self._probe_id = attempt_id
 
-    def note_gone(self, attempt_id: str) -> None:
+    def release_probe(self, attempt_id: str) -> None:
         """Forget an attempt that ended without evidence, e.g. its caller left.
 
         Otherwise the probe would count as running for ever and the upstream would
@@ -265,7 +265,7 @@
         self._hold_until_ms = max(self._hold_until_ms, due_ms)
 
 
-def rate_latency(n_tokens: int, duration_ms: float) -> float:
+def compute_ms_per_token(n_tokens: int, duration_ms: float) -> float:
     """:returns: first-token time per token, comparable between prompts"""
     return duration_ms / (n_tokens + N_TOKENS_BASE)
 
@@ -279,4 +279,4 @@
     (AttemptFault.OVERLOADED, AttemptFault.REFUSED, AttemptFault.TOO_LONG)
 )
 
-__all__ = ("UpstreamHealth", "rate_latency")
+__all__ = ("UpstreamHealth", "compute_ms_per_token")
--- a/src/quetzaldeck/decisions/placement/cost.py
+++ b/src/quetzaldeck/decisions/placement/cost.py
@@ -69,7 +69,7 @@
     cost = estimate_backlog(state, now_ms, weights)
     cost += weights.per_request
     cost += max(1.0, request.n_prompt_tokens - n_cached_tokens)
-    cost /= state.health.warmth(now_ms)
+    cost /= state.health.warm_up_share(now_ms)
     cost *= state.slow_factor(peer_ms_per_token, now_ms)
     cost += _memory_cost(request, state, weights)
     if availability_zone and state.spec.availability_zone != availability_zone:
--- a/src/quetzaldeck/decisions/placement/helper_choice.py
+++ b/src/quetzaldeck/decisions/placement/helper_choice.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.decisions.health.pace import list_fast
+from quetzaldeck.decisions.health.pace import exclude_slow
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -30,7 +30,7 @@
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> Sequence[UpstreamState]:
         """:returns: engines that may read a part of the prompt"""
-        fast = list_fast(pool, pool, now_ms)
+        fast = exclude_slow(pool, pool, now_ms)
         return self._head_of_line.restrict_helpers(request, fast, now_ms)
 
     def choose(
--- a/src/quetzaldeck/decisions/placement/placer.py
+++ b/src/quetzaldeck/decisions/placement/placer.py
@@ -11,8 +11,8 @@
 
 from quetzaldeck.decisions.groups import GroupPlanner
 from quetzaldeck.decisions.health import list_usable
-from quetzaldeck.decisions.health.pace import list_fast
-from quetzaldeck.decisions.health.partial import list_sound
+from quetzaldeck.decisions.health.pace import exclude_slow
+from quetzaldeck.decisions.health.partial_failures import exclude_failing
 from quetzaldeck.decisions.memory import InFlight
 from quetzaldeck.decisions.placement.apart import SuspectPlaces
 from quetzaldeck.decisions.placement.candidates import CandidateFilter
@@ -204,7 +204,7 @@
             state = self._table.get(name)
             if state is None:
                 continue
-            state.health.note_gone(attempt_id)
+            state.health.release_probe(attempt_id)
             if not state.discard(attempt_id):
                 self._n_double_releases += 1
 
@@ -278,8 +278,8 @@
         candidates = self._candidates.list_open(request, pool, now_ms, preferred)
         if not candidates:
             return None
-        candidates = list_sound(candidates, pool, now_ms)
-        candidates = list_fast(candidates, pool, now_ms)
+        candidates = exclude_failing(candidates, pool, now_ms)
+        candidates = exclude_slow(candidates, pool, now_ms)
         fresh = [state for state in candidates if state.spec.name not in avoided]
         return self._head_of_line.restrict(request, fresh or candidates, now_ms)
 
--- a/src/quetzaldeck/decisions/upstream_state.py
+++ b/src/quetzaldeck/decisions/upstream_state.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.decisions.health import UpstreamHealth, rate_latency
+from quetzaldeck.decisions.health import UpstreamHealth, compute_ms_per_token
 from quetzaldeck.decisions.health.help_refusals import HelpRefusals
-from quetzaldeck.decisions.health.outcomes import OutcomeCount, Outcomes
+from quetzaldeck.decisions.health.outcomes import DecayingOutcomes, Outcomes
 from quetzaldeck.decisions.health.pace import Pace
 from quetzaldeck.decisions.memory import InFlight, MemoryLedger
 from quetzaldeck.decisions.peer_load import PeerLoad, UpstreamShare
@@ -43,7 +43,7 @@
         self.health = UpstreamHealth()
         self.ledger = MemoryLedger()
         self.peers = PeerLoad()
-        self.outcomes = OutcomeCount()
+        self.outcomes = DecayingOutcomes()
         self.pace = Pace()
         self._help_refusals = HelpRefusals()
         self._incarnation = ""
@@ -66,10 +66,10 @@
             return
         self.report = None
         self.reported_ms = 0.0
-        self.health.start_anew(now_ms)
+        self.health.reset_after_restart(now_ms)
         self.ledger.lose_all()
         self.peers = PeerLoad()
-        self.outcomes = OutcomeCount()
+        self.outcomes = DecayingOutcomes()
         self.pace = Pace()
         self._help_refusals = HelpRefusals()
         self._backlog = ReadingBacklog()
@@ -217,7 +217,9 @@
         """:returns: 1 unless slow, else how many times slower than its peers"""
         pending = max(
             (
-                rate_latency(attempt.n_queued_tokens, now_ms - attempt.started_ms)
+                compute_ms_per_token(
+                    attempt.n_queued_tokens, now_ms - attempt.started_ms
+                )
                 for attempt in self.ledger
                 if attempt.n_prefill_tokens
             ),
--- a/tests/decisions/health/test_pace.py
+++ b/tests/decisions/health/test_pace.py
@@ -15,7 +15,7 @@
 from quetzaldeck.bench import run_scenario
 from quetzaldeck.bench.entry_loads import FLEETS, list_scenarios
 from quetzaldeck.bench.entry_suite import summarise_entry
-from quetzaldeck.decisions.health.pace import FORGET_PACE_MS, SLOW_PACE, Pace
+from quetzaldeck.decisions.health.pace import MAX_PACE_AGE_MS, SLOW_PACE, Pace
 from quetzaldeck.decisions.policies import ENTRY_POLICIES
 
 if TYPE_CHECKING:
@@ -56,7 +56,7 @@
     scheduler = make_entry_scheduler(clock, NAMES)
     scheduler.fleet.observe_paces([(NAMES[0], 5.0)])
     assert set(scheduler.upstreams.find_slow(clock.now_ms())) == {NAMES[0]}
-    clock.advance(FORGET_PACE_MS + 1.0)
+    clock.advance(MAX_PACE_AGE_MS + 1.0)
     assert not scheduler.upstreams.find_slow(clock.now_ms())
 
 
--- a/tests/decisions/health/test_partial.py
+++ b/tests/decisions/health/test_partial_failures.py
@@ -15,8 +15,12 @@
 from quetzaldeck.bundle import Bundle, UpstreamSpec
 from quetzaldeck.clock import ManualClock
 from quetzaldeck.decisions import AttemptEnd, AttemptFault, Dispatch, Scheduler
-from quetzaldeck.decisions.health.outcomes import HALF_LIFE_MS, OutcomeCount, Outcomes
-from quetzaldeck.decisions.health.partial import list_sound
+from quetzaldeck.decisions.health.outcomes import (
+    HALF_LIFE_MS,
+    DecayingOutcomes,
+    Outcomes,
+)
+from quetzaldeck.decisions.health.partial_failures import exclude_failing
 from quetzaldeck.decisions.policies import Policies, build_scheduler
 from quetzaldeck.decisions.upstream_state import UpstreamState
 
@@ -47,36 +51,36 @@
 
 def test_desk_that_fails_a_part_is_avoided() -> None:
     states = make_states((20, 0), (6, 4), (20, 0))
-    assert names_of(list_sound(states, states, 0.0)) == ["d0", "d2"]
+    assert names_of(exclude_failing(states, states, 0.0)) == ["d0", "d2"]
 
 
 def test_request_that_fails_everywhere_is_no_ones_fault() -> None:
     states = make_states((12, 4), (12, 5), (12, 3))
-    assert list_sound(states, states, 0.0) == states
+    assert exclude_failing(states, states, 0.0) == states
 
 
 def test_one_failure_is_no_suspicion() -> None:
     states = make_states((20, 0), (0, 1), (20, 0))
-    assert list_sound(states, states, 0.0) == states
+    assert exclude_failing(states, states, 0.0) == states
 
 
 def test_at_most_a_third_of_a_pool_is_avoided() -> None:
     states = make_states((20, 0), (5, 5), (2, 8))
-    assert names_of(list_sound(states, states, 0.0)) == ["d0", "d1"]
+    assert names_of(exclude_failing(states, states, 0.0)) == ["d0", "d1"]
 
 
 def test_failing_desk_is_used_where_no_other_has_room() -> None:
     states = make_states((20, 0), (6, 4), (20, 0))
-    assert names_of(list_sound(states[1:2], states, 0.0)) == ["d1"]
+    assert names_of(exclude_failing(states[1:2], states, 0.0)) == ["d1"]
 
 
 def test_avoided_desk_is_tried_again() -> None:
     states = make_states((20, 0), (6, 4), (20, 0))
-    assert list_sound(states, states, 1.5 * HALF_LIFE_MS) == states
+    assert exclude_failing(states, states, 1.5 * HALF_LIFE_MS) == states
 
 
 def test_outcomes_told_again_are_not_counted_as_new() -> None:
-    count = OutcomeCount()
+    count = DecayingOutcomes()
     count.replace(Outcomes(4.0, 2.0), 0.0)
     count.replace(Outcomes(4.0, 2.0), HALF_LIFE_MS)
     assert count.at(HALF_LIFE_MS) == Outcomes(2.0, 1.0)
--- a/tests/decisions/health/test_peer_outcomes.py
+++ b/tests/decisions/health/test_peer_outcomes.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quetzaldeck.decisions.health.outcomes import OutcomeCount, Outcomes
-from quetzaldeck.decisions.health.peer_outcomes import MIN_KEPT, PeerOutcomes
+from quetzaldeck.decisions.health.outcomes import DecayingOutcomes, Outcomes
+from quetzaldeck.decisions.health.peer_outcomes import MIN_PRUNE_SIZE, PeerOutcomes
 
 NEWS = st.tuples(
     st.integers(0, 40),
@@ -20,12 +20,12 @@
 def test_sum_is_what_all_vms_told(news: list[tuple[int, float, Outcomes]]) -> None:
     """An upstream is avoided, or not, by a sum that is not that of its VMs."""
     kept = PeerOutcomes()
-    counts: dict[int, OutcomeCount] = {}
+    counts: dict[int, DecayingOutcomes] = {}
     now_ms = 0.0
     for vm, pause_ms, outcomes in news:
         now_ms += pause_ms
         kept.take(f"vm-{vm}", outcomes, now_ms)
-        counts.setdefault(vm, OutcomeCount()).replace(outcomes, now_ms)
+        counts.setdefault(vm, DecayingOutcomes()).replace(outcomes, now_ms)
         total = Outcomes()
         for count in counts.values():
             total = total.add(count.at(now_ms))
@@ -36,9 +36,9 @@
 def test_vms_that_restart_again_and_again_are_forgotten() -> None:
     """Each run of a VM has an id of its own; a day of restarts fills the memory."""
     kept = PeerOutcomes()
-    for number in range(50 * MIN_KEPT):
+    for number in range(50 * MIN_PRUNE_SIZE):
         kept.take(f"run-{number}", Outcomes(1.0, 0.0), 10_000.0 * number)
-    assert len(kept) <= 2 * MIN_KEPT
+    assert len(kept) <= 2 * MIN_PRUNE_SIZE
 
 
 def test_told_again_is_as_old_as_before() -> None:
--- a/tests/decisions/health/test_upstream_health.py
+++ b/tests/decisions/health/test_upstream_health.py
@@ -80,7 +80,7 @@
     health = UpstreamHealth()
     health.note_fault("a", AttemptFault.CONNECT, 0.0)
     health.start_probe("p")
-    health.note_gone("p")
+    health.release_probe("p")
     assert health.may_probe(health.hold_until_ms)
 
 
--- a/tests/decisions/placement/test_refused_help.py
+++ b/tests/decisions/placement/test_refused_help.py
@@ -14,7 +14,10 @@
 from tests.support.builders import make_entry_scheduler, make_request, poll_dispatch
 
 from quetzaldeck.decisions import AttemptEnd, AttemptFault, Dispatch, Rejection
-from quetzaldeck.decisions.health.help_refusals import REFUSED_HELP_MS, HelpRefusals
+from quetzaldeck.decisions.health.help_refusals import (
+    HELP_REFUSAL_HOLD_MS,
+    HelpRefusals,
+)
 from quetzaldeck.decisions.placement.first_token import MAX_HELPERS
 
 if TYPE_CHECKING:
@@ -145,5 +148,5 @@
     """A busy engine is named no more though it has room a moment later."""
     refusals = HelpRefusals()
     refusals.note(n_parts, max_parts=5, now_ms=0.0)
-    assert refusals.is_refusing(REFUSED_HELP_MS - 1) is is_refusing
-    assert not refusals.is_refusing(REFUSED_HELP_MS)
+    assert refusals.is_refusing(HELP_REFUSAL_HOLD_MS - 1) is is_refusing
+    assert not refusals.is_refusing(HELP_REFUSAL_HOLD_MS)
