--- a/src/quetzaldeck/decisions/fleet_observer.py
+++ b/src/quetzaldeck/decisions/fleet_observer.py
@@ -103,7 +103,7 @@
 
     def take_crash_news(self) -> list[tuple[CrashSighting, ...]]:
         """:returns: by request, what other VMs should know of it and crashes"""
-        return self._poison.take_news(self._clock.now_ms())
+        return self._poison.pop_changed_sightings(self._clock.now_ms())
 
 
 __all__ = ("FleetObserver",)
--- a/src/quetzaldeck/decisions/poison/__init__.py
+++ b/src/quetzaldeck/decisions/poison/__init__.py
@@ -3,16 +3,20 @@
 from __future__ import annotations
 
 from quetzaldeck.decisions.poison.bounds import PoisonBounds
-from quetzaldeck.decisions.poison.news import CrashNews, decode_news, encode_news
+from quetzaldeck.decisions.poison.crash_record import (
+    CrashRecord,
+    decode_crash_record,
+    encode_crash_record,
+)
 from quetzaldeck.decisions.poison.registry import PoisonRegistry, Verdict
 from quetzaldeck.decisions.poison.sighting import CrashSighting
 
 __all__ = (
-    "CrashNews",
+    "CrashRecord",
     "CrashSighting",
     "PoisonBounds",
     "PoisonRegistry",
     "Verdict",
-    "decode_news",
-    "encode_news",
+    "decode_crash_record",
+    "encode_crash_record",
 )
--- a/src/quetzaldeck/decisions/poison/bounds.py
+++ b/src/quetzaldeck/decisions/poison/bounds.py
@@ -21,7 +21,7 @@
         out some of its travelling time
     :param same_crash_ms: sightings on one engine within this time are of one crash,
         though some name its incarnation by an older report
-    :param share_ms: pause before a suspect runs again, in which the other VMs learn
+    :param propagation_ms: pause before a suspect runs again, in which the other VMs learn
         of the crash
     :param max_fingerprints: requests held
     :param max_crashes_held: crashes held
@@ -33,7 +33,7 @@
     forget_ms: float = 600_000.0
     alive_margin_ms: float = 3_000.0
     same_crash_ms: float = 3_000.0
-    share_ms: float = 500.0
+    propagation_ms: float = 500.0
     max_fingerprints: int = 10_000
     max_crashes_held: int = 1_000
 
--- a/src/quetzaldeck/decisions/poison/news.py
+++ b/src/quetzaldeck/decisions/poison/crash_record.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_CRASHES_TOLD = 8
+MAX_CRASHES_IN_RECORD = 8
 """Crashes told of one request; more than the bound after which it is refused."""
 
 
-class SeenCrash(NamedTuple):
+class CrashObservation(NamedTuple):
     """One crash with a request on board.
 
     :param age_ms: time since it was seen when the record was made
@@ -26,29 +26,31 @@
     age_ms: float
 
 
-class CrashNews(NamedTuple):
+class CrashRecord(NamedTuple):
     """What one VM knows of one request.
 
     :param cleared_age_ms: time since an engine answered it; ``None``: it did not
     """
 
-    crashes: tuple[SeenCrash, ...] = ()
+    crashes: tuple[CrashObservation, ...] = ()
     cleared_age_ms: float | None = None
 
 
-def encode_news(sightings: Iterable[CrashSighting]) -> CrashNews:
+def encode_crash_record(sightings: Iterable[CrashSighting]) -> CrashRecord:
     """:returns: the sightings of one fingerprint, newest first"""
     ordered = sorted(sightings, key=_age)
     crashes = [
-        SeenCrash(item.upstream, item.incarnation, item.age_ms)
+        CrashObservation(item.upstream, item.incarnation, item.age_ms)
         for item in ordered
         if item.upstream
     ]
     cleared = [item.age_ms for item in ordered if not item.upstream]
-    return CrashNews(tuple(crashes[:MAX_CRASHES_TOLD]), cleared[0] if cleared else None)
+    return CrashRecord(
+        tuple(crashes[:MAX_CRASHES_IN_RECORD]), cleared[0] if cleared else None
+    )
 
 
-def decode_news(
+def decode_crash_record(
     fingerprint: int, value: object, travelled_ms: float
 ) -> tuple[CrashSighting, ...]:
     """Read the value of a record.
@@ -57,7 +59,7 @@
     :returns: its sightings; none if another release wrote it in another form
     """
     try:
-        news = msgspec.convert(value, CrashNews, strict=False)
+        news = msgspec.convert(value, CrashRecord, strict=False)
     except msgspec.ValidationError:
         return ()
     sightings = [
@@ -76,4 +78,9 @@
     return sighting.age_ms
 
 
-__all__ = ("CrashNews", "SeenCrash", "decode_news", "encode_news")
+__all__ = (
+    "CrashObservation",
+    "CrashRecord",
+    "decode_crash_record",
+    "encode_crash_record",
+)
--- a/src/quetzaldeck/decisions/poison/registry.py
+++ b/src/quetzaldeck/decisions/poison/registry.py
@@ -57,7 +57,7 @@
     def __init__(self, bounds: PoisonBounds | None = None) -> None:
         self._bounds = bounds or PoisonBounds()
         self._crashes: OrderedDict[int, dict[_Crash, float]] = OrderedDict()
-        self._aboard: dict[_Crash, set[int]] = {}
+        self._requests_by_crash: dict[_Crash, set[int]] = {}
         self._cleared: OrderedDict[int, float] = OrderedDict()
         self._seen_ms: OrderedDict[_Crash, float] = OrderedDict()
         self._changed: set[int] = set()
@@ -82,12 +82,12 @@
             return 0
         oldest_ms = now_ms - self._bounds.forget_ms
         recent = [crash for crash, seen_ms in crashes.items() if seen_ms >= oldest_ms]
-        return sum(len(crashes) >= self._worst_record(crash) for crash in recent)
+        return sum(len(crashes) >= self._max_crashes_on(crash) for crash in recent)
 
     def verdict(self, fingerprint: int, now_ms: float) -> Verdict:
         """:returns: whether a request runs freely, apart, or not at all"""
         n_crashes = self.n_crashes(fingerprint, now_ms)
-        if n_crashes >= self._n_allowed(fingerprint, n_crashes):
+        if n_crashes >= self._crash_limit(fingerprint, n_crashes):
             return Verdict.REFUSED
         return Verdict.SUSPECT if n_crashes else Verdict.CLEAR
 
@@ -95,7 +95,7 @@
         """:returns: requests that were on board of a crash, by verdict"""
         return Counter(self.verdict(item, now_ms) for item in self._crashes)
 
-    def take_refused(self, now_ms: float) -> list[int]:
+    def pop_newly_refused(self, now_ms: float) -> list[int]:
         """:returns: requests of which more was heard since last asked, now refused"""
         heard = sorted(self._heard)
         self._heard.clear()
@@ -110,7 +110,7 @@
         if self.verdict(fingerprint, now_ms) is not Verdict.SUSPECT:
             return 0.0
         last_ms = max(self._crashes[fingerprint].values())
-        return max(0.0, last_ms + self._bounds.share_ms - now_ms)
+        return max(0.0, last_ms + self._bounds.propagation_ms - now_ms)
 
     def retry_after_ms(self, fingerprint: int, now_ms: float) -> float:
         """:returns: when a refused request would be let in again"""
@@ -148,11 +148,11 @@
         """
         crash = _Crash(upstream, incarnation)
         certain_ms = measured_ms - self._bounds.alive_margin_ms
-        for fingerprint in tuple(self._aboard.get(crash, ())):
+        for fingerprint in tuple(self._requests_by_crash.get(crash, ())):
             if self._crashes[fingerprint][crash] < certain_ms:
                 self._discard(fingerprint, crash)
 
-    def take_news(self, now_ms: float) -> list[tuple[CrashSighting, ...]]:
+    def pop_changed_sightings(self, now_ms: float) -> list[tuple[CrashSighting, ...]]:
         """:returns: sightings by request, of those that changed since last asked"""
         changed = sorted(self._changed)
         self._changed.clear()
@@ -188,7 +188,7 @@
         self._heard.add(fingerprint)
         crashes = self._crashes.setdefault(fingerprint, {})
         crashes[crash] = min(seen_ms, crashes.get(crash, seen_ms))
-        self._aboard.setdefault(crash, set()).add(fingerprint)
+        self._requests_by_crash.setdefault(crash, set()).add(fingerprint)
         self._crashes.move_to_end(fingerprint)
         while len(self._crashes) > self._bounds.max_fingerprints:
             self._forget(next(iter(self._crashes)))
@@ -202,7 +202,7 @@
                 self._discard(fingerprint, crash)
         self._clear(fingerprint, cleared_ms)
 
-    def _n_allowed(self, fingerprint: int, n_crashes: int) -> int:
+    def _crash_limit(self, fingerprint: int, n_crashes: int) -> int:
         """:returns: crashes after which a request is refused"""
         if n_crashes < self._bounds.n_crashes:
             return self._bounds.n_crashes
@@ -210,13 +210,14 @@
         first_ms = min(own.values()) - self._bounds.wave_ms
         last_ms = max(own.values()) + self._bounds.wave_ms
         n_others = sum(
-            first_ms <= seen_ms <= last_ms and not self._is_among(own, crash, seen_ms)
+            first_ms <= seen_ms <= last_ms
+            and not self._is_own_crash(own, crash, seen_ms)
             for crash, seen_ms in self._seen_ms.items()
         )
         is_wave = n_others >= n_crashes - 1
         return self._bounds.max_crashes if is_wave else self._bounds.n_crashes
 
-    def _is_among(
+    def _is_own_crash(
         self, own: dict[_Crash, float], crash: _Crash, seen_ms: float
     ) -> bool:
         """:returns: whether a crash is one of a request's, perhaps by another name"""
@@ -226,8 +227,10 @@
             for other, own_ms in own.items()
         )
 
-    def _worst_record(self, crash: _Crash) -> int:
-        return max(len(self._crashes[other]) for other in self._aboard[crash])
+    def _max_crashes_on(self, crash: _Crash) -> int:
+        return max(
+            len(self._crashes[other]) for other in self._requests_by_crash[crash]
+        )
 
     def _forget(self, fingerprint: int) -> None:
         for crash in tuple(self._crashes[fingerprint]):
@@ -238,10 +241,10 @@
         del crashes[crash]
         if not crashes:
             del self._crashes[fingerprint]
-        aboard = self._aboard[crash]
+        aboard = self._requests_by_crash[crash]
         aboard.discard(fingerprint)
         if not aboard:
-            del self._aboard[crash]
+            del self._requests_by_crash[crash]
 
     def _clear(self, fingerprint: int, cleared_ms: float) -> None:
         known_ms = self._cleared.get(fingerprint, cleared_ms)
--- a/src/quetzaldeck/decisions/scheduler.py
+++ b/src/quetzaldeck/decisions/scheduler.py
@@ -275,7 +275,7 @@
 
     def _reject_poison(self, now_ms: float) -> Iterable[Rejection]:
         """Reject what waits here and has crashed too many engines elsewhere."""
-        waiting = tuple(self._waiting) if self._poison.take_refused(now_ms) else ()
+        waiting = tuple(self._waiting) if self._poison.pop_newly_refused(now_ms) else ()
         for request in waiting:
             failure = self._placer.check_poison(request, now_ms)
             if failure is not None:
--- a/src/quetzaldeck/gateway/crash_records.py
+++ b/src/quetzaldeck/gateway/crash_records.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.decisions.poison import decode_news, encode_news
+from quetzaldeck.decisions.poison import decode_crash_record, encode_crash_record
 from quetzaldeck.dissemination.record import RecordDraft
 from quetzaldeck.gateway.messages import ObserveCrashes
 
@@ -28,7 +28,7 @@
             RecordDraft(
                 CRASH_KIND,
                 f"{news[0].fingerprint:x}",
-                encode_news(news),
+                encode_crash_record(news),
                 round(self._dispatch.poison_bounds.forget_ms),
                 is_urgent=True,
             )
@@ -40,7 +40,7 @@
         forget_ms = self._dispatch.poison_bounds.forget_ms
         travelled_ms = max(0.0, forget_ms - record.remaining_ms)
         fingerprint = int(record.key, _KEY_BASE)
-        sightings = decode_news(fingerprint, record.value, travelled_ms)
+        sightings = decode_crash_record(fingerprint, record.value, travelled_ms)
         if sightings:
             self._dispatch.send(ObserveCrashes(sightings))
 
--- a/tests/decisions/poison/test_poison_registry.py
+++ b/tests/decisions/poison/test_poison_registry.py
@@ -10,8 +10,8 @@
     PoisonBounds,
     PoisonRegistry,
     Verdict,
-    decode_news,
-    encode_news,
+    decode_crash_record,
+    encode_crash_record,
 )
 from quetzaldeck.outcomes import Ran, Reason
 
@@ -71,7 +71,7 @@
     other = PoisonRegistry()
     for each in (registry, other):
         each.note_crash(POISON, "e0", "i", 0.0)
-    for news in other.take_news(10.0):
+    for news in other.pop_changed_sightings(10.0):
         registry.observe(news, 10.0)
         registry.observe(news, 10.0)
     assert registry.n_crashes(POISON, 10.0) == 1
@@ -131,7 +131,7 @@
     """VM A clears a request; VM B's older news of the crash arrive afterwards."""
     teller = PoisonRegistry()
     teller.note_crash(BYSTANDER, "e0", "i", 0.0)
-    (news,) = teller.take_news(0.0)
+    (news,) = teller.pop_changed_sightings(0.0)
     registry = PoisonRegistry()
     registry.observe(news, 0.0)
     registry.note_answered(BYSTANDER, 5.0)
@@ -143,11 +143,11 @@
     teller = PoisonRegistry()
     teller.note_crash(POISON, "e0", "i", 0.0)
     teller.note_crash(POISON, "e1", "i", 10.0)
-    (news,) = teller.take_news(20.0)
+    (news,) = teller.pop_changed_sightings(20.0)
     registry = PoisonRegistry()
-    registry.observe(decode_news(POISON, encode_news(news), 30.0), 50.0)
+    registry.observe(decode_crash_record(POISON, encode_crash_record(news), 30.0), 50.0)
     assert registry.n_crashes(POISON, 50.0) == 2
-    assert decode_news(POISON, "of another release", 0.0) == ()
+    assert decode_crash_record(POISON, "of another release", 0.0) == ()
 
 
 def test_scheduler_holds_a_suspect_that_another_vm_just_saw() -> None:
@@ -160,12 +160,12 @@
     scheduler = make_scheduler(clock, ENGINES)
     teller = PoisonRegistry()
     teller.note_crash(POISON, "e0", "i", clock.now_ms())
-    (news,) = teller.take_news(clock.now_ms())
+    (news,) = teller.pop_changed_sightings(clock.now_ms())
     scheduler.fleet.observe_crashes(news)
-    clock.advance(PoisonBounds().share_ms / 2)
+    clock.advance(PoisonBounds().propagation_ms / 2)
     scheduler.submit(make_request(now_ms=clock.now_ms(), fingerprint=POISON))
     assert scheduler.poll() == []
-    clock.advance(PoisonBounds().share_ms / 2)
+    clock.advance(PoisonBounds().propagation_ms / 2)
     assert poll_dispatch(scheduler).upstreams != ()
 
 
@@ -236,7 +236,7 @@
     poll_dispatch(scheduler)
     scheduler.submit(make_request("p", n_prompt_tokens=9_000, fingerprint=POISON))
     assert scheduler.poll() == []
-    for news in teller.take_news(clock.now_ms()):
+    for news in teller.pop_changed_sightings(clock.now_ms()):
         scheduler.fleet.observe_crashes(news)
     (rejection,) = scheduler.poll()
     assert not isinstance(rejection, Dispatch)
