--- a/src/quetzaldeck/decisions/relays/__init__.py
+++ b/src/quetzaldeck/decisions/relays/__init__.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from quetzaldeck.decisions.relays.bounds import RelayBounds
-from quetzaldeck.decisions.relays.choice import RelayChoice
-from quetzaldeck.decisions.relays.receipts import Receipts
+from quetzaldeck.decisions.relays.pending_acks import PendingAcks
+from quetzaldeck.decisions.relays.relay_selector import RelaySelector
 from quetzaldeck.decisions.relays.subscribers import Subscribers
 
-__all__ = ("Receipts", "RelayBounds", "RelayChoice", "Subscribers")
+__all__ = ("PendingAcks", "RelayBounds", "RelaySelector", "Subscribers")
--- a/src/quetzaldeck/decisions/relays/bounds.py
+++ b/src/quetzaldeck/decisions/relays/bounds.py
@@ -15,7 +15,7 @@
     :param n_members_per_core: members that a relay with a whole core takes
     :param join_ms: pause between two requests of a VM to be told news
     :param n_missed_joins: requests that may be lost before a VM is told nothing more
-    :param receipt_ms: time in which a VM confirms that it was told something
+    :param ack_timeout_ms: time in which a VM confirms that it was told something
     :param n_sends: how often something is told to a VM that does not confirm it
     :param suspect_ms: a VM that did not confirm is not chosen for so long, and for
         twice as long after each further time
@@ -30,7 +30,7 @@
     n_members_per_core: float = 80.0
     join_ms: float = 500.0
     n_missed_joins: int = 3
-    receipt_ms: float = 100.0
+    ack_timeout_ms: float = 100.0
     n_sends: int = 2
     suspect_ms: float = 3_000.0
     max_suspect_ms: float = 12_000.0
--- a/src/quetzaldeck/decisions/relays/choice.py
+++ b/src/quetzaldeck/decisions/relays/relay_selector.py
@@ -40,7 +40,7 @@
     n_times: int
 
 
-class RelayChoice:
+class RelaySelector:
     """Decides for one VM.
 
     :param own: this VM's address
@@ -109,7 +109,7 @@
         ]
         self._peers = (*(r for r in relays if r != self._own), *others)
 
-    def note_silent(self, address: str, now_ms: float) -> None:
+    def note_missed_ack(self, address: str, now_ms: float) -> None:
         """Note that a VM did not confirm what it was told."""
         n_times = 1
         if address in self._suspicions:
@@ -118,7 +118,7 @@
         until_ms = now_ms + min(self._bounds.max_suspect_ms, pause_ms)
         self._suspicions[address] = _Suspicion(until_ms, n_times)
 
-    def note_answer(self, address: str) -> None:
+    def note_ack(self, address: str) -> None:
         """Note that a VM confirmed what it was told."""
         self._suspicions.pop(address, None)
 
@@ -166,4 +166,4 @@
         return rank
 
 
-__all__ = ("RelayChoice",)
+__all__ = ("RelaySelector",)
--- a/src/quetzaldeck/entry/peers/node.py
+++ b/src/quetzaldeck/entry/peers/node.py
@@ -9,9 +9,9 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from quetzaldeck.decisions.relays import (
-    Receipts,
+    PendingAcks,
     RelayBounds,
-    RelayChoice,
+    RelaySelector,
     Subscribers,
 )
 from quetzaldeck.entry.peers.messages import PeerMessage, VmNews
@@ -59,11 +59,11 @@
         self._table = table
         self._vm = vm
         self._capacity = capacity
-        self._choice = RelayChoice(
+        self._choice = RelaySelector(
             own, availability_zone, capacity=capacity, bounds=self._bounds
         )
         self._subscribers = Subscribers(self._bounds)
-        self._receipts: Receipts[PeerMessage] = Receipts(self._bounds)
+        self._pending_acks: PendingAcks[PeerMessage] = PendingAcks(self._bounds)
         self._book = NewsBook()
         self._to_members = NewsQueue()
         self._to_relays = NewsQueue()
@@ -100,7 +100,9 @@
 
     def wait_ms(self, now_ms: float) -> float:
         """:returns: time until :meth:`advance` has something to do"""
-        next_ms = min(self._receipts.next_ms(), self._joined_ms + self._bounds.join_ms)
+        next_ms = min(
+            self._pending_acks.next_ms(), self._joined_ms + self._bounds.join_ms
+        )
         if self._to_members or self._to_relays:
             next_ms = min(next_ms, self._flushed_ms + self._flush_ms)
         return max(0.0, next_ms - now_ms)
@@ -138,8 +140,8 @@
             self._send(PeerMessage(self._vm, confirmed=message.number), address)
         if message.confirmed:
             # Also after it was given up: a VM that confirms late is not gone.
-            self._receipts.confirm(message.confirmed, address)
-            self._choice.note_answer(address)
+            self._pending_acks.acknowledge(message.confirmed, address)
+            self._choice.note_ack(address)
         if message.join:
             self._take_join(message.join, message.vm, address, now_ms)
         fresh = [
@@ -259,13 +261,13 @@
 
     def _send_again(self, now_ms: float) -> None:
         """Send again what was not confirmed, in the end to another VM."""
-        for late in self._receipts.pop_late(now_ms):
+        for late in self._pending_acks.pop_overdue(now_ms):
             if late.n_sent < self._bounds.n_sends:
                 self._send_confirmed(
                     late.message, late.address, now_ms, late.n_sent + 1
                 )
                 continue
-            self._choice.note_silent(late.address, now_ms)
+            self._choice.note_missed_ack(late.address, now_ms)
             if late.address == self._choice.parent:
                 self._join(now_ms)
             if late.message.news:
@@ -274,7 +276,7 @@
     def _send_confirmed(
         self, message: PeerMessage, address: str, now_ms: float, n_sent: int = 1
     ) -> None:
-        number = self._receipts.take_number()
+        number = self._pending_acks.next_number()
         numbered = PeerMessage(
             message.vm,
             news=message.news,
@@ -282,7 +284,7 @@
             join=message.join,
             number=number,
         )
-        self._receipts.expect(number, address, numbered, now_ms, n_sent)
+        self._pending_acks.expect(number, address, numbered, now_ms, n_sent)
         self._send(numbered, address)
 
     def _send(self, message: PeerMessage, *addresses: str) -> None:
--- a/tests/decisions/relays/test_choice.py
+++ b/tests/decisions/relays/test_relay_selector.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quetzaldeck.decisions.relays import RelayBounds, RelayChoice
+from quetzaldeck.decisions.relays import RelayBounds, RelaySelector
 
 BOUNDS = RelayBounds()
 CAPACITY = 0.4
@@ -22,8 +22,8 @@
 
 def choose(
     own: str, zone: str, zones: dict[str, list[str]], now_ms: float = 0.0
-) -> RelayChoice:
-    choice = RelayChoice(own, zone, capacity=CAPACITY)
+) -> RelaySelector:
+    choice = RelaySelector(own, zone, capacity=CAPACITY)
     choice.update(leave_out(own, zones), now_ms)
     return choice
 
@@ -63,7 +63,7 @@
     relays = set()
     for vm in vms:
         others = {other: size for other, size in capacities.items() if other != vm}
-        choice = RelayChoice(vm, "z0", capacity=capacities[vm])
+        choice = RelaySelector(vm, "z0", capacity=capacities[vm])
         choice.update({"z0": others}, 0.0)
         if choice.parent is None:
             relays.add(vm)
@@ -96,14 +96,14 @@
     assert silent is not None
     now_ms = 0.0
     for pause_ms in (3_000.0, 6_000.0, 12_000.0, 12_000.0):
-        choice.note_silent(silent, now_ms)
+        choice.note_missed_ack(silent, now_ms)
         choice.update(leave_out(own, zones), now_ms + pause_ms - 1.0)
         assert choice.parent != silent
         now_ms += pause_ms
         choice.update(leave_out(own, zones), now_ms)
         assert choice.parent == silent
-    choice.note_silent(silent, now_ms)
-    choice.note_answer(silent)
+    choice.note_missed_ack(silent, now_ms)
+    choice.note_ack(silent)
     choice.update(leave_out(own, zones), now_ms)
     assert choice.parent == silent
 
@@ -117,7 +117,7 @@
     second = next(vm for vm in rest["z0"] if choose(vm, "z0", rest).parent is None)
     choice = choose(second, "z0", zones)
     assert choice.fallback is None
-    choice.note_silent(relay, 0.0)
+    choice.note_missed_ack(relay, 0.0)
     choice.update(leave_out(second, zones), 0.0)
     assert choice.parent is None
     assert choice.fallback in members
--- a/tests/decisions/relays/test_subscribers.py
+++ b/tests/decisions/relays/test_subscribers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from quetzaldeck.decisions.relays import Receipts, RelayBounds, Subscribers
+from quetzaldeck.decisions.relays import PendingAcks, RelayBounds, Subscribers
 
 BOUNDS = RelayBounds()
 
@@ -34,17 +34,17 @@
 
 
 def test_message_without_a_receipt_is_late_once() -> None:
-    receipts: Receipts[str] = Receipts()
-    first, second = receipts.take_number(), receipts.take_number()
-    receipts.expect(first, "a", "one", 0.0)
-    receipts.expect(second, "b", "two", 10.0)
-    receipts.confirm(second, "a")
-    assert len(receipts) == 2, "another VM's confirmation says nothing"
-    receipts.confirm(first, "a")
-    assert receipts.next_ms() == 10.0 + BOUNDS.receipt_ms
-    assert not receipts.pop_late(receipts.next_ms() - 1.0)
-    late = receipts.pop_late(receipts.next_ms())
+    pending: PendingAcks[str] = PendingAcks()
+    first, second = pending.next_number(), pending.next_number()
+    pending.expect(first, "a", "one", 0.0)
+    pending.expect(second, "b", "two", 10.0)
+    pending.acknowledge(second, "a")
+    assert len(pending) == 2, "another VM's confirmation says nothing"
+    pending.acknowledge(first, "a")
+    assert pending.next_ms() == 10.0 + BOUNDS.ack_timeout_ms
+    assert not pending.pop_overdue(pending.next_ms() - 1.0)
+    late = pending.pop_overdue(pending.next_ms())
     assert [(held.address, held.message, held.n_sent) for held in late] == [
         ("b", "two", 1)
     ]
-    assert receipts.next_ms() == float("inf")
+    assert pending.next_ms() == float("inf")
