--- a/src/quetzaldeck/belief/__init__.py
+++ b/src/quetzaldeck/belief/__init__.py
@@ -2,36 +2,36 @@
 
 from __future__ import annotations
 
-from quetzaldeck.belief.api import BeliefSource, HistoryGoneError, SourceError
+from quetzaldeck.belief.api import BeliefSource, HistoryDroppedError, SourceError
+from quetzaldeck.belief.belief_event import BeliefEvent
 from quetzaldeck.belief.bounds import BeliefBounds
 from quetzaldeck.belief.change_log import ChangeLog
 from quetzaldeck.belief.changes import (
     Change,
     ConfigurationRead,
-    Reading,
     ReplicaRead,
     ReplicaRemoved,
-    Undecodable,
+    SourceAnswer,
+    UndecodableEntry,
 )
 from quetzaldeck.belief.fleet_belief import FleetBelief
-from quetzaldeck.belief.note import BeliefNote
 from quetzaldeck.belief.sharing_bounds import SharingBounds
-from quetzaldeck.belief.source_choice import SourceChoice
+from quetzaldeck.belief.source_selector import SourceSelector
 
 __all__ = (
     "BeliefBounds",
-    "BeliefNote",
+    "BeliefEvent",
     "BeliefSource",
     "Change",
     "ChangeLog",
     "ConfigurationRead",
     "FleetBelief",
-    "HistoryGoneError",
-    "Reading",
+    "HistoryDroppedError",
     "ReplicaRead",
     "ReplicaRemoved",
     "SharingBounds",
-    "SourceChoice",
+    "SourceAnswer",
     "SourceError",
-    "Undecodable",
+    "SourceSelector",
+    "UndecodableEntry",
 )
--- a/src/quetzaldeck/belief/note.py
+++ b/src/quetzaldeck/belief/belief_event.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 
-class BeliefNote(NamedTuple):
+class BeliefEvent(NamedTuple):
     """What was decided on one piece of news.
 
     :param event: what happened, in snake case
@@ -18,4 +18,4 @@
     is_warning: bool = False
 
 
-__all__ = ("BeliefNote",)
+__all__ = ("BeliefEvent",)
--- a/src/quetzaldeck/belief/change_log.py
+++ b/src/quetzaldeck/belief/change_log.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.belief.changes import ReplicaRead, ReplicaRemoved, Undecodable
+from quetzaldeck.belief.changes import ReplicaRead, ReplicaRemoved, UndecodableEntry
 
 if TYPE_CHECKING:
-    from quetzaldeck.belief.changes import Reading
+    from quetzaldeck.belief.changes import SourceAnswer
 
 MAX_ENTRIES = 2_048
 """Replicas whose last change is remembered: more than twice those of the largest
@@ -28,7 +28,7 @@
         self._revisions: dict[str, int] = {}
         self._first_revision: int | None = None
 
-    def note(self, reading: Reading) -> None:
+    def note(self, reading: SourceAnswer) -> None:
         """Take what was read; a complete reading says nothing of what came before."""
         if reading.is_complete:
             self._revisions.clear()
@@ -40,7 +40,7 @@
                     replica_id = change.replica.replica_id
                 case ReplicaRemoved():
                     replica_id = change.replica_id
-                case Undecodable(replica_id=str(replica_id)):
+                case UndecodableEntry(replica_id=str(replica_id)):
                     pass
                 case _:
                     continue
--- a/src/quetzaldeck/belief/changes.py
+++ b/src/quetzaldeck/belief/changes.py
@@ -25,7 +25,7 @@
     replica_id: str
 
 
-class Undecodable(NamedTuple):
+class UndecodableEntry(NamedTuple):
     """An entry cannot be understood.
 
     What is known of the configuration stays; a replica with such an entry is gone.
@@ -41,10 +41,10 @@
     replica_id: str | None = None
 
 
-Change = ConfigurationRead | ReplicaRead | ReplicaRemoved | Undecodable
+Change = ConfigurationRead | ReplicaRead | ReplicaRemoved | UndecodableEntry
 
 
-class Reading(NamedTuple):
+class SourceAnswer(NamedTuple):
     """One answer of the source.
 
     :param revision: the source's counter of changes, as of the answer
@@ -67,8 +67,8 @@
 __all__ = (
     "Change",
     "ConfigurationRead",
-    "Reading",
     "ReplicaRead",
     "ReplicaRemoved",
-    "Undecodable",
+    "SourceAnswer",
+    "UndecodableEntry",
 )
--- a/src/quetzaldeck/belief/fleet_belief.py
+++ b/src/quetzaldeck/belief/fleet_belief.py
@@ -21,20 +21,20 @@
 
 from typing import TYPE_CHECKING
 
+from quetzaldeck.belief.belief_event import BeliefEvent
 from quetzaldeck.belief.changes import (
     ConfigurationRead,
     ReplicaRead,
     ReplicaRemoved,
-    Undecodable,
+    UndecodableEntry,
 )
 from quetzaldeck.belief.lapses import Lapses
-from quetzaldeck.belief.note import BeliefNote
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
     from quetzaldeck.belief.bounds import BeliefBounds
-    from quetzaldeck.belief.changes import Change, Reading
+    from quetzaldeck.belief.changes import Change, SourceAnswer
     from quetzaldeck.routing import Replica, RoutingConfiguration
 
 
@@ -95,7 +95,7 @@
         """
         return now_ms - self._confirmed_ms
 
-    def believes_keys(self, now_ms: float) -> bool:
+    def has_fresh_keys(self, now_ms: float) -> bool:
         """:returns: whether a request that arrives now may be let in by its key
 
         A key may have been taken away since the last reading. What arrives within the
@@ -113,8 +113,8 @@
         self._lapses.note_trouble(now_ms)
 
     def take(
-        self, reading: Reading, *, asked_ms: float, now_ms: float
-    ) -> list[BeliefNote]:
+        self, reading: SourceAnswer, *, asked_ms: float, now_ms: float
+    ) -> list[BeliefEvent]:
         """Take what the source answered.
 
         :param asked_ms: uptime at which it was asked: the answer is no older
@@ -133,7 +133,7 @@
         self._confirmed_ms = max(self._confirmed_ms, confirmed_ms)
         return [note for note in notes if note is not None]
 
-    def expire(self, now_ms: float) -> list[BeliefNote]:
+    def expire(self, now_ms: float) -> list[BeliefEvent]:
         """Give up replicas that did not come back after trouble.
 
         :returns: what was decided
@@ -143,7 +143,7 @@
             for replica_id in self._lapses.pop_ended(now_ms)
         ]
 
-    def _take_change(self, change: Change, now_ms: float) -> BeliefNote | None:
+    def _take_change(self, change: Change, now_ms: float) -> BeliefEvent | None:
         match change:
             case ConfigurationRead():
                 return self._take_configuration(change.configuration)
@@ -151,31 +151,31 @@
                 return self._take_replica(change.replica)
             case ReplicaRemoved():
                 return self._remove(change.replica_id, now_ms)
-            case Undecodable():
+            case UndecodableEntry():
                 return self._take_undecodable(change)
 
     def _take_configuration(
         self, configuration: RoutingConfiguration
-    ) -> BeliefNote | None:
+    ) -> BeliefEvent | None:
         held = 0 if self._configuration is None else self._configuration.version
         if configuration.version == held:
             return None
         fields = {"version": configuration.version, "held": held}
         if configuration.version < held:
-            return BeliefNote("configuration_older", fields, is_warning=True)
+            return BeliefEvent("configuration_older", fields, is_warning=True)
         self._configuration = configuration
         fields["n_routes"] = len(configuration.routes)
-        return BeliefNote("configuration_in_force", fields)
+        return BeliefEvent("configuration_in_force", fields)
 
-    def _take_undecodable(self, change: Undecodable) -> BeliefNote:
+    def _take_undecodable(self, change: UndecodableEntry) -> BeliefEvent:
         fields = {"key": change.key, "error": change.error}
         if change.replica_id is not None:
             held = self._replicas.pop(change.replica_id, None)
             self._lapses.note_returned(change.replica_id)
             fields["replica_gone"] = "" if held is None else change.replica_id
-        return BeliefNote("entry_undecodable", fields, is_warning=True)
+        return BeliefEvent("entry_undecodable", fields, is_warning=True)
 
-    def _take_replica(self, replica: Replica) -> BeliefNote | None:
+    def _take_replica(self, replica: Replica) -> BeliefEvent | None:
         held = self._replicas.get(replica.replica_id)
         if held is not None and _is_older(replica, held):
             fields = {
@@ -183,7 +183,7 @@
                 "started_ms": replica.started_ms,
                 "held_ms": held.started_ms,
             }
-            return BeliefNote("replica_older", fields, is_warning=True)
+            return BeliefEvent("replica_older", fields, is_warning=True)
         has_returned = self._lapses.note_returned(replica.replica_id)
         if held == replica and not has_returned:
             return None
@@ -196,13 +196,13 @@
         }
         if held is not None and held.started_ms != replica.started_ms:
             fields["started_ms"] = replica.started_ms
-            return BeliefNote("replica_restarted", fields)
+            return BeliefEvent("replica_restarted", fields)
         if has_returned:
-            return BeliefNote("replica_returned", fields)
+            return BeliefEvent("replica_returned", fields)
         event = "replica_added" if held is None else "replica_changed"
-        return BeliefNote(event, fields)
+        return BeliefEvent(event, fields)
 
-    def _remove(self, replica_id: str, now_ms: float) -> BeliefNote | None:
+    def _remove(self, replica_id: str, now_ms: float) -> BeliefEvent | None:
         held = self._replicas.get(replica_id)
         if held is None:
             return None
@@ -211,12 +211,12 @@
         )
         if has_lapsed:
             fields = {"replica": replica_id, "n_lapsed": len(self._lapses)}
-            return BeliefNote("replica_lapsed", fields)
+            return BeliefEvent("replica_lapsed", fields)
         return self._drop(replica_id, "entry removed")
 
     def _remove_absent(
-        self, reading: Reading, now_ms: float
-    ) -> list[BeliefNote | None]:
+        self, reading: SourceAnswer, now_ms: float
+    ) -> list[BeliefEvent | None]:
         present = {
             change.replica.replica_id
             for change in reading.changes
@@ -228,11 +228,11 @@
             if replica_id not in present
         ]
 
-    def _drop(self, replica_id: str, why: str) -> BeliefNote:
+    def _drop(self, replica_id: str, why: str) -> BeliefEvent:
         replica = self._replicas.pop(replica_id, None)
         service = "" if replica is None else replica.service
         fields = {"replica": replica_id, "service": service, "why": why}
-        return BeliefNote("replica_gone", fields)
+        return BeliefEvent("replica_gone", fields)
 
 
 def _is_older(replica: Replica, held: Replica) -> bool:
--- a/src/quetzaldeck/belief/lapses.py
+++ b/src/quetzaldeck/belief/lapses.py
@@ -77,7 +77,7 @@
         """
         if replica_id in self._lapses:
             return True
-        if now_ms - self._trouble_ms > self._bounds.return_ms:
+        if now_ms - self._trouble_ms > self._bounds.reregistration_ms:
             return False
         is_outage = now_ms - confirmed_ms > self._bounds.leaving_ms
         since_ms = now_ms if is_outage else confirmed_ms
--- a/src/quetzaldeck/belief/source_choice.py
+++ b/src/quetzaldeck/belief/source_selector.py
@@ -40,7 +40,7 @@
 """VMs whose place in the order is remembered: ten times the largest fleet planned."""
 
 
-class SourceChoice:
+class SourceSelector:
     """Decides on the next question of one VM.
 
     :param own: this VM's address
@@ -69,7 +69,7 @@
         self._n_vms = 1
 
     @property
-    def is_source_away(self) -> bool:
+    def is_source_failing(self) -> bool:
         """:returns: whether the source failed when it was asked last"""
         return self._n_source_errors > 0
 
@@ -83,23 +83,23 @@
         others: Collection[str],
         now_ms: float,
         *,
-        unheard: Collection[str] = (),
+        seeds: Collection[str] = (),
     ) -> str | None:
         """Choose whom to ask.
 
         :param neighbours: other VMs of this availability zone
         :param others: VMs of other zones, or of an unknown one
-        :param unheard: addresses where VMs may be, asked only if the source fails
+        :param seeds: addresses where VMs may be, asked only if the source fails
         :returns: a VM's address; ``None``: the source
         """
         watchers = self.list_watchers(neighbours, others, now_ms)
         self._is_watcher = self._own in watchers
         self._n_vms = 1 + len(neighbours) + len(others)
-        if self.is_source_away and now_ms < self._get_retry_ms():
-            return self._choose_helper(watchers, {*neighbours, *others}, unheard)
-        if self._must_ask_source or self.is_source_away or self._is_watcher:
+        if self.is_source_failing and now_ms < self._get_retry_ms():
+            return self._choose_any_vm(watchers, {*neighbours, *others}, seeds)
+        if self._must_ask_source or self.is_source_failing or self._is_watcher:
             return None
-        return self._choose_teller(watchers, neighbours)
+        return self._choose_watcher(watchers, neighbours)
 
     def list_watchers(
         self, neighbours: Collection[str], others: Collection[str], now_ms: float
@@ -136,7 +136,7 @@
         pause_ms *= self._random_state.uniform(0.5, 1.0)
         self._source_retry_ms = now_ms + max(self._bounds.retry_ms, pause_ms)
 
-    def note_told(self, address: str, age_ms: float, now_ms: float) -> bool:
+    def note_peer_answer(self, address: str, age_ms: float, now_ms: float) -> bool:
         """Note what a VM told.
 
         News that are as young as a watcher's show that the source answers again: a VM
@@ -145,10 +145,10 @@
         :param age_ms: age of this VM's belief after it
         :returns: whether the VM is suspected of having lost the source
         """
-        is_young = age_ms <= self._bounds.max_told_age_ms
-        if self.is_source_away and is_young and not self._is_watcher:
+        is_young = age_ms <= self._bounds.max_answer_age_ms
+        if self.is_source_failing and is_young and not self._is_watcher:
             self.note_source_answer()
-        if is_young or self.is_source_away:
+        if is_young or self.is_source_failing:
             return False
         self.note_peer_error(address, now_ms)
         return True
@@ -163,7 +163,7 @@
             return self._source_failed_ms + self._bounds.retry_ms
         return self._source_retry_ms
 
-    def _choose_teller(
+    def _choose_watcher(
         self, watchers: Collection[str], neighbours: Collection[str]
     ) -> str:
         """:returns: a watcher of this zone if there are enough for it, else any
@@ -176,11 +176,11 @@
         tellers = near if suffices else tuple(watchers)
         return tellers[_rank(self._own) % len(tellers)]
 
-    def _choose_helper(
+    def _choose_any_vm(
         self,
         watchers: Collection[str],
         known: Collection[str],
-        unheard: Collection[str],
+        seeds: Collection[str],
     ) -> str | None:
         """:returns: a VM that may know more than a source that fails this one
 
@@ -189,7 +189,7 @@
         """
         untrusted = self._suspected_until_ms.keys() | {self._own}
         trusted_watchers = sorted(set(watchers) - untrusted)
-        trusted = sorted(set(known) - untrusted) or sorted(set(unheard) - untrusted)
+        trusted = sorted(set(known) - untrusted) or sorted(set(seeds) - untrusted)
         if trusted_watchers and self._random_state.random() < 0.5:
             return self._random_state.choice(trusted_watchers)
         return self._random_state.choice(trusted) if trusted else None
@@ -213,4 +213,4 @@
     return xxhash.xxh3_64_intdigest(address.encode())
 
 
-__all__ = ("SourceChoice",)
+__all__ = ("SourceSelector",)
--- a/src/quetzaldeck/decisions/poison/bounds.py
+++ b/src/quetzaldeck/decisions/poison/bounds.py
@@ -1,4 +1,4 @@
-"""Figures of the judgement on requests that crash engines."""
+"""Thresholds for detecting requests that crash engines."""
 
 from __future__ import annotations
 
@@ -6,25 +6,27 @@
 
 
 class PoisonBounds(NamedTuple):
-    """Bounds of the judgement.
-
-    :param n_crashes: engine crashes with a request on board after which it is
-        refused. Two may be chance: an ordinary day has 20 VM failures, and a request
-        lives for seconds; three of them on the same request is none.
-    :param max_crashes: the same while about as many engines crash without it: then
-        three may be chance, as they are in a wave that takes every engine
-    :param wave_ms: time around its crashes in which those of others are counted
+    """Thresholds of the detection.
+
+    :param n_crashes: a request is refused after it was running in this many engine
+        crashes. Two may be coincidence: a usual day has 20 VM failures, and a request
+        runs for seconds. Three that hit the same request are not.
+    :param max_crashes: takes the place of ``n_crashes`` while about as many engines
+        crash without the request, since three may then be coincidence, as in a series
+        of crashes that reaches every engine
+    :param wave_ms: crashes of other requests are counted from this long before the
+        first crash of a request until this long after its last
     :param forget_ms: how long a sighting counts; longer than any deadline plus the
-        time in which callers send again
-    :param alive_margin_ms: how much later than a sighting a report must have been
-        measured to refute it; the age of a report that came through other VMs leaves
-        out some of its travelling time
-    :param same_crash_ms: sightings on one engine within this time are of one crash,
-        though some name its incarnation by an older report
-    :param propagation_ms: pause before a suspect runs again, in which the other VMs learn
-        of the crash
-    :param max_fingerprints: requests held
-    :param max_crashes_held: crashes held
+        time within which callers retry
+    :param alive_margin_ms: a report refutes a crash if it was measured at least this
+        much later; the age of a report that came through other VMs omits part of its
+        network delay
+    :param same_crash_ms: sightings on one engine within this time count as one crash,
+        even if some name an older incarnation because they rest on an older report
+    :param propagation_ms: pause before a suspect runs again, so that the other VMs
+        learn of the crash first
+    :param max_fingerprints: maximum number of requests remembered
+    :param max_crashes_held: maximum number of crashes remembered
     """
 
     n_crashes: int = 3
--- a/src/quetzaldeck/entry/admission.py
+++ b/src/quetzaldeck/entry/admission.py
@@ -50,12 +50,12 @@
     path: str,
     *,
     now_ms: float,
-    believes_keys: bool,
+    has_fresh_keys: bool,
     random_state: random.Random,
 ) -> Admitted | Failure:
     """Decide on a request that arrived.
 
-    :param believes_keys: whether the list of keys is fresh enough
+    :param has_fresh_keys: whether the list of keys is fresh enough
     :returns: its terms, or the refusal
     """
     route = view.routes.find(host, path)
@@ -64,7 +64,7 @@
     customer = ""
     priority = route.priority
     if view.keys is not None and not route.is_public:
-        if not believes_keys:
+        if not has_fresh_keys:
             detail = "this VM cannot confirm keys at the moment"
             return Failure(Reason.NO_BUNDLE, retry_after_ms=ELSEWHERE_MS, detail=detail)
         owner = view.keys.get(head.api_key or "")
--- a/src/quetzaldeck/entry/belief_sources.py
+++ b/src/quetzaldeck/entry/belief_sources.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.belief import SharingBounds, SourceChoice
+from quetzaldeck.belief import SharingBounds, SourceSelector
 from quetzaldeck.entry.belief_bounds import build_belief_bounds
 from quetzaldeck.entry.peers import BeliefFeed, PeerSource
 
@@ -40,7 +40,7 @@
         self._source = source
         self._feed = BeliefFeed(state.belief, state.clock)
         self._own = own
-        self._choice = SourceChoice(
+        self._choice = SourceSelector(
             own,
             self.bounds,
             random_state=state.random_state,
@@ -58,7 +58,7 @@
         return self._feed
 
     @property
-    def choice(self) -> SourceChoice:
+    def choice(self) -> SourceSelector:
         """:returns: what chooses whom to ask"""
         return self._choice
 
@@ -71,8 +71,10 @@
         """
         bounds = self._state.settings.bounds
         max_key_age_ms = build_belief_bounds(bounds).max_key_age_ms
-        shortest_ms = min(bounds.leaving_ms, bounds.configuration_ms, max_key_age_ms)
-        return SharingBounds(max(1.0, shortest_ms))
+        min_deadline_ms = min(
+            bounds.leaving_ms, bounds.configuration_ms, max_key_age_ms
+        )
+        return SharingBounds(max(1.0, min_deadline_ms))
 
     def choose(self) -> str | None:
         """:returns: the VM to ask next; ``None``: the source"""
@@ -84,7 +86,7 @@
             self.list_neighbours(),
             self._table.list_others(zone),
             self._state.clock.uptime_ms(),
-            unheard=self._table.unheard_seeds,
+            seeds=self._table.unheard_seeds,
         )
 
     def _find_capacity(self, address: str) -> float:
--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from quetzaldeck.belief import HistoryGoneError, SourceError
+from quetzaldeck.belief import HistoryDroppedError, SourceError
 from quetzaldeck.telemetry import log_event
 
 if TYPE_CHECKING:
-    from quetzaldeck.belief import BeliefNote, BeliefSource, Reading
+    from quetzaldeck.belief import BeliefEvent, BeliefSource, SourceAnswer
     from quetzaldeck.entry.belief_sources import BeliefSources
     from quetzaldeck.entry.state import EntryState
 
@@ -69,7 +69,7 @@
         try:
             hold_ms = self._sources.bounds.hold_ms(self._state.belief.age_ms(asked_ms))
             reading = await self._read(self._sources.source, hold_ms)
-        except HistoryGoneError as error:
+        except HistoryDroppedError as error:
             log_event("source_history_gone", level="WARNING", error=error)
             self._questions.labels("source", "history_gone").inc()
             self._must_read_all = True
@@ -101,19 +101,19 @@
         self._take(reading, asked_ms)
         now_ms = clock.uptime_ms()
         age_ms = self._state.belief.age_ms(now_ms)
-        if choice.note_told(address, age_ms, now_ms):
+        if choice.note_peer_answer(address, age_ms, now_ms):
             log_event("teller_is_old", level="WARNING", peer=address, age_ms=age_ms)
-        elif not choice.is_source_away:
+        elif not choice.is_source_failing:
             self._note_regained(teller=address)
         return 0.0
 
-    async def _read(self, source: BeliefSource, wait_ms: float) -> Reading:
+    async def _read(self, source: BeliefSource, wait_ms: float) -> SourceAnswer:
         if self._must_read_all:
             return await source.read_all()
         revision = self._state.belief.revision
         return await source.wait_for_changes(revision, round(wait_ms))
 
-    def _take(self, reading: Reading, asked_ms: float) -> None:
+    def _take(self, reading: SourceAnswer, asked_ms: float) -> None:
         belief = self._state.belief
         now_ms = self._state.clock.uptime_ms()
         notes = belief.take(reading, asked_ms=asked_ms, now_ms=now_ms)
@@ -121,7 +121,7 @@
         self._note(notes)
         self._sources.feed.note(reading)
 
-    def _note(self, notes: list[BeliefNote]) -> None:
+    def _note(self, notes: list[BeliefEvent]) -> None:
         """Log what was decided and put it in force."""
         for note in notes:
             level = "WARNING" if note.is_warning else "INFO"
--- a/src/quetzaldeck/entry/handler.py
+++ b/src/quetzaldeck/entry/handler.py
@@ -118,7 +118,7 @@
             http_request.host,
             http_request.rel_url.raw_path,
             now_ms=arrived_ms,
-            believes_keys=self._state.believes_keys,
+            has_fresh_keys=self._state.has_fresh_keys,
             random_state=self._state.random_state,
         )
         if isinstance(admitted, Failure):
--- a/src/quetzaldeck/entry/peers/belief_feed.py
+++ b/src/quetzaldeck/entry/peers/belief_feed.py
@@ -9,7 +9,7 @@
 from quetzaldeck.entry.peers.belief_news import BeliefNews
 
 if TYPE_CHECKING:
-    from quetzaldeck.belief import FleetBelief, Reading
+    from quetzaldeck.belief import FleetBelief, SourceAnswer
     from quetzaldeck.clock import Clock
 
 
@@ -25,7 +25,7 @@
         self._log = ChangeLog()
         self._changed = asyncio.Event()
 
-    def note(self, reading: Reading) -> None:
+    def note(self, reading: SourceAnswer) -> None:
         """Take what this VM has just read, and wake the VMs that wait for news."""
         self._log.note(reading)
         if reading.changes:
--- a/src/quetzaldeck/entry/peers/belief_news.py
+++ b/src/quetzaldeck/entry/peers/belief_news.py
@@ -7,9 +7,9 @@
 from quetzaldeck.belief import (
     Change,
     ConfigurationRead,
-    Reading,
     ReplicaRead,
     ReplicaRemoved,
+    SourceAnswer,
 )
 from quetzaldeck.routing import Replica, RoutingConfiguration
 
@@ -40,14 +40,14 @@
     removed: tuple[str, ...] = ()
     trouble_age_ms: float | None = None
 
-    def translate(self) -> Reading:
+    def translate(self) -> SourceAnswer:
         """:returns: the news as any source of belief gives them"""
         changes: list[Change] = []
         if self.configuration is not None:
             changes.append(ConfigurationRead(self.configuration))
         changes.extend(ReplicaRead(replica) for replica in self.replicas)
         changes.extend(ReplicaRemoved(replica_id) for replica_id in self.removed)
-        return Reading(
+        return SourceAnswer(
             self.revision,
             tuple(changes),
             is_complete=self.is_complete,
--- a/src/quetzaldeck/entry/peers/belief_source.py
+++ b/src/quetzaldeck/entry/peers/belief_source.py
@@ -7,7 +7,7 @@
 import aiohttp
 import msgspec
 
-from quetzaldeck.belief import BeliefSource, Reading, SourceError
+from quetzaldeck.belief import BeliefSource, SourceAnswer, SourceError
 from quetzaldeck.entry.peers.belief_news import (
     AFTER_FIELD,
     BELIEF_PATH,
@@ -43,15 +43,15 @@
         self._version = version
         self._answer_ms = answer_ms
 
-    async def read_all(self) -> Reading:
+    async def read_all(self) -> SourceAnswer:
         """Read all that the other VM believes; see the base class."""
         return await self._ask(NOTHING_KNOWN, 0)
 
-    async def wait_for_changes(self, revision: int, wait_ms: int) -> Reading:
+    async def wait_for_changes(self, revision: int, wait_ms: int) -> SourceAnswer:
         """Wait for changes of the other VM's belief; see the base class."""
         return await self._ask(revision, wait_ms)
 
-    async def _ask(self, revision: int, wait_ms: int) -> Reading:
+    async def _ask(self, revision: int, wait_ms: int) -> SourceAnswer:
         params = {
             AFTER_FIELD: str(revision),
             VERSION_FIELD: str(self._version),
--- a/src/quetzaldeck/entry/state.py
+++ b/src/quetzaldeck/entry/state.py
@@ -77,15 +77,15 @@
         return self._view
 
     @property
-    def believes_keys(self) -> bool:
+    def has_fresh_keys(self) -> bool:
         """:returns: whether the list of keys is fresh enough to let anyone in"""
-        return self.belief.believes_keys(self.clock.uptime_ms())
+        return self.belief.has_fresh_keys(self.clock.uptime_ms())
 
     @property
     def is_ready(self) -> bool:
         """:returns: whether the balancer shall send new connections"""
         return (
-            self._view is not None and not self.drain.is_leaving and self.believes_keys
+            self._view is not None and not self.drain.is_leaving and self.has_fresh_keys
         )
 
     async def wait_for_view(self, timeout_ms: float) -> RoutingView | None:
--- a/src/quetzaldeck/platform/store.py
+++ b/src/quetzaldeck/platform/store.py
@@ -12,12 +12,12 @@
     BeliefSource,
     Change,
     ConfigurationRead,
-    HistoryGoneError,
-    Reading,
+    HistoryDroppedError,
     ReplicaRead,
     ReplicaRemoved,
+    SourceAnswer,
     SourceError,
-    Undecodable,
+    UndecodableEntry,
 )
 from quetzaldeck.platform.wire_configuration import decode_configuration
 from quetzaldeck.platform.wire_replica import decode_replica
@@ -71,7 +71,7 @@
         self._client = client
         self._base = f"http://{address}"
 
-    async def read_all(self) -> Reading:
+    async def read_all(self) -> SourceAnswer:
         """Read everything; see the base class.
 
         The revision of the first page is the one to go on from: what changes while
@@ -86,16 +86,16 @@
             revision = page.at if revision is None else revision
             items.extend(page.items)
             if not page.has_more or not page.items:
-                return Reading(revision, _translate(items), is_complete=True)
+                return SourceAnswer(revision, _translate(items), is_complete=True)
             after = page.items[-1].key
 
-    async def wait_for_changes(self, revision: int, wait_ms: int) -> Reading:
+    async def wait_for_changes(self, revision: int, wait_ms: int) -> SourceAnswer:
         """Wait for events; see the base class."""
         params = {"prefix": "", "after": str(revision), "waitMs": str(wait_ms)}
         timeout_ms = wait_ms + READ_TIMEOUT_MS
         answer = await self._get("/kv-watch", params, timeout_ms, _EVENTS_DECODER)
         waited_ms = 0.0 if answer.events else float(wait_ms)
-        return Reading(answer.at, _translate(answer.events), waited_ms=waited_ms)
+        return SourceAnswer(answer.at, _translate(answer.events), waited_ms=waited_ms)
 
     async def _get(
         self,
@@ -114,7 +114,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise SourceError(f"{path}: {error!r}") from error
         if status == GONE_STATUS:
-            raise HistoryGoneError(f"{path}: the history is gone")
+            raise HistoryDroppedError(f"{path}: the history is gone")
         if status != 200:
             raise SourceError(f"{path}: status {status}")
         try:
@@ -139,7 +139,9 @@
         if is_replica:
             return ReplicaRead(decode_replica(replica_id, item.value))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        return Undecodable(item.key, str(error), replica_id if is_replica else None)
+        return UndecodableEntry(
+            item.key, str(error), replica_id if is_replica else None
+        )
     return None
 
 
--- a/tests/belief/test_change_log.py
+++ b/tests/belief/test_change_log.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from quetzaldeck.belief import ChangeLog, Reading, ReplicaRead, ReplicaRemoved
+from quetzaldeck.belief import ChangeLog, ReplicaRead, ReplicaRemoved, SourceAnswer
 from quetzaldeck.routing import Replica
 
 
-def read(revision: int, *replica_ids: str, is_complete: bool = False) -> Reading:
+def read(revision: int, *replica_ids: str, is_complete: bool = False) -> SourceAnswer:
     replicas = (
         Replica(name, "plans", f"{name}:1", "a", False, 8)  # noqa: FBT003
         for name in replica_ids
     )
     changes = tuple(ReplicaRead(replica) for replica in replicas)
-    return Reading(revision, changes, is_complete=is_complete)
+    return SourceAnswer(revision, changes, is_complete=is_complete)
 
 
 def test_nothing_is_known_before_everything_was_read() -> None:
@@ -25,7 +25,7 @@
     log = ChangeLog()
     log.note(read(5, "r1", "r2", is_complete=True))
     log.note(read(7, "r1"))
-    log.note(Reading(9, (ReplicaRemoved("r2"),)))
+    log.note(SourceAnswer(9, (ReplicaRemoved("r2"),)))
     log.note(read(11, "r1"))
     assert log.list_changed(4) is None, "before all was read anything may have changed"
     assert log.list_changed(5) == ("r2", "r1")
--- a/tests/belief/test_fleet_belief.py
+++ b/tests/belief/test_fleet_belief.py
@@ -12,10 +12,10 @@
     BeliefBounds,
     ConfigurationRead,
     FleetBelief,
-    Reading,
     ReplicaRead,
     ReplicaRemoved,
-    Undecodable,
+    SourceAnswer,
+    UndecodableEntry,
 )
 from quetzaldeck.routing import Replica, RoutingConfiguration
 
@@ -23,7 +23,7 @@
     from quetzaldeck.belief import Change
 
 BOUNDS = BeliefBounds(
-    key_revocation_ms=5_000, leaving_ms=2_000, hush_ms=1_000, margin_ms=200
+    key_revocation_ms=5_000, leaving_ms=2_000, source_staleness_ms=1_000, margin_ms=200
 )
 
 
@@ -41,7 +41,7 @@
     now_ms: float = 0.0,
     is_complete: bool = False,
 ) -> list[str]:
-    reading = Reading(belief.revision + 1, changes, is_complete=is_complete)
+    reading = SourceAnswer(belief.revision + 1, changes, is_complete=is_complete)
     notes = belief.take(reading, asked_ms=now_ms, now_ms=now_ms)
     return [note.event for note in notes]
 
@@ -64,34 +64,34 @@
     old as the question, not as the answer.
     """
     belief = FleetBelief(BOUNDS)
-    belief.take(Reading(2, (configure(1),)), asked_ms=1_000, now_ms=3_500)
+    belief.take(SourceAnswer(2, (configure(1),)), asked_ms=1_000, now_ms=3_500)
     assert belief.age_ms(3_500) == 2_500
 
 
 def test_question_that_was_held_confirms_up_to_its_end() -> None:
     belief = FleetBelief(BOUNDS)
-    belief.take(Reading(2, (), waited_ms=1_000), asked_ms=0, now_ms=1_050)
+    belief.take(SourceAnswer(2, (), waited_ms=1_000), asked_ms=0, now_ms=1_050)
     assert belief.age_ms(1_050) == 50
 
 
 def test_question_that_was_cut_short_confirms_only_its_begin() -> None:
     belief = FleetBelief(BOUNDS)
-    belief.take(Reading(2, (), waited_ms=1_000), asked_ms=0, now_ms=400)
+    belief.take(SourceAnswer(2, (), waited_ms=1_000), asked_ms=0, now_ms=400)
     assert belief.age_ms(400) == 400
 
 
 def test_keys_are_believed_within_the_bound_less_what_the_source_may_hide() -> None:
     belief = FleetBelief(BOUNDS)
-    assert not belief.believes_keys(0)
+    assert not belief.has_fresh_keys(0)
     take(belief, configure(1), now_ms=0)
-    assert belief.believes_keys(3_800)
-    assert not belief.believes_keys(3_801)
+    assert belief.has_fresh_keys(3_800)
+    assert not belief.has_fresh_keys(3_801)
 
 
 def test_answers_that_arrive_out_of_order_do_not_make_belief_older() -> None:
     belief = FleetBelief(BOUNDS)
     take(belief, now_ms=2_000)
-    belief.take(Reading(3, ()), asked_ms=500, now_ms=2_100)
+    belief.take(SourceAnswer(3, ()), asked_ms=500, now_ms=2_100)
     assert belief.age_ms(2_100) == 100
 
 
@@ -173,7 +173,7 @@
     others = ReplicaRead(make_replica("r2"))
     take(belief, ReplicaRead(make_replica()), others, configure(1))
     belief.note_trouble(9_900)
-    change = Undecodable("servers/r1", "no address", "r1")
+    change = UndecodableEntry("servers/r1", "no address", "r1")
     events = take(belief, change, others, now_ms=10_000, is_complete=is_complete)
     assert events == ["entry_undecodable"]
     assert set(belief.replicas) == {"r2"}
@@ -184,7 +184,7 @@
 def test_configuration_that_cannot_be_read_leaves_the_one_in_force() -> None:
     belief = FleetBelief(BOUNDS)
     take(belief, configure(1), ReplicaRead(make_replica()))
-    change = Undecodable("op/config", "no version")
+    change = UndecodableEntry("op/config", "no version")
     assert take(belief, change) == ["entry_undecodable"]
     assert belief.configuration is not None
     assert set(belief.replicas) == {"r1"}
--- a/tests/belief/test_sharing_bounds.py
+++ b/tests/belief/test_sharing_bounds.py
@@ -6,7 +6,9 @@
 
 from quetzaldeck.belief import SharingBounds
 
-BOUNDS = [SharingBounds(shortest_ms) for shortest_ms in (400.0, 2_000.0, 3_800.0)]
+BOUNDS = [
+    SharingBounds(min_deadline_ms) for min_deadline_ms in (400.0, 2_000.0, 3_800.0)
+]
 
 
 @pytest.mark.parametrize("bounds", BOUNDS)
@@ -14,7 +16,7 @@
     bounds: SharingBounds,
 ) -> None:
     """Guards against a call of each VM, since a healthy watcher tells old news."""
-    oldest_ms = bounds.max_told_age_ms - bounds.wait_ms
+    oldest_ms = bounds.max_answer_age_ms - bounds.wait_ms
     for tenth in range(11):
         changed_ms = bounds.source_wait_ms * tenth / 10
         asked_again_ms = changed_ms + bounds.batch_ms
--- a/tests/belief/test_source_choice.py
+++ b/tests/belief/test_source_selector.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from quetzaldeck.belief import SharingBounds, SourceChoice
+from quetzaldeck.belief import SharingBounds, SourceSelector
 
 BOUNDS = SharingBounds(2_000.0)
 N_ZONES = 5
 FRESH_MS = 300.0
 SMALL = 0.12
 LARGE = 0.5
-OLD_MS = BOUNDS.max_told_age_ms + 1
+OLD_MS = BOUNDS.max_answer_age_ms + 1
 
 
 class Fleet:
@@ -40,8 +40,8 @@
     def ask_all(self, now_ms: float) -> dict[str, str | None]:
         return {own: self.ask(own, now_ms) for own in self.vms}
 
-    def _make_choice(self, own: str) -> SourceChoice:
-        return SourceChoice(
+    def _make_choice(self, own: str) -> SourceSelector:
+        return SourceSelector(
             own,
             BOUNDS,
             random_state=random.Random(own),
@@ -53,8 +53,8 @@
     return vm.split(".")[1]
 
 
-def make_lone_choice() -> SourceChoice:
-    return SourceChoice(
+def make_lone_choice() -> SourceSelector:
+    return SourceSelector(
         "10.0.0.1",
         BOUNDS,
         random_state=random.Random(0),
@@ -148,11 +148,11 @@
     fleet = Fleet(40)
     own, teller = find_follower(fleet, is_near=True)
     choice = fleet.choices[own]
-    assert not choice.note_told(teller, FRESH_MS, 100.0)
-    assert choice.note_told(teller, OLD_MS, 200.0)
+    assert not choice.note_peer_answer(teller, FRESH_MS, 100.0)
+    assert choice.note_peer_answer(teller, OLD_MS, 200.0)
     assert fleet.ask(own, 200.0) is None
-    worst_ms = BOUNDS.max_told_age_ms + BOUNDS.wait_ms + BOUNDS.answer_ms
-    assert worst_ms < BOUNDS.shortest_ms * 0.9
+    worst_ms = BOUNDS.max_answer_age_ms + BOUNDS.wait_ms + BOUNDS.answer_ms
+    assert worst_ms < BOUNDS.min_deadline_ms * 0.9
 
 
 def test_vm_that_the_source_turns_away_asks_others() -> None:
@@ -174,9 +174,9 @@
     own, teller = find_follower(fleet, is_near=True)
     choice = fleet.choices[own]
     choice.note_source_error(0.0)
-    assert not choice.note_told(teller, OLD_MS, 100.0)
-    assert choice.is_source_away
-    assert not choice.note_told(teller, FRESH_MS, 200.0)
+    assert not choice.note_peer_answer(teller, OLD_MS, 100.0)
+    assert choice.is_source_failing
+    assert not choice.note_peer_answer(teller, FRESH_MS, 200.0)
     for now_ms in range(300, 30_000, 100):
         assert fleet.ask(own, float(now_ms)) is not None
 
@@ -188,17 +188,17 @@
     choice = fleet.choices[own]
     choice.note_source_error(0.0)
     assert fleet.ask(own, 1.0) is not None
-    choice.note_told(fleet.vms[-1], FRESH_MS, 100.0)
-    assert choice.is_source_away
+    choice.note_peer_answer(fleet.vms[-1], FRESH_MS, 100.0)
+    assert choice.is_source_failing
     assert fleet.ask(own, BOUNDS.retry_ms) is None
 
 
 def test_vm_that_has_met_nobody_asks_seeds_while_the_source_fails() -> None:
     choice = make_lone_choice()
     choice.note_source_error(0.0)
-    assert choice.choose((), (), 10.0, unheard=("10.0.0.2",)) == "10.0.0.2"
+    assert choice.choose((), (), 10.0, seeds=("10.0.0.2",)) == "10.0.0.2"
     choice.note_source_answer()
-    assert choice.choose((), (), 20.0, unheard=("10.0.0.2",)) is None
+    assert choice.choose((), (), 20.0, seeds=("10.0.0.2",)) is None
 
 
 def test_old_news_are_no_reason_to_suspect_a_vm_while_the_source_is_away() -> None:
@@ -207,9 +207,9 @@
     own, teller = find_follower(fleet, is_near=True)
     choice = fleet.choices[own]
     choice.note_source_error(0.0)
-    assert not choice.note_told(teller, OLD_MS, 10.0)
+    assert not choice.note_peer_answer(teller, OLD_MS, 10.0)
     choice.note_source_answer()
-    assert choice.note_told(teller, OLD_MS, 20.0)
+    assert choice.note_peer_answer(teller, OLD_MS, 20.0)
 
 
 def test_outage_costs_few_calls_and_its_end_is_noticed_by_the_watchers() -> None:
--- a/tests/entry/test_keys_and_routes.py
+++ b/tests/entry/test_keys_and_routes.py
@@ -100,7 +100,7 @@
         assert (await site.call(BOOK_PATH)).status == 200
         site.store.status = 503
         state = site.entry.session.state
-        await site.wait(lambda: not state.believes_keys)
+        await site.wait(lambda: not state.has_fresh_keys)
         answer = await site.call(BOOK_PATH)
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) == 0.0, "another VM may serve it"
--- a/tests/entry/test_sharing.py
+++ b/tests/entry/test_sharing.py
@@ -140,11 +140,11 @@
     async def test(fleet: EntryFleet) -> None:
         fleet.store.status = 503
         vms = list(fleet.vms.values())
-        await fleet.wait(lambda: not any(vm.state.believes_keys for vm in vms))
+        await fleet.wait(lambda: not any(vm.state.has_fresh_keys for vm in vms))
         await asyncio.sleep(1.0)
-        assert not any(vm.state.believes_keys for vm in vms)
+        assert not any(vm.state.has_fresh_keys for vm in vms)
         fleet.store.status = 200
-        await fleet.wait(lambda: all(vm.state.believes_keys for vm in vms))
+        await fleet.wait(lambda: all(vm.state.has_fresh_keys for vm in vms))
 
     run_fleet(test)
 
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from tests.support.platform.site import build_configuration, build_entry
 
-from quetzaldeck.belief import ReplicaRead, Undecodable
+from quetzaldeck.belief import ReplicaRead, UndecodableEntry
 from quetzaldeck.platform.store import _Item, _translate
 from quetzaldeck.platform.wire_configuration import decode_configuration
 from quetzaldeck.platform.wire_replica import decode_replica
@@ -163,6 +163,6 @@
     foreign = _Item("servers/r2", value=value)
     changes = _translate((foreign, sound))
     assert len(changes) == 2
-    assert isinstance(changes[0], Undecodable)
+    assert isinstance(changes[0], UndecodableEntry)
     assert changes[0].replica_id == "r2"
     assert changes[1] == ReplicaRead(decode_replica("r1", sound.value))
