--- a/src/quetzaldeck/entry/admission.py
+++ b/src/quetzaldeck/entry/admission.py
@@ -50,12 +50,12 @@
     path: str,
     *,
     now_ms: float,
-    are_keys_fresh: bool,
+    has_fresh_keys: bool,
     random_state: random.Random,
 ) -> Admitted | Failure:
     """Admit or refuse an incoming request.
 
-    :param are_keys_fresh: whether the key list is recent enough to authenticate with
+    :param has_fresh_keys: whether the key list is recent enough to authenticate with
     :returns: the admitted request, or the refusal
     """
     route = view.routes.find(host, path)
@@ -64,7 +64,7 @@
     customer = ""
     priority = route.priority
     if view.keys is not None and not route.is_public:
-        if not are_keys_fresh:
+        if not has_fresh_keys:
             detail = "the API key list of this VM is too old to authenticate requests"
             return Failure(
                 Reason.NO_BUNDLE, retry_after_ms=RETRY_ELSEWHERE_MS, detail=detail
--- a/src/quetzaldeck/entry/belief_sources.py
+++ b/src/quetzaldeck/entry/belief_sources.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.belief import SharingBounds, SourceChoice
+from quetzaldeck.belief import SharingBounds, SourceSelector
 from quetzaldeck.entry.belief_bounds import build_belief_bounds
 from quetzaldeck.entry.peers import BeliefFeed, PeerSource
 
@@ -40,7 +40,7 @@
         self._source = source
         self._feed = BeliefFeed(state.belief, state.clock)
         self._own_address = own_address
-        self._choice = SourceChoice(
+        self._selector = SourceSelector(
             own_address,
             self.bounds,
             random_state=state.random_state,
@@ -58,9 +58,9 @@
         return self._feed
 
     @property
-    def choice(self) -> SourceChoice:
+    def selector(self) -> SourceSelector:
         """:returns: the policy that chooses the next source to query"""
-        return self._choice
+        return self._selector
 
     @property
     def bounds(self) -> SharingBounds:
@@ -71,20 +71,22 @@
         """
         bounds = self._state.settings.bounds
         max_key_age_ms = build_belief_bounds(bounds).max_key_age_ms
-        shortest_ms = min(bounds.leaving_ms, bounds.configuration_ms, max_key_age_ms)
-        return SharingBounds(max(1.0, shortest_ms))
+        min_deadline_ms = min(
+            bounds.leaving_ms, bounds.configuration_ms, max_key_age_ms
+        )
+        return SharingBounds(max(1.0, min_deadline_ms))
 
     def choose(self) -> str | None:
         """:returns: address of the VM to query next; ``None``: the store"""
         if not self._state.settings.peer_port:
             return None
         zone = self._state.settings.availability_zone
-        self._choice.set_bounds(self.bounds)
-        return self._choice.choose(
+        self._selector.set_bounds(self.bounds)
+        return self._selector.choose(
             self.list_neighbours(),
             self._table.list_others(zone),
             self._state.clock.uptime_ms(),
-            unheard=self._table.unheard_seeds,
+            seeds=self._table.unheard_seeds,
         )
 
     def _find_capacity(self, address: str) -> float:
--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from quetzaldeck.belief import HistoryGoneError, SourceError
+from quetzaldeck.belief import HistoryDroppedError, SourceError
 from quetzaldeck.telemetry import log_event
 
 if TYPE_CHECKING:
-    from quetzaldeck.belief import BeliefNote, BeliefSource, Reading
+    from quetzaldeck.belief import BeliefEvent, BeliefSource, SourceAnswer
     from quetzaldeck.entry.belief_sources import BeliefSources
     from quetzaldeck.entry.state import EntryState
 
@@ -53,7 +53,7 @@
         while True:
             await self._has_lapsed_replicas.wait()
             await asyncio.sleep(EXPIRY_POLL_MS / 1_000)
-            self._apply_notes(self._state.belief.expire(self._state.clock.uptime_ms()))
+            self._apply_events(self._state.belief.expire(self._state.clock.uptime_ms()))
             if not self._state.belief.n_lapsed:
                 self._has_lapsed_replicas.clear()
 
@@ -71,66 +71,66 @@
             hold_ms = self._sources.bounds.hold_ms(
                 self._state.belief.age_ms(queried_ms)
             )
-            reading = await self._read(self._sources.source, hold_ms)
-        except HistoryGoneError as error:
+            answer = await self._read(self._sources.source, hold_ms)
+        except HistoryDroppedError as error:
             log_event("source_history_gone", level="WARNING", error=error)
             self._query_counter.labels("source", "history_gone").inc()
             self._needs_full_read = True
-            self._sources.choice.note_history_gone()
+            self._sources.selector.note_history_gone()
             self._state.belief.note_trouble(clock.uptime_ms())
             return 0.0
         except SourceError as error:
             return self._handle_source_error(error)
         self._log_source_recovery(peer="")
-        self._sources.choice.note_source_answer()
+        self._sources.selector.note_source_answer()
         self._query_counter.labels("source", "answered").inc()
-        self._apply_reading(reading, queried_ms)
-        return self._sources.bounds.batch_ms if reading.changes else 0.0
+        self._apply_answer(answer, queried_ms)
+        return self._sources.bounds.batch_ms if answer.changes else 0.0
 
     async def _query_peer(self, address: str) -> float:
         """Query another VM; after any fault the next query goes to the source."""
         clock = self._state.clock
         queried_ms = clock.uptime_ms()
-        choice = self._sources.choice
+        selector = self._sources.selector
         try:
             source = self._sources.open_peer(address)
-            reading = await self._read(source, self._sources.bounds.wait_ms)
+            answer = await self._read(source, self._sources.bounds.wait_ms)
         except SourceError as error:
             log_event("teller_failed", level="WARNING", peer=address, error=error)
-            choice.note_peer_error(address, clock.uptime_ms())
+            selector.note_peer_error(address, clock.uptime_ms())
             self._query_counter.labels("vm", "failed").inc()
             return 0.0
         self._query_counter.labels("vm", "answered").inc()
-        self._apply_reading(reading, queried_ms)
+        self._apply_answer(answer, queried_ms)
         now_ms = clock.uptime_ms()
         age_ms = self._state.belief.age_ms(now_ms)
-        if choice.note_told(address, age_ms, now_ms):
+        if selector.note_peer_answer(address, age_ms, now_ms):
             log_event("teller_is_old", level="WARNING", peer=address, age_ms=age_ms)
-        elif not choice.is_source_away:
+        elif not selector.is_source_failing:
             self._log_source_recovery(peer=address)
         return 0.0
 
-    async def _read(self, source: BeliefSource, wait_ms: float) -> Reading:
+    async def _read(self, source: BeliefSource, wait_ms: float) -> SourceAnswer:
         if self._needs_full_read:
             return await source.read_all()
         revision = self._state.belief.revision
         return await source.wait_for_changes(revision, round(wait_ms))
 
-    def _apply_reading(self, reading: Reading, queried_ms: float) -> None:
+    def _apply_answer(self, answer: SourceAnswer, queried_ms: float) -> None:
         belief = self._state.belief
         now_ms = self._state.clock.uptime_ms()
-        notes = belief.take(reading, asked_ms=queried_ms, now_ms=now_ms)
+        events = belief.take(answer, asked_ms=queried_ms, now_ms=now_ms)
         self._needs_full_read = False
-        self._apply_notes(notes)
-        self._sources.feed.note(reading)
+        self._apply_events(events)
+        self._sources.feed.note(answer)
 
-    def _apply_notes(self, notes: list[BeliefNote]) -> None:
-        """Log what a reading or an expiry changed, and apply it to the state."""
-        for note in notes:
-            level = "WARNING" if note.is_warning else "INFO"
+    def _apply_events(self, events: list[BeliefEvent]) -> None:
+        """Log what an answer or an expiry changed, and apply it to the state."""
+        for event in events:
+            level = "WARNING" if event.is_warning else "INFO"
             revision = self._state.belief.revision
-            log_event(note.event, level=level, revision=revision, **note.fields)
-        if notes:
+            log_event(event.event, level=level, revision=revision, **event.fields)
+        if events:
             self._state.apply_belief()
         if self._state.belief.n_lapsed:
             self._has_lapsed_replicas.set()
@@ -148,7 +148,7 @@
         """:returns: delay before the next query, in milliseconds"""
         now_ms = self._state.clock.uptime_ms()
         self._state.belief.note_trouble(now_ms)
-        self._sources.choice.note_source_error(now_ms)
+        self._sources.selector.note_source_error(now_ms)
         self._query_counter.labels("source", "failed").inc()
         if not self._n_errors:
             age_ms = self._state.belief.age_ms(now_ms)
--- a/src/quetzaldeck/entry/call.py
+++ b/src/quetzaldeck/entry/call.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from quetzaldeck.decisions import Request
-from quetzaldeck.decisions.patience import patience_ms
+from quetzaldeck.decisions.caller_idle_timeout import infer_idle_timeout_ms
 from quetzaldeck.entry.admission import Admitted
 from quetzaldeck.entry.call_head import CallHead
 from quetzaldeck.routing import RequestKind, Route
@@ -60,18 +60,18 @@
         max_attempts=route.max_attempts,
         target_ms=route.target_latency_ms,
         max_gap_ms=route.max_gap_ms,
-        patience_ms=_patience_ms(route),
+        caller_idle_timeout_ms=_caller_idle_timeout_ms(route),
     )
 
 
-def _patience_ms(route: Route) -> float:
+def _caller_idle_timeout_ms(route: Route) -> float:
     """:returns: time without a token after which the caller disconnects
 
     0: the caller waits until its deadline.
     """
     if route.kind is not RequestKind.STREAMING:
         return 0.0
-    return patience_ms(route.target_latency_ms, route.max_gap_ms)
+    return infer_idle_timeout_ms(route.target_latency_ms, route.max_gap_ms)
 
 
 def _fingerprint(call: Call) -> int:
--- a/src/quetzaldeck/entry/pace_task.py
+++ b/src/quetzaldeck/entry/pace_task.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.clock.clock import MS_PER_SECOND
-from quetzaldeck.decisions.pace_watch import PaceWatch
+from quetzaldeck.decisions.pace_polling import PacePollPlanner
 from quetzaldeck.gateway.messages import ObservePaces
 from quetzaldeck.telemetry import log_event
 from quetzaldeck.upstreams import UpstreamError
@@ -51,7 +51,7 @@
         self._table = table
         self._publish = publish
         self._own_address = own_address
-        self._watch = PaceWatch(own_address)
+        self._planner = PacePollPlanner(own_address)
         self._unanswered: set[str] = set()
 
     async def run(self) -> None:
@@ -64,7 +64,7 @@
         engines = self._list_engines()
         self._unanswered &= engines.keys()
         zones = {name: engine.availability_zone for name, engine in engines.items()}
-        polled = self._watch.choose_asked(zones, self._list_vms())
+        polled = self._planner.choose_polled(zones, self._list_vms())
         reported = await asyncio.gather(
             *(self._read_pace(engines[name]) for name in polled)
         )
@@ -75,7 +75,7 @@
         )
         if paces:
             self._state.dispatch.send(ObservePaces(paces))
-        published = self._watch.choose_told(paces)
+        published = self._planner.choose_published(paces)
         if published:
             self._publish(published)
 
--- a/src/quetzaldeck/entry/state.py
+++ b/src/quetzaldeck/entry/state.py
@@ -81,15 +81,15 @@
         return self._view
 
     @property
-    def are_keys_fresh(self) -> bool:
+    def has_fresh_keys(self) -> bool:
         """:returns: whether the key list is recent enough to authenticate requests"""
-        return self.belief.believes_keys(self.clock.uptime_ms())
+        return self.belief.has_fresh_keys(self.clock.uptime_ms())
 
     @property
     def is_ready(self) -> bool:
         """:returns: whether the load balancer should send new connections"""
         return (
-            self._view is not None and not self.drain.is_leaving and self.are_keys_fresh
+            self._view is not None and not self.drain.is_leaving and self.has_fresh_keys
         )
 
     async def wait_for_view(self, timeout_ms: float) -> RoutingView | None:
--- a/tests/support/platform/fleet.py
+++ b/tests/support/platform/fleet.py
@@ -127,7 +127,7 @@
         vm = next(iter(self.vms.values()))
         others = [host for host in self.vms if host != vm.host]
         now_ms = vm.state.clock.uptime_ms()
-        return vm.sources.choice.list_watchers(others, (), now_ms)
+        return vm.sources.selector.list_watchers(others, (), now_ms)
 
     async def wait(
         self, is_met: Callable[[], bool], *, timeout_ms: float = 10_000
