--- a/src/quetzaldeck/entry/session.py
+++ b/src/quetzaldeck/entry/session.py
@@ -44,7 +44,7 @@
         super().__init__(clock)
         self._settings = settings
         self._own_host = parse_listen_address(settings.listen.callers).host
-        self._table: PeerTable | None = None
+        self._peer_table: PeerTable | None = None
         self._sources: BeliefSources | None = None
 
     @property
@@ -65,7 +65,7 @@
 
     async def open(self) -> None:
         """Build the state and start the tasks; see the base class."""
-        client = await self._stack.enter_async_context(aiohttp.ClientSession())
+        store_client = await self._stack.enter_async_context(aiohttp.ClientSession())
         upstreams = await self._stack.enter_async_context(
             UpstreamClient(echo_header=CALL_ID)
         )
@@ -80,30 +80,34 @@
             orders=ReplicaOrders(upstreams),
             group_bounds=ENTRY_GROUPS,
         )
-        self._table = self._build_table()
-        peer_task = self._build_peer_task(self._table)
+        self._peer_table = self._build_table()
+        peer_task = self._build_peer_task(self._peer_table)
         if self._settings.peer_port:
             run = peer_task.run(self._own_host)
             await self._stack.enter_async_context(run_tasks(run))
-        store = PlatformStore(client, self._settings.store_address)
-        peers = await self._stack.enter_async_context(aiohttp.ClientSession())
+        store = PlatformStore(store_client, self._settings.store_address)
+        peer_client = await self._stack.enter_async_context(aiohttp.ClientSession())
         self._sources = BeliefSources(
-            self._state, store, peers, self._table, own_address=self._own_host
+            self._state,
+            store,
+            peer_client,
+            self._peer_table,
+            own_address=self._own_host,
         )
-        belief = BeliefTask(self._state, self._sources)
-        paces = PaceTask(
+        belief_task = BeliefTask(self._state, self._sources)
+        pace_task = PaceTask(
             self._state,
             ReplicaReports(upstreams),
-            self._table,
+            self._peer_table,
             peer_task.tell_paces,
             own_address=self._own_host,
         )
         await self._stack.enter_async_context(
             run_tasks(
                 dispatch.run(),
-                belief.run(),
-                belief.run_expiry(),
-                paces.run(),
+                belief_task.run(),
+                belief_task.run_expiry(),
+                pace_task.run(),
                 self._state.releases.run(),
             )
         )
@@ -114,8 +118,8 @@
             log_event("settings_need_restart", level="WARNING", place="listen")
         self._settings = settings
         self.state.apply_settings(settings)
-        if self._table is not None:
-            self._table.set_seeds(_seed_hosts(settings))
+        if self._peer_table is not None:
+            self._peer_table.set_seeds(_seed_hosts(settings))
 
     def _build_table(self) -> PeerTable:
         seeds = _seed_hosts(self._settings)
--- a/src/quetzaldeck/entry/settings.py
+++ b/src/quetzaldeck/entry/settings.py
@@ -43,7 +43,7 @@
     ] = 5_000.0
     leaving_ms: Annotated[
         float,
-        Option("Time until a leaving replica gets no work.", unit="ms", minimum=1),
+        Option("Time until a leaving replica gets no new work.", unit="ms", minimum=1),
     ] = 2_000.0
     configuration_ms: Annotated[
         float, Option("Time until a configuration is in force.", unit="ms", minimum=1)
