--- a/src/quetzaldeck/bench/attempt_watch.py
+++ b/src/quetzaldeck/bench/attempt_watch.py
@@ -6,10 +6,10 @@
 
 from quetzaldeck.decisions import AttemptFault
 from quetzaldeck.decisions.retries.silence import (
-    LOOK_AGAIN_MS,
+    SILENCE_RECHECK_MS,
     SilenceVerdict,
-    first_byte_bound_ms,
-    gap_bound_ms,
+    first_byte_threshold_ms,
+    stream_gap_threshold_ms,
 )
 
 if TYPE_CHECKING:
@@ -44,8 +44,8 @@
     def _bound_ms(self) -> float:
         call = self._attempt.call
         if not self._has_begun:
-            return first_byte_bound_ms(call.target_ms)
-        return gap_bound_ms(call.max_gap_ms) or call.deadline_ms
+            return first_byte_threshold_ms(call.target_ms)
+        return stream_gap_threshold_ms(call.max_gap_ms) or call.deadline_ms
 
     def _look(self) -> None:
         attempt = self._attempt
@@ -57,10 +57,10 @@
             self._events.after(left_ms, self._look)
             return
         judge = attempt.vm.scheduler.judge_silence
-        if judge(attempt.attempt_id, silent_ms) is SilenceVerdict.LEFT:
+        if judge(attempt.attempt_id, silent_ms) is SilenceVerdict.ABANDON:
             attempt.vm.leave_attempt(attempt, AttemptFault.SILENT)
         else:
-            self._events.after(LOOK_AGAIN_MS, self._look)
+            self._events.after(SILENCE_RECHECK_MS, self._look)
 
 
 __all__ = ("MIN_LOOK_MS", "AttemptWatch")
--- a/src/quetzaldeck/bench/run.py
+++ b/src/quetzaldeck/bench/run.py
@@ -27,7 +27,7 @@
     from quetzaldeck.bench.scenario import Scenario
     from quetzaldeck.bundle import UpstreamSpec
     from quetzaldeck.decisions import LoadReport
-    from quetzaldeck.decisions.limits import UsageNews
+    from quetzaldeck.decisions.limits import UsageUpdate
     from quetzaldeck.decisions.poison import CrashSighting
     from quetzaldeck.outcomes import Failure
 
@@ -218,7 +218,7 @@
                 lag_ms = self._scenario.shape.news_lag_ms
                 aged = tuple(n._replace(age_ms=n.age_ms + lag_ms) for n in news)
                 self._events.after(lag_ms, partial(self._take_news, vm, aged))
-            for usage in vm.scheduler.limits.take_news(self._events.now_ms):
+            for usage in vm.scheduler.limits.take_updates(self._events.now_ms):
                 lag_ms = self._scenario.shape.news_lag_ms
                 self._events.after(lag_ms, partial(self._take_usage, vm, usage))
 
@@ -227,7 +227,7 @@
             if vm is not teller and not vm.is_down:
                 vm.scheduler.fleet.observe_crashes(news)
 
-    def _take_usage(self, teller: BenchVm, news: UsageNews) -> None:
+    def _take_usage(self, teller: BenchVm, news: UsageUpdate) -> None:
         for vm in self._vms:
             if vm is not teller and not vm.is_down:
                 vm.scheduler.limits.observe(teller.name, news, self._events.now_ms)
--- a/src/quetzaldeck/decisions/admission/bounds_only.py
+++ b/src/quetzaldeck/decisions/admission/bounds_only.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.decisions.admission.api import AdmissionPolicy, admission_policies
-from quetzaldeck.decisions.queueing.account import QueueAccount
+from quetzaldeck.decisions.queueing.counters import QueueCounters
 from quetzaldeck.decisions.scheduler_bounds import check_bounds
 from quetzaldeck.outcomes import Failure, Reason
 
@@ -31,7 +31,7 @@
         self, *, random_state: random.Random, bounds: SchedulerBounds | None = None
     ) -> None:
         super().__init__(random_state=random_state, bounds=bounds)
-        self._account = QueueAccount()
+        self._account = QueueCounters()
 
     def check(
         self, request: Request, now_ms: float, *, can_start: bool
--- a/src/quetzaldeck/decisions/admission/predicted_wait.py
+++ b/src/quetzaldeck/decisions/admission/predicted_wait.py
@@ -13,7 +13,7 @@
     MAX_RETRY_AFTER_MS,
     ReturnTimes,
 )
-from quetzaldeck.decisions.estimation import Correction, ServiceTimes
+from quetzaldeck.decisions.estimation import BiasCorrection, ServiceTimes
 from quetzaldeck.decisions.placement.first_token import MAX_HELPERS
 from quetzaldeck.decisions.queueing.fair import DEFAULT_STRETCH
 from quetzaldeck.decisions.request import LengthClass
@@ -104,7 +104,7 @@
         self._lines: dict[Line, LineLoad] = {}
         self._returns: dict[Line, ReturnTimes] = {}
         self._times: dict[str, ServiceTimes] = {}
-        self._corrections: dict[_WaitKind, Correction] = {}
+        self._corrections: dict[_WaitKind, BiasCorrection] = {}
         self._predicted: dict[str, float] = {}
         self._engines: dict[str, _Engines] = {}
         self._stretch = DEFAULT_STRETCH
@@ -118,7 +118,7 @@
                 _, n_engines = self._engines.get(model, (None, 0))
                 self._engines[model] = _Engines(spec.figures, n_engines + 1)
         for model, times in self._times.items():
-            times.set_engines(*self._list_readers(model))
+            times.set_engine_figures(*self._list_readers(model))
 
     def check(
         self, request: Request, now_ms: float, *, can_start: bool
@@ -249,11 +249,11 @@
         is_possible = request.arrived_ms + fastest_ms < request.hang_up_ms
         return request.hang_up_ms if is_possible else math.inf
 
-    def _correction(self, request: Request) -> Correction:
+    def _correction(self, request: Request) -> BiasCorrection:
         kind = _WaitKind(line_of(request), request.length_class)
         correction = self._corrections.get(kind)
         if correction is None:
-            correction = self._corrections[kind] = Correction()
+            correction = self._corrections[kind] = BiasCorrection()
         return correction
 
     def _line(self, request: Request, now_ms: float) -> LineLoad:
@@ -273,7 +273,7 @@
         times = self._times.get(target)
         if times is None:
             times = self._times[target] = ServiceTimes()
-            times.set_engines(*self._list_readers(target))
+            times.set_engine_figures(*self._list_readers(target))
         return times
 
 
--- a/src/quetzaldeck/decisions/estimation/correction.py
+++ b/src/quetzaldeck/decisions/estimation/correction.py
@@ -13,7 +13,7 @@
 """Added to both sides: waits of milliseconds tell nothing of waits of seconds."""
 
 
-class Correction:
+class BiasCorrection:
     """Mean of what happened over mean of what was predicted.
 
     A model of the queue leaves things out: what ages past a request, what other VMs
@@ -38,4 +38,4 @@
         return min(MAX_FACTOR, max(MIN_FACTOR, factor))
 
 
-__all__ = ("Correction",)
+__all__ = ("BiasCorrection",)
--- a/src/quetzaldeck/decisions/estimation/service_times.py
+++ b/src/quetzaldeck/decisions/estimation/service_times.py
@@ -53,7 +53,7 @@
         self._token_ms = MovingAverage(gain=0.05)
         self._answer_share = MovingAverage(gain=0.05)
 
-    def set_engines(self, figures: EngineFigures | None, n_parts: int) -> None:
+    def set_engine_figures(self, figures: EngineFigures | None, n_parts: int) -> None:
         """Take what is stated of the engines; what was learned stays.
 
         :param figures: ``None``: nothing is stated
--- a/src/quetzaldeck/decisions/limits/__init__.py
+++ b/src/quetzaldeck/decisions/limits/__init__.py
@@ -4,6 +4,6 @@
 
 from quetzaldeck.decisions.limits.bounds import LimitBounds
 from quetzaldeck.decisions.limits.limiter import CustomerLimiter
-from quetzaldeck.decisions.limits.usage import Usage, UsageNews
+from quetzaldeck.decisions.limits.usage import Usage, UsageUpdate
 
-__all__ = ("CustomerLimiter", "LimitBounds", "Usage", "UsageNews")
+__all__ = ("CustomerLimiter", "LimitBounds", "Usage", "UsageUpdate")
--- a/src/quetzaldeck/decisions/limits/limiter.py
+++ b/src/quetzaldeck/decisions/limits/limiter.py
@@ -26,7 +26,7 @@
 from quetzaldeck.decisions.limits.bounds import LimitBounds
 from quetzaldeck.decisions.limits.customer_state import CustomerState
 from quetzaldeck.decisions.limits.share import compute_allowance, may_use
-from quetzaldeck.decisions.limits.usage import Usage, UsageNews
+from quetzaldeck.decisions.limits.usage import Usage, UsageUpdate
 from quetzaldeck.outcomes import Failure, Ran, Reason
 
 if TYPE_CHECKING:
@@ -78,7 +78,7 @@
                 states[customer.name].limits = customer.limits
         self._states = states
 
-    def observe(self, vm: str, news: UsageNews, now_ms: float) -> None:
+    def observe(self, vm: str, news: UsageUpdate, now_ms: float) -> None:
         """Take what another VM says of its usage."""
         state = self._states.get(news.customer)
         if state is not None:
@@ -111,7 +111,7 @@
             state.release(request, now_ms)
             self._changed.add(request.customer)
 
-    def take_news(self, now_ms: float) -> list[UsageNews]:
+    def take_updates(self, now_ms: float) -> list[UsageUpdate]:
         """:returns: usage that other VMs should know and have not been told"""
         news = []
         for customer in sorted(self._changed):
@@ -123,7 +123,7 @@
             if not self._is_worth_telling(state, usage, now_ms):
                 continue
             state.told, state.told_ms = usage, now_ms
-            news.append(UsageNews(customer, usage))
+            news.append(UsageUpdate(customer, usage))
             if not usage.n_requests and usage.tokens_per_s < 1.0:
                 self._changed.discard(customer)
         return news
--- a/src/quetzaldeck/decisions/limits/usage.py
+++ b/src/quetzaldeck/decisions/limits/usage.py
@@ -18,11 +18,11 @@
     tokens_per_s: float = 0.0
 
 
-class UsageNews(NamedTuple):
+class UsageUpdate(NamedTuple):
     """What other VMs should know of a customer's usage at this VM."""
 
     customer: str
     usage: Usage
 
 
-__all__ = ("Usage", "UsageNews")
+__all__ = ("Usage", "UsageUpdate")
--- a/src/quetzaldeck/decisions/policies.py
+++ b/src/quetzaldeck/decisions/policies.py
@@ -16,7 +16,7 @@
     import random
 
     from quetzaldeck.clock import Clock
-    from quetzaldeck.decisions.retries import ArrivalBudget
+    from quetzaldeck.decisions.retries import ResendBudget
 
 
 class Policies(NamedTuple):
@@ -45,7 +45,7 @@
     clock: Clock,
     random_state: random.Random,
     availability_zone: str = "",
-    arrivals: ArrivalBudget | None = None,
+    arrivals: ResendBudget | None = None,
     groups: GroupBounds | None = None,
 ) -> Scheduler:
     """:returns: the scheduler of one VM, in the gateway and in the bench alike
--- a/src/quetzaldeck/decisions/queueing/__init__.py
+++ b/src/quetzaldeck/decisions/queueing/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from quetzaldeck.decisions.queueing.account import QueueAccount, Queued
 from quetzaldeck.decisions.queueing.api import QueuePolicy, queue_policies
+from quetzaldeck.decisions.queueing.counters import QueueCounters, QueueSize
 from quetzaldeck.decisions.queueing.deadline_heap import DeadlineHeap
 from quetzaldeck.decisions.queueing.fair import FairQueue
 from quetzaldeck.decisions.queueing.fifo import FifoQueue
@@ -12,8 +12,8 @@
     "DeadlineHeap",
     "FairQueue",
     "FifoQueue",
-    "QueueAccount",
+    "QueueCounters",
     "QueuePolicy",
-    "Queued",
+    "QueueSize",
     "queue_policies",
 )
--- a/src/quetzaldeck/decisions/queueing/account.py
+++ b/src/quetzaldeck/decisions/queueing/counters.py
@@ -8,22 +8,22 @@
     from quetzaldeck.decisions.request import Request
 
 
-class Queued(NamedTuple):
+class QueueSize(NamedTuple):
     """Requests and tokens that wait."""
 
     n_requests: int = 0
     n_tokens: int = 0
 
 
-class QueueAccount:
+class QueueCounters:
     """Counts what waits; each change costs the same however much waits."""
 
     def __init__(self) -> None:
-        self._total = Queued()
-        self._by_customer: dict[str, Queued] = {}
+        self._total = QueueSize()
+        self._by_customer: dict[str, QueueSize] = {}
 
     @property
-    def total(self) -> Queued:
+    def total(self) -> QueueSize:
         """:returns: what waits altogether"""
         return self._total
 
@@ -32,7 +32,7 @@
         """:returns: customers of which something waits"""
         return len(self._by_customer)
 
-    def of_customer(self, customer: str) -> Queued:
+    def of_customer(self, customer: str) -> QueueSize:
         """:returns: what waits of one customer"""
         return self._by_customer.get(customer, _NOTHING)
 
@@ -47,15 +47,15 @@
     def _change(self, request: Request, sign: int) -> None:
         n_tokens = sign * request.n_kv_tokens
         total = self._total
-        self._total = Queued(total.n_requests + sign, total.n_tokens + n_tokens)
+        self._total = QueueSize(total.n_requests + sign, total.n_tokens + n_tokens)
         own = self.of_customer(request.customer)
-        changed = Queued(own.n_requests + sign, own.n_tokens + n_tokens)
+        changed = QueueSize(own.n_requests + sign, own.n_tokens + n_tokens)
         if changed.n_requests:
             self._by_customer[request.customer] = changed
         else:
             self._by_customer.pop(request.customer, None)
 
 
-_NOTHING = Queued()
+_NOTHING = QueueSize()
 
-__all__ = ("QueueAccount", "Queued")
+__all__ = ("QueueCounters", "QueueSize")
--- a/src/quetzaldeck/decisions/queueing/customer_line.py
+++ b/src/quetzaldeck/decisions/queueing/customer_queue.py
@@ -20,7 +20,7 @@
     request: Request
 
 
-class CustomerLine:
+class CustomerQueue:
     """Requests by the time at which they are due.
 
     A request is due a multiple of its own prefill time after it arrived. Short
@@ -66,4 +66,4 @@
         return self._live.get(entry.request.request_id) == entry.number
 
 
-__all__ = ("CustomerLine",)
+__all__ = ("CustomerQueue",)
--- a/src/quetzaldeck/decisions/queueing/customer_rota.py
+++ b/src/quetzaldeck/decisions/queueing/start_time_fair_queue.py
@@ -6,7 +6,7 @@
 import itertools
 from typing import TYPE_CHECKING, NamedTuple
 
-from quetzaldeck.decisions.queueing.customer_line import CustomerLine
+from quetzaldeck.decisions.queueing.customer_queue import CustomerQueue
 from quetzaldeck.decisions.request import Request
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
     customer: str
 
 
-class CustomerRota:
+class StartTimeFairQueue:
     """Serves the customer that had the fewest tokens for its weight.
 
     Load pattern: one customer sends much more, or much longer prompts, than the
@@ -50,7 +50,7 @@
     """
 
     def __init__(self) -> None:
-        self._lines: dict[str, CustomerLine] = {}
+        self._lines: dict[str, CustomerQueue] = {}
         self._turns: list[_Turn] = []
         self._tags: dict[str, float] = {}
         self._virtual_time = 0.0
@@ -68,7 +68,7 @@
         """Add a request; a customer that was idle gets no credit for that time."""
         line = self._lines.get(request.customer)
         if line is None:
-            line = self._lines[request.customer] = CustomerLine()
+            line = self._lines[request.customer] = CustomerQueue()
             tag = max(self._virtual_time, self._tags.get(request.customer, 0.0))
             self._add_turn(request.customer, tag)
         line.push(request, due_ms)
@@ -120,4 +120,4 @@
             self._tags = {c: tag for c, tag in self._tags.items() if tag > now}
 
 
-__all__ = ("MAX_PROBES", "CustomerRota", "Placed")
+__all__ = ("MAX_PROBES", "Placed", "StartTimeFairQueue")
--- a/src/quetzaldeck/decisions/queueing/target_queue.py
+++ b/src/quetzaldeck/decisions/queueing/target_queue.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.decisions.queueing.customer_rota import CustomerRota
+from quetzaldeck.decisions.queueing.start_time_fair_queue import StartTimeFairQueue
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
     from quetzaldeck.decisions.queueing.api import PlaceFunction
-    from quetzaldeck.decisions.queueing.customer_rota import Placed
+    from quetzaldeck.decisions.queueing.start_time_fair_queue import Placed
     from quetzaldeck.decisions.request import Request
 
 LOWER_SHARE = 0.125
@@ -29,7 +29,7 @@
     """
 
     def __init__(self) -> None:
-        self._rotas: dict[int, CustomerRota] = {}
+        self._rotas: dict[int, StartTimeFairQueue] = {}
         self._credits: dict[int, float] = {}
 
     def __len__(self) -> int:
@@ -43,7 +43,7 @@
         """Add a request that is due at ``due_ms``."""
         rota = self._rotas.get(request.priority)
         if rota is None:
-            rota = self._rotas[request.priority] = CustomerRota()
+            rota = self._rotas[request.priority] = StartTimeFairQueue()
         rota.push(request, due_ms)
 
     def discard(self, request: Request) -> None:
--- a/src/quetzaldeck/decisions/retries/__init__.py
+++ b/src/quetzaldeck/decisions/retries/__init__.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from quetzaldeck.decisions.retries.arrivals import ArrivalBudget
 from quetzaldeck.decisions.retries.bounds import RetryBounds
 from quetzaldeck.decisions.retries.budget import RetryBudget
 from quetzaldeck.decisions.retries.delayed import DelayedRequests
 from quetzaldeck.decisions.retries.history import AttemptHistory
 from quetzaldeck.decisions.retries.policy import Retry, RetryPolicy, grow_estimate
+from quetzaldeck.decisions.retries.resend_budget import ResendBudget
 
 __all__ = (
-    "ArrivalBudget",
     "AttemptHistory",
     "DelayedRequests",
+    "ResendBudget",
     "Retry",
     "RetryBounds",
     "RetryBudget",
--- a/src/quetzaldeck/decisions/retries/policy.py
+++ b/src/quetzaldeck/decisions/retries/policy.py
@@ -26,8 +26,8 @@
 
     from quetzaldeck.decisions.decision import AttemptEnd
     from quetzaldeck.decisions.request import Request
-    from quetzaldeck.decisions.retries.arrivals import ArrivalBudget
     from quetzaldeck.decisions.retries.history import AttemptHistory
+    from quetzaldeck.decisions.retries.resend_budget import ResendBudget
 
 MAX_UNRUN_ATTEMPTS = 20
 """Refused connections of one request: a bound on the work of trying, not on load."""
@@ -56,7 +56,7 @@
 
     :param random_state: source of the jitter
     :param bounds: figures
-    :param arrivals: bound on sends beyond the first; ``None``: there is none
+    :param resend_budget: bound on sends beyond the first; ``None``: there is none
     """
 
     def __init__(
@@ -64,10 +64,10 @@
         *,
         random_state: random.Random,
         bounds: RetryBounds | None = None,
-        arrivals: ArrivalBudget | None = None,
+        resend_budget: ResendBudget | None = None,
     ) -> None:
         self._random_state = random_state
-        self._arrivals = arrivals
+        self._resend_budget = resend_budget
         self._bounds = bounds or RetryBounds()
         self._budget = RetryBudget(
             ratio=self._bounds.ratio,
@@ -83,8 +83,8 @@
     def note_admitted(self, request: Request, now_ms: float) -> None:
         """Pay an admitted request into the budget."""
         self._budget.admit(request.n_kv_tokens, now_ms)
-        if self._arrivals is not None:
-            self._arrivals.admit(request.target, now_ms)
+        if self._resend_budget is not None:
+            self._resend_budget.admit(request.target, now_ms)
 
     def decide(
         self, request: Request, end: AttemptEnd, history: AttemptHistory, now_ms: float
@@ -126,8 +126,10 @@
             return False
         if now_ms >= min(request.deadline_ms, request.hang_up_ms):
             return False
-        arrivals = self._arrivals
-        if arrivals is not None and not arrivals.has_room(request.target, now_ms):
+        resend_budget = self._resend_budget
+        if resend_budget is not None and not resend_budget.has_room(
+            request.target, now_ms
+        ):
             return False
         return self._budget.has_room(now_ms)
 
@@ -140,9 +142,9 @@
         """:returns: whether the budgets bear one more attempt, which they then do"""
         if end.has_reached and not self._budget.draw(request.n_kv_tokens, now_ms):
             return False
-        if self._arrivals is None or not end.has_arrived:
+        if self._resend_budget is None or not end.has_arrived:
             return True
-        return self._arrivals.draw(request.target, now_ms)
+        return self._resend_budget.draw(request.target, now_ms)
 
     def _delay(self, end: AttemptEnd, history: AttemptHistory) -> float:
         """:returns: pause before the next attempt, in milliseconds
--- a/src/quetzaldeck/decisions/retries/arrivals.py
+++ b/src/quetzaldeck/decisions/retries/resend_budget.py
@@ -19,7 +19,7 @@
 between three and fifteen for each VM of the deployments known."""
 
 
-class ArrivalBudget:
+class ResendBudget:
     """One VM's part of the bound on repeated arrivals.
 
     :param ratio: repeated sends against requests
@@ -61,4 +61,4 @@
         return held
 
 
-__all__ = ("FLOOR", "ArrivalBudget")
+__all__ = ("FLOOR", "ResendBudget")
--- a/src/quetzaldeck/decisions/retries/silence.py
+++ b/src/quetzaldeck/decisions/retries/silence.py
@@ -50,17 +50,17 @@
 MAX_PATIENCE_SHARE = 0.5
 """Part of a caller's patience that a backlog may take; the rest is for another one."""
 
-LOOK_AGAIN_MS = 100.0
+SILENCE_RECHECK_MS = 100.0
 """Time between two looks at an attempt that is silent for too long: a fifth of the
 least wait, so that it adds little where an upstream hangs."""
 
 
-def first_byte_bound_ms(target_ms: float) -> float:
+def first_byte_threshold_ms(target_ms: float) -> float:
     """:returns: silence before the first byte that is looked into"""
     return max(MIN_FIRST_BYTE_MS, FIRST_BYTE_TARGETS * target_ms)
 
 
-def gap_bound_ms(max_gap_ms: float) -> float | None:
+def stream_gap_threshold_ms(max_gap_ms: float) -> float | None:
     """:returns: silence within a stream that is looked into; ``None``: none is"""
     return max(MIN_GAP_MS, GAP_TARGETS * max_gap_ms) if max_gap_ms else None
 
@@ -68,13 +68,13 @@
 class SilenceVerdict(StrEnum):
     """What becomes of an attempt that is silent."""
 
-    LEFT = "left"
+    ABANDON = "left"
     BACKLOG = "backlog"
     NO_RETRY = "no_retry"
     NO_OTHER = "no_other"
 
 
-class SilenceJudge:
+class SilencePolicy:
     """Tells silent upstreams from busy ones.
 
     :param placer: knows whether there is another upstream
@@ -86,12 +86,12 @@
         self._retries = retries
 
     @staticmethod
-    def is_unanswered(tracked: Tracked, now_ms: float) -> bool:
+    def is_first_token_overdue(tracked: Tracked, now_ms: float) -> bool:
         """:returns: whether an attempt runs that has said nothing for too long"""
         if not tracked.attempt_id or tracked.first_token_ms is not None:
             return False
         silent_ms = now_ms - tracked.dispatched_ms
-        return silent_ms >= first_byte_bound_ms(tracked.request.target_ms)
+        return silent_ms >= first_byte_threshold_ms(tracked.request.target_ms)
 
     def judge(
         self, tracked: Tracked, silent_ms: float, now_ms: float
@@ -114,13 +114,13 @@
         avoided = (*tracked.history.avoided, *tracked.upstreams)
         if not self._placer.has_other(request, avoided):
             return SilenceVerdict.NO_OTHER
-        return SilenceVerdict.LEFT
+        return SilenceVerdict.ABANDON
 
 
 __all__ = (
-    "LOOK_AGAIN_MS",
-    "SilenceJudge",
+    "SILENCE_RECHECK_MS",
+    "SilencePolicy",
     "SilenceVerdict",
-    "first_byte_bound_ms",
-    "gap_bound_ms",
+    "first_byte_threshold_ms",
+    "stream_gap_threshold_ms",
 )
--- a/src/quetzaldeck/decisions/scheduler.py
+++ b/src/quetzaldeck/decisions/scheduler.py
@@ -18,7 +18,7 @@
 from quetzaldeck.decisions.placement.placer import Placer
 from quetzaldeck.decisions.poison import PoisonRegistry
 from quetzaldeck.decisions.retries import RetryPolicy
-from quetzaldeck.decisions.retries.silence import SilenceJudge, SilenceVerdict
+from quetzaldeck.decisions.retries.silence import SilencePolicy, SilenceVerdict
 from quetzaldeck.decisions.scheduler_bounds import SchedulerBounds
 from quetzaldeck.decisions.tracked import Tracked, TrackedRequests
 from quetzaldeck.decisions.tuning import tune
@@ -38,7 +38,7 @@
     from quetzaldeck.decisions.placement import PlacementPolicy
     from quetzaldeck.decisions.queueing import QueuePolicy
     from quetzaldeck.decisions.request import Request
-    from quetzaldeck.decisions.retries import ArrivalBudget
+    from quetzaldeck.decisions.retries import ResendBudget
 
 
 class Scheduler:
@@ -64,7 +64,7 @@
         admission: AdmissionPolicy | None = None,
         head_of_line: HeadOfLinePolicy | None = None,
         bounds: SchedulerBounds | None = None,
-        arrivals: ArrivalBudget | None = None,
+        arrivals: ResendBudget | None = None,
         groups: GroupBounds | None = None,
     ) -> None:
         self._clock = clock
@@ -86,8 +86,8 @@
             planner=GroupPlanner(groups),
         )
         self._monitor = AttemptMonitor(table=table, policy=placement, poison=poison)
-        self._retries = RetryPolicy(random_state=random_state, arrivals=arrivals)
-        self._silence = SilenceJudge(placer=self._placer, retries=self._retries)
+        self._retries = RetryPolicy(random_state=random_state, resend_budget=arrivals)
+        self._silence = SilencePolicy(placer=self._placer, retries=self._retries)
         self._limits = CustomerLimiter(random_state=random_state)
         self._tracked = TrackedRequests(self._limits)
         self._starter = AttemptStarter(
@@ -197,7 +197,7 @@
         tracked = self._tracked.forget(request_id, now_ms)
         if tracked is not None:
             self._waiting.discard(request_id, now_ms)
-            if self._silence.is_unanswered(tracked, now_ms):
+            if self._silence.is_first_token_overdue(tracked, now_ms):
                 self._monitor.note_unanswered(tracked.upstreams, now_ms)
             self._release(tracked)
 
@@ -238,7 +238,7 @@
         """
         tracked = self._tracked.find(attempt_id)
         if tracked is None:
-            return SilenceVerdict.LEFT
+            return SilenceVerdict.ABANDON
         return self._silence.judge(tracked, silent_ms, self._clock.now_ms())
 
     def end_attempt(self, end: AttemptEnd) -> Failure | None:
--- a/src/quetzaldeck/decisions/scheduler_bounds.py
+++ b/src/quetzaldeck/decisions/scheduler_bounds.py
@@ -7,7 +7,7 @@
 from quetzaldeck.outcomes import Reason
 
 if TYPE_CHECKING:
-    from quetzaldeck.decisions.queueing import QueueAccount
+    from quetzaldeck.decisions.queueing import QueueCounters
     from quetzaldeck.decisions.request import Request
 
 
@@ -30,7 +30,7 @@
 
 
 def check_bounds(
-    account: QueueAccount, request: Request, bounds: SchedulerBounds
+    account: QueueCounters, request: Request, bounds: SchedulerBounds
 ) -> Reason | None:
     """:returns: the bound that one more request would break, ``None`` if none"""
     n_tokens = request.n_kv_tokens
--- a/src/quetzaldeck/entry/attempt.py
+++ b/src/quetzaldeck/entry/attempt.py
@@ -8,7 +8,10 @@
 import aiohttp
 
 from quetzaldeck.decisions import AttemptFault, LoadReport
-from quetzaldeck.decisions.retries.silence import first_byte_bound_ms, gap_bound_ms
+from quetzaldeck.decisions.retries.silence import (
+    first_byte_threshold_ms,
+    stream_gap_threshold_ms,
+)
 from quetzaldeck.entry.answer_head import AnswerHead
 from quetzaldeck.entry.memory import AttemptMemory
 from quetzaldeck.entry.send_terms import Helper, SendTerms
@@ -62,11 +65,13 @@
     def watch_first_byte(self, dispatch: Dispatch) -> SilenceWatch:
         """:returns: what waits for the first byte of an attempt"""
         target_ms = self._call.admitted.route.target_latency_ms
-        return self._watch(dispatch, first_byte_bound_ms(target_ms))
+        return self._watch(dispatch, first_byte_threshold_ms(target_ms))
 
     def watch_gaps(self, dispatch: Dispatch) -> SilenceWatch:
         """:returns: what waits for the next bytes of a stream that has begun"""
-        return self._watch(dispatch, gap_bound_ms(self._call.admitted.route.max_gap_ms))
+        return self._watch(
+            dispatch, stream_gap_threshold_ms(self._call.admitted.route.max_gap_ms)
+        )
 
     @asynccontextmanager
     async def open(
--- a/src/quetzaldeck/entry/session.py
+++ b/src/quetzaldeck/entry/session.py
@@ -10,7 +10,7 @@
 
 from quetzaldeck.belief import FleetBelief
 from quetzaldeck.decisions.policies import ENTRY_GROUPS, build_scheduler
-from quetzaldeck.decisions.retries import ArrivalBudget
+from quetzaldeck.decisions.retries import ResendBudget
 from quetzaldeck.entry.belief_bounds import build_belief_bounds
 from quetzaldeck.entry.belief_sources import BeliefSources
 from quetzaldeck.entry.belief_task import BeliefTask
@@ -135,7 +135,7 @@
             random_state=random.Random(self._settings.random_state or None),
             availability_zone=self._settings.availability_zone,
             groups=ENTRY_GROUPS,
-            arrivals=ArrivalBudget(
+            arrivals=ResendBudget(
                 ratio=bounds.retry_ratio, window_ms=bounds.retry_window_s * 1_000
             ),
         )
--- a/src/quetzaldeck/entry/silence_watch.py
+++ b/src/quetzaldeck/entry/silence_watch.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from quetzaldeck.clock.clock import MS_PER_SECOND
-from quetzaldeck.decisions.retries.silence import LOOK_AGAIN_MS, SilenceVerdict
+from quetzaldeck.decisions.retries.silence import SILENCE_RECHECK_MS, SilenceVerdict
 from quetzaldeck.telemetry import log_event
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
                     return task.result()
                 silent_ms = self._clock.now_ms() - began_ms
                 verdict = await self._ticket.judge_silence(self._attempt_id, silent_ms)
-                is_left = verdict is SilenceVerdict.LEFT
+                is_left = verdict is SilenceVerdict.ABANDON
                 if task.done():
                     # It came while the scheduler was asked; dropped, its connection
                     # would stay open and the upstream at work for nobody.
@@ -70,7 +70,7 @@
                     self._note(silent_ms, verdict)
                 if is_left:
                     raise TimeoutError
-                wait_ms = LOOK_AGAIN_MS
+                wait_ms = SILENCE_RECHECK_MS
         finally:
             if not task.done():
                 task.cancel()
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from quetzaldeck.clock import Clock
     from quetzaldeck.decisions import Decision, Request, Scheduler
-    from quetzaldeck.decisions.limits import UsageNews
+    from quetzaldeck.decisions.limits import UsageUpdate
     from quetzaldeck.decisions.peer_load import UpstreamShare
     from quetzaldeck.decisions.poison import CrashSighting, PoisonBounds
     from quetzaldeck.gateway.messages import Message
@@ -100,9 +100,9 @@
             for state in self._scheduler.upstreams
         ]
 
-    def take_usage_news(self) -> list[UsageNews]:
+    def take_usage_news(self) -> list[UsageUpdate]:
         """:returns: what other VMs should know of limited customers"""
-        return self._scheduler.limits.take_news(self._clock.now_ms())
+        return self._scheduler.limits.take_updates(self._clock.now_ms())
 
     def send(self, message: Message) -> None:
         """Put a message into the task's mailbox."""
--- a/src/quetzaldeck/gateway/messages.py
+++ b/src/quetzaldeck/gateway/messages.py
@@ -7,7 +7,7 @@
 
 from quetzaldeck.bundle import Bundle
 from quetzaldeck.decisions import AttemptEnd, Decision, LoadReport, Request
-from quetzaldeck.decisions.limits import UsageNews
+from quetzaldeck.decisions.limits import UsageUpdate
 from quetzaldeck.decisions.peer_load import UpstreamShare
 from quetzaldeck.decisions.placement import CacheEvents
 from quetzaldeck.decisions.poison import CrashSighting
@@ -99,7 +99,7 @@
     """Another VM's usage of a customer's limits."""
 
     vm: str
-    news: UsageNews
+    news: UsageUpdate
 
 
 class ObserveCache(NamedTuple):
--- a/src/quetzaldeck/gateway/usage_records.py
+++ b/src/quetzaldeck/gateway/usage_records.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from quetzaldeck.decisions.limits import LimitBounds, Usage, UsageNews
+from quetzaldeck.decisions.limits import LimitBounds, Usage, UsageUpdate
 from quetzaldeck.dissemination.record import RecordDraft
 from quetzaldeck.gateway.messages import ObserveUsage
 from quetzaldeck.telemetry import log_event
@@ -41,7 +41,7 @@
         except msgspec.ValidationError as error:
             log_event("usage_ignored", level="WARNING", vm=record.vm, error=error)
             return
-        news = UsageNews(record.key, usage)
+        news = UsageUpdate(record.key, usage)
         self._dispatch.send(ObserveUsage(record.vm, news))
 
 
--- a/tests/decisions/estimation/test_service_times.py
+++ b/tests/decisions/estimation/test_service_times.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quetzaldeck.bundle.engine_figures import EngineFigures
-from quetzaldeck.decisions.estimation import Correction, DrainRate, ServiceTimes
+from quetzaldeck.decisions.estimation import BiasCorrection, DrainRate, ServiceTimes
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -81,7 +81,7 @@
 
 
 def test_correction_is_bounded_and_forgets() -> None:
-    correction = Correction()
+    correction = BiasCorrection()
     assert correction.factor(0.0) == 1.0
     for _ in range(100):
         correction.learn(100.0, 60_000.0, 0.0)
@@ -101,7 +101,7 @@
     times = ServiceTimes()
     longest = make_request(600_000)
     assert times.fastest_ms(longest) > 30_000.0
-    times.set_engines(figures, 17)
+    times.set_engine_figures(figures, 17)
     assert times.fastest_ms(longest) == figures.read_ms(600_000, n_parts=17) < 2_000.0
     short = make_request(2_000)
     for _ in range(30):
--- a/tests/decisions/limits/test_limiter.py
+++ b/tests/decisions/limits/test_limiter.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quetzaldeck.bundle import Bundle, CustomerLimits, CustomerSpec
-from quetzaldeck.decisions.limits import CustomerLimiter, UsageNews
+from quetzaldeck.decisions.limits import CustomerLimiter, UsageUpdate
 from quetzaldeck.outcomes import Ran, Reason
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
         self.n_passed_tokens = 0
         self.cut: set[int] = set()
         self._make_request = make_request
-        self._news: list[tuple[float, int, UsageNews]] = []
+        self._news: list[tuple[float, int, UsageUpdate]] = []
         self._ends: list[tuple[float, int, Request]] = []
         self.limiters = [
             CustomerLimiter(random_state=random.Random(vm)) for vm in range(N_VMS)
@@ -83,7 +83,7 @@
 
     def _spread_news(self) -> None:
         for vm, limiter in enumerate(self.limiters):
-            for news in limiter.take_news(self.now_ms):
+            for news in limiter.take_updates(self.now_ms):
                 self._news.append((self.now_ms + NEWS_LAG_MS, vm, news))
 
 
@@ -198,4 +198,4 @@
     for _ in range(100):
         assert limiter.check(request, 0.0) is None
         limiter.admit(request, 0.0)
-    assert limiter.take_news(0.0) == []
+    assert limiter.take_updates(0.0) == []
--- a/tests/decisions/retries/test_arrivals.py
+++ b/tests/decisions/retries/test_resend_budget.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from quetzaldeck.decisions.retries import ArrivalBudget
-from quetzaldeck.decisions.retries.arrivals import FLOOR
+from quetzaldeck.decisions.retries import ResendBudget
+from quetzaldeck.decisions.retries.resend_budget import FLOOR
 
 WINDOW_MS = 10_000.0
 RATIO = 0.2
@@ -21,7 +21,7 @@
     and is drawn for as often as the budget allows, for six windows.
     """
     random_state = random.Random(1)
-    budgets = [ArrivalBudget(ratio=RATIO, window_ms=WINDOW_MS) for _ in range(n_vms)]
+    budgets = [ResendBudget(ratio=RATIO, window_ms=WINDOW_MS) for _ in range(n_vms)]
     weights = [random_state.paretovariate(1.5) for _ in budgets]
     arrivals: list[float] = []
     draws: list[float] = []
@@ -42,7 +42,7 @@
 
 
 def test_services_have_budgets_of_their_own() -> None:
-    budget = ArrivalBudget(ratio=0.0, window_ms=WINDOW_MS, floor=1)
+    budget = ResendBudget(ratio=0.0, window_ms=WINDOW_MS, floor=1)
     assert budget.draw("plans", 0.0)
     assert not budget.draw("plans", 1.0)
     assert budget.draw("desk", 1.0)
--- a/tests/decisions/retries/test_silence.py
+++ b/tests/decisions/retries/test_silence.py
@@ -14,11 +14,11 @@
 from quetzaldeck.decisions import AttemptEnd, AttemptFault, Dispatch
 from quetzaldeck.decisions.patience import patience_ms
 from quetzaldeck.decisions.peer_load import UpstreamShare
-from quetzaldeck.decisions.retries import ArrivalBudget
+from quetzaldeck.decisions.retries import ResendBudget
 from quetzaldeck.decisions.retries.silence import (
     SilenceVerdict,
-    first_byte_bound_ms,
-    gap_bound_ms,
+    first_byte_threshold_ms,
+    stream_gap_threshold_ms,
 )
 
 if TYPE_CHECKING:
@@ -58,10 +58,10 @@
 
 
 def test_bounds_follow_what_the_caller_wants() -> None:
-    assert first_byte_bound_ms(100.0) == 500.0
-    assert first_byte_bound_ms(1_500.0) == 3_000.0
-    assert gap_bound_ms(0.0) is None
-    assert gap_bound_ms(1_000.0) == 4_000.0
+    assert first_byte_threshold_ms(100.0) == 500.0
+    assert first_byte_threshold_ms(1_500.0) == 3_000.0
+    assert stream_gap_threshold_ms(0.0) is None
+    assert stream_gap_threshold_ms(1_000.0) == 4_000.0
 
 
 def test_hanging_engine_is_left(clock: ManualClock) -> None:
@@ -69,7 +69,7 @@
     scheduler = make_entry_scheduler(clock, NAMES)
     dispatch = send(scheduler, clock)
     clock.advance(SILENT_MS)
-    assert judge(scheduler, dispatch) is SilenceVerdict.LEFT
+    assert judge(scheduler, dispatch) is SilenceVerdict.ABANDON
 
 
 def test_engine_with_long_parts_to_read_is_waited_for(clock: ManualClock) -> None:
@@ -81,7 +81,7 @@
     clock.advance(SILENT_MS)
     assert judge(scheduler, dispatch) is SilenceVerdict.BACKLOG
     clock.advance(300)
-    assert judge(scheduler, dispatch, 1_000) is SilenceVerdict.LEFT
+    assert judge(scheduler, dispatch, 1_000) is SilenceVerdict.ABANDON
 
 
 def test_dead_engine_is_left_though_more_and_more_is_sent_to_it(
@@ -96,7 +96,7 @@
     clock.advance(SILENT_MS)
     (name,) = dispatch.upstreams
     scheduler.fleet.observe_peer("other", [(name, UpstreamShare(9, 90_000, 0))])
-    assert judge(scheduler, dispatch) is SilenceVerdict.LEFT
+    assert judge(scheduler, dispatch) is SilenceVerdict.ABANDON
 
 
 def test_attempt_stays_where_all_other_engines_leave(clock: ManualClock) -> None:
@@ -105,20 +105,20 @@
     clock.advance(SILENT_MS)
     others = [name for name in NAMES if name not in dispatch.upstreams]
     scheduler.fleet.observe((), leaving=others)
-    assert judge(scheduler, dispatch) is not SilenceVerdict.LEFT
+    assert judge(scheduler, dispatch) is not SilenceVerdict.ABANDON
 
 
 def test_attempt_stays_where_the_budget_is_spent(clock: ManualClock) -> None:
     """Cut off, its caller would get an error: it is not sent again."""
-    arrivals = ArrivalBudget(ratio=0.2, window_ms=10_000, floor=1)
+    arrivals = ResendBudget(ratio=0.2, window_ms=10_000, floor=1)
     scheduler = make_entry_scheduler(clock, NAMES, arrivals=arrivals)
     first = send(scheduler, clock, "r1")
     second = send(scheduler, clock, "r2")
     clock.advance(SILENT_MS)
-    assert judge(scheduler, first) is SilenceVerdict.LEFT
+    assert judge(scheduler, first) is SilenceVerdict.ABANDON
     fault = AttemptFault.SILENT
     assert scheduler.end_attempt(AttemptEnd(first.attempt_id, fault)) is None
-    assert judge(scheduler, second) is not SilenceVerdict.LEFT
+    assert judge(scheduler, second) is not SilenceVerdict.ABANDON
 
 
 def test_last_attempt_stays(clock: ManualClock) -> None:
@@ -130,21 +130,21 @@
     clock.advance(100)
     last = poll_dispatch(scheduler)
     clock.advance(SILENT_MS)
-    assert judge(scheduler, last) is not SilenceVerdict.LEFT
+    assert judge(scheduler, last) is not SilenceVerdict.ABANDON
 
 
 def test_request_that_may_not_be_repeated_stays(clock: ManualClock) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
     dispatch = send(scheduler, clock, is_repeatable=False)
     clock.advance(SILENT_MS)
-    assert judge(scheduler, dispatch) is not SilenceVerdict.LEFT
+    assert judge(scheduler, dispatch) is not SilenceVerdict.ABANDON
 
 
 def test_attempt_stays_when_its_caller_is_about_to_hang_up(clock: ManualClock) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
     dispatch = send(scheduler, clock)
     clock.advance(2_000)
-    assert judge(scheduler, dispatch, 2_000) is not SilenceVerdict.LEFT
+    assert judge(scheduler, dispatch, 2_000) is not SilenceVerdict.ABANDON
 
 
 def test_stream_that_stops_after_seconds_is_left(clock: ManualClock) -> None:
@@ -153,4 +153,4 @@
     dispatch = send(scheduler, clock)
     scheduler.note_first_token(dispatch.attempt_id)
     clock.advance(4_000)
-    assert judge(scheduler, dispatch, 1_000) is SilenceVerdict.LEFT
+    assert judge(scheduler, dispatch, 1_000) is SilenceVerdict.ABANDON
--- a/tests/entry/test_silence_watch.py
+++ b/tests/entry/test_silence_watch.py
@@ -29,7 +29,7 @@
         """Answer when the test says so."""
         self.asked.set()
         await self.answers.wait()
-        return SilenceVerdict.LEFT
+        return SilenceVerdict.ABANDON
 
 
 def make_watch(judge: SlowJudge, bound_ms: float | None = BOUND_MS) -> SilenceWatch:
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
 
     from quetzaldeck.clock import ManualClock
-    from quetzaldeck.decisions.retries import ArrivalBudget
+    from quetzaldeck.decisions.retries import ResendBudget
 
 MODEL = "m"
 
@@ -91,7 +91,7 @@
     names: Iterable[str],
     *,
     figures: EngineFigures = FEW_SLOTS,
-    arrivals: ArrivalBudget | None = None,
+    arrivals: ResendBudget | None = None,
 ) -> Scheduler:
     """:returns: the scheduler of an entry VM before engines with stated figures"""
     scheduler = build_scheduler(
