--- a/src/quetzaldeck/decisions/queueing/__init__.py
+++ b/src/quetzaldeck/decisions/queueing/__init__.py
@@ -1,4 +1,4 @@
-"""Queue policies: which request goes next."""
+"""Queue policies, which choose the next request to dispatch, and queue counters."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/queueing/api.py
+++ b/src/quetzaldeck/decisions/queueing/api.py
@@ -1,4 +1,4 @@
-"""The family of queue policies."""
+"""Interface and registry of queue policies."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 class QueuePolicy(ABC):
     """Holds admitted requests and chooses the next one to be placed."""
 
-    def configure(self, tuning: Tuning) -> None:  # noqa: B027 - fifo has no figures
-        """Take the figures of the bundle's profile for requests to come."""
+    def configure(self, tuning: Tuning) -> None:  # noqa: B027 - fifo has no tuning
+        """Apply the tuning of the bundle's profile to requests pushed from now on."""
 
     @abstractmethod
     def push(self, request: Request) -> None:
@@ -28,7 +28,7 @@
 
     @abstractmethod
     def requeue(self, request: Request) -> None:
-        """Add a request whose attempt failed; it does not lose its turn."""
+        """Add a request whose attempt failed; it keeps its place in the order."""
 
     @abstractmethod
     def take(
@@ -36,21 +36,22 @@
     ) -> tuple[Request, tuple[str, ...]] | None:
         """Remove and return the next request that can be placed.
 
-        :param place: returns the upstreams for a request, or ``None``
-        :returns: the request and its upstreams; ``None`` if none can be placed
+        :param place: returns the upstreams for a request, ``None`` if it cannot be
+            placed now
+        :returns: the request and its upstreams, ``None`` if no request can be placed
         """
 
     @abstractmethod
     def remove(self, request_id: str) -> Request | None:
-        """:returns: the request taken out, ``None`` if it is not queued"""
+        """:returns: the removed request, ``None`` if it was not queued"""
 
     @abstractmethod
     def __iter__(self) -> Iterator[Request]:
-        """:returns: the queued requests in no stated order"""
+        """:returns: the queued requests in unspecified order"""
 
     @abstractmethod
     def __len__(self) -> int:
-        """:returns: how many requests are queued"""
+        """:returns: number of queued requests"""
 
 
 queue_policies: Registry[QueuePolicy] = Registry("queue policy")
--- a/src/quetzaldeck/decisions/queueing/counters.py
+++ b/src/quetzaldeck/decisions/queueing/counters.py
@@ -1,4 +1,4 @@
-"""What waits in the queue, in total and by customer."""
+"""Size of the queue, in total and by customer."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class QueueSize(NamedTuple):
-    """Requests and tokens that wait."""
+    """Number of queued requests and of their prompt and output tokens."""
 
     n_requests: int = 0
     n_tokens: int = 0
 
 
 class QueueCounters:
-    """Counts what waits; each change costs the same however much waits."""
+    """Counts queued requests and tokens; each update takes constant time."""
 
     def __init__(self) -> None:
         self._total = QueueSize()
@@ -24,38 +24,38 @@
 
     @property
     def total(self) -> QueueSize:
-        """:returns: what waits altogether"""
+        """:returns: size of the whole queue"""
         return self._total
 
     @property
     def n_customers(self) -> int:
-        """:returns: customers of which something waits"""
+        """:returns: number of customers with queued requests"""
         return len(self._by_customer)
 
     def of_customer(self, customer: str) -> QueueSize:
-        """:returns: what waits of one customer"""
-        return self._by_customer.get(customer, _NOTHING)
+        """:returns: size of the queue of one customer"""
+        return self._by_customer.get(customer, _EMPTY)
 
     def add(self, request: Request) -> None:
-        """Count a request that begins to wait."""
-        self._change(request, 1)
+        """Count a request that was queued."""
+        self._update(request, 1)
 
     def discard(self, request: Request) -> None:
-        """Count a request that no longer waits."""
-        self._change(request, -1)
+        """Remove a request that left the queue from the counts."""
+        self._update(request, -1)
 
-    def _change(self, request: Request, sign: int) -> None:
+    def _update(self, request: Request, sign: int) -> None:
         n_tokens = sign * request.n_kv_tokens
         total = self._total
         self._total = QueueSize(total.n_requests + sign, total.n_tokens + n_tokens)
-        own = self.of_customer(request.customer)
-        changed = QueueSize(own.n_requests + sign, own.n_tokens + n_tokens)
-        if changed.n_requests:
-            self._by_customer[request.customer] = changed
+        current = self.of_customer(request.customer)
+        updated = QueueSize(current.n_requests + sign, current.n_tokens + n_tokens)
+        if updated.n_requests:
+            self._by_customer[request.customer] = updated
         else:
             self._by_customer.pop(request.customer, None)
 
 
-_NOTHING = QueueSize()
+_EMPTY = QueueSize()
 
 __all__ = ("QueueCounters", "QueueSize")
--- a/src/quetzaldeck/decisions/queueing/customer_queue.py
+++ b/src/quetzaldeck/decisions/queueing/customer_queue.py
@@ -1,4 +1,4 @@
-"""The requests of one customer, most urgent first."""
+"""Queue of the requests of one customer, ordered by due time."""
 
 from __future__ import annotations
 
@@ -14,25 +14,28 @@
 _MIN_COMPACTION = 16
 
 
-class _Entry(NamedTuple):
+class _HeapEntry(NamedTuple):
     due_ms: float
-    number: int
+    sequence_number: int
     request: Request
 
 
 class CustomerQueue:
-    """Requests by the time at which they are due.
+    """Priority queue of requests by due time.
 
-    A request is due a multiple of its own prefill time after it arrived. Short
-    requests are due sooner, so they go first; but a time once given stays, so that
-    every request that waits comes to the head. This is shortest-first with ageing
-    at the cost of one heap.
+    A request is due a multiple of its own prefill time after its arrival. Short
+    requests are due earlier and so go first. The due time never changes, so that
+    every waiting request reaches the head in the end. This is shortest-job-first with
+    ageing at the cost of one heap.
+
+    Removed requests stay in the heap until they reach its head or until stale entries
+    prevail and the heap is compacted.
     """
 
     def __init__(self) -> None:
-        self._heap: list[_Entry] = []
+        self._heap: list[_HeapEntry] = []
         self._live: dict[str, int] = {}
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
     def __len__(self) -> int:
         return len(self._live)
@@ -44,26 +47,26 @@
 
     def push(self, request: Request, due_ms: float) -> None:
         """Add a request that is due at ``due_ms``."""
-        number = next(self._numbers)
-        self._live[request.request_id] = number
-        heapq.heappush(self._heap, _Entry(due_ms, number, request))
+        sequence_number = next(self._sequence)
+        self._live[request.request_id] = sequence_number
+        heapq.heappush(self._heap, _HeapEntry(due_ms, sequence_number, request))
 
     def peek(self) -> Request | None:
-        """:returns: the most urgent request"""
+        """:returns: the request that is due first, ``None`` if the queue is empty"""
         while self._heap and not self._is_live(self._heap[0]):
             heapq.heappop(self._heap)
         return self._heap[0].request if self._heap else None
 
     def discard(self, request_id: str) -> None:
-        """Take a request out, wherever it stands."""
+        """Remove a request if it is queued."""
         if self._live.pop(request_id, None) is None:
             return
         if len(self._heap) > 2 * len(self._live) + _MIN_COMPACTION:
             self._heap = [entry for entry in self._heap if self._is_live(entry)]
             heapq.heapify(self._heap)
 
-    def _is_live(self, entry: _Entry) -> bool:
-        return self._live.get(entry.request.request_id) == entry.number
+    def _is_live(self, entry: _HeapEntry) -> bool:
+        return self._live.get(entry.request.request_id) == entry.sequence_number
 
 
 __all__ = ("CustomerQueue",)
--- a/src/quetzaldeck/decisions/queueing/fair.py
+++ b/src/quetzaldeck/decisions/queueing/fair.py
@@ -1,4 +1,4 @@
-"""Length-aware fair queueing: the default queue policy."""
+"""Length-aware fair queueing, the default queue policy."""
 
 from __future__ import annotations
 
@@ -16,15 +16,23 @@
     from quetzaldeck.decisions.tuning import Tuning
 
 DEFAULT_STRETCH = 8.0
-"""Times its own length that a request may wait; the bundle may say another."""
+"""Due time of a request after its arrival, as a multiple of its own prefill time. The
+bundle's profile may set another."""
 BASE_MS = 50.0
-"""Fixed cost of a request, so that tiny ones do not all go first."""
+"""Fixed cost added to the prefill time of each request, so that very short requests do
+not all go first."""
 MS_PER_TOKEN = 0.05
-"""Prefill time of a token on an 8-way server. Only the order depends on it."""
+"""Prefill time of a token on an 8-way server. Only the order of requests depends on
+it."""
 
 
-class _Line(NamedTuple):
-    """What must not wait for each other: targets, and long behind short."""
+class _QueueKey(NamedTuple):
+    """Key of requests that share a queue; requests of different keys never block each
+    other.
+
+    :param target: model or plain service
+    :param is_long: whether the prompt is longer than a medium one
+    """
 
     target: str
     is_long: bool
@@ -32,64 +40,64 @@
 
 @queue_policies.register("fair")
 class FairQueue(QueuePolicy):
-    """Fair between customers by tokens, shortest-first with ageing within one.
+    """Weighted fair by tokens between customers, shortest-first with ageing within one.
 
-    Load pattern: prompts of 1 K to 1 M tokens from customers of unlike size. In one
-    queue in order of arrival, a prompt that must wait for memory stops every
-    check-in behind it, and the customer that sends most gets most.
+    Load pattern: prompts of 1 K to 1 M tokens from customers of very different size.
+    In a single queue in order of arrival, a prompt that waits for memory blocks every
+    short request behind it, and the customer that sends most gets most.
 
-    Each model and plain service has queues of its own, one for long prompts and one
-    for the others: what cannot be placed delays only its like. Within each go the
-    priorities of the bundle, then the customers in turn by tokens, then requests by
-    the time at which they are due, which is a multiple of their own prefill time.
+    Each model and plain service has two queues, one for long prompts and one for the
+    others, so that a request that cannot be placed delays only similar ones. Each queue
+    is ordered by the bundle's priorities, then by the tokens that customers have
+    received, then by the due time of requests, a multiple of their own prefill time.
     """
 
     def __init__(self) -> None:
-        self._queues: dict[_Line, TargetQueue] = {}
+        self._queues: dict[_QueueKey, TargetQueue] = {}
         self._requests: dict[str, Request] = {}
         self._stretch = DEFAULT_STRETCH
 
     def configure(self, tuning: Tuning) -> None:
-        """Take the stretch for requests to come."""
+        """Apply the stretch to requests pushed from now on."""
         self._stretch = tuning.stretch
 
     def push(self, request: Request) -> None:
         """Add ``request``."""
         self._requests[request.request_id] = request
-        line = _line_of(request)
-        queue = self._queues.get(line)
+        key = _queue_key(request)
+        queue = self._queues.get(key)
         if queue is None:
-            queue = self._queues[line] = TargetQueue()
+            queue = self._queues[key] = TargetQueue()
         queue.push(request, self._due_ms(request))
 
     def requeue(self, request: Request) -> None:
-        """Add a request whose attempt failed; it is due as early as before."""
+        """Add a request whose attempt failed; its due time stays the same."""
         self.push(request)
 
     def take(
         self, now_ms: float, place: PlaceFunction
     ) -> tuple[Request, tuple[str, ...]] | None:
-        """:returns: the next request that can be placed, and where"""
-        for line in sorted(self._queues):
-            queue = self._queues[line]
+        """:returns: the next request that can be placed, and its upstreams"""
+        for key in sorted(self._queues):
+            queue = self._queues[key]
             placed = queue.take(place)
             if placed is None:
                 continue
             del self._requests[placed.request.request_id]
             if not queue:
-                del self._queues[line]
+                del self._queues[key]
             return placed
         return None
 
     def remove(self, request_id: str) -> Request | None:
-        """:returns: the request taken out, ``None`` if it is not queued"""
+        """:returns: the removed request, ``None`` if it was not queued"""
         request = self._requests.pop(request_id, None)
         if request is None:
             return None
-        line = _line_of(request)
-        self._queues[line].discard(request)
-        if not self._queues[line]:
-            del self._queues[line]
+        key = _queue_key(request)
+        self._queues[key].discard(request)
+        if not self._queues[key]:
+            del self._queues[key]
         return request
 
     def __iter__(self) -> Iterator[Request]:
@@ -99,19 +107,19 @@
         return len(self._requests)
 
     def _due_ms(self, request: Request) -> float:
-        """:returns: when the request should be served at the latest
+        """:returns: monotonic time by which the request should be dispatched
 
-        The deadline bounds it: a long request whose caller is in a hurry does not
-        wait until it is too late to run it.
+        The deadline bounds it, so that a long request with a short deadline is not
+        held back until it cannot complete in time.
         """
-        own_ms = BASE_MS + request.n_prompt_tokens * MS_PER_TOKEN
-        relaxed_ms = request.arrived_ms + self._stretch * own_ms
-        return min(relaxed_ms, request.deadline_ms - own_ms)
+        prefill_ms = BASE_MS + request.n_prompt_tokens * MS_PER_TOKEN
+        stretched_ms = request.arrived_ms + self._stretch * prefill_ms
+        return min(stretched_ms, request.deadline_ms - prefill_ms)
 
 
-def _line_of(request: Request) -> _Line:
+def _queue_key(request: Request) -> _QueueKey:
     target = f"service {request.service}" if request.service else request.model
-    return _Line(target, request.n_prompt_tokens > MAX_MEDIUM_TOKENS)
+    return _QueueKey(target, request.n_prompt_tokens > MAX_MEDIUM_TOKENS)
 
 
 __all__ = ("FairQueue",)
--- a/src/quetzaldeck/decisions/queueing/fifo.py
+++ b/src/quetzaldeck/decisions/queueing/fifo.py
@@ -1,4 +1,4 @@
-"""First in, first out: the baseline queue policy."""
+"""First-in, first-out queue, the baseline policy."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @queue_policies.register("fifo")
 class FifoQueue(QueuePolicy):
-    """Serves in order of arrival; the head blocks until it can be placed.
+    """Serves requests in order of arrival; the head blocks until it can be placed.
 
-    Load pattern: uniform requests of one customer. It stays in the tree as the
-    baseline that the other policies are measured against.
+    Load pattern: uniform requests of one customer. Kept as the baseline that other
+    policies are measured against.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
     def take(
         self, now_ms: float, place: PlaceFunction
     ) -> tuple[Request, tuple[str, ...]] | None:
-        """:returns: the head, if it can be placed"""
+        """:returns: the head and its upstreams, ``None`` if it cannot be placed"""
         head = next(iter(self._requests.values()), None)
         if head is None:
             return None
@@ -48,7 +48,7 @@
         return head, upstreams
 
     def remove(self, request_id: str) -> Request | None:
-        """:returns: the request taken out, ``None`` if it is not queued"""
+        """:returns: the removed request, ``None`` if it was not queued"""
         return self._requests.pop(request_id, None)
 
     def __iter__(self) -> Iterator[Request]:
--- a/src/quetzaldeck/decisions/queueing/start_time_fair_queue.py
+++ b/src/quetzaldeck/decisions/queueing/start_time_fair_queue.py
@@ -1,4 +1,4 @@
-"""Weighted fairness between customers, by tokens."""
+"""Weighted fair queueing between customers, measured in tokens."""
 
 from __future__ import annotations
 
@@ -15,109 +15,125 @@
     from quetzaldeck.decisions.queueing.api import PlaceFunction
 
 MAX_PROBES = 3
-"""Heads tried before the rota gives up: a head may wait for an adapter or for room
-of its size while the next one need not; more would cost more than they find."""
+"""Customers whose head request is probed for each dispatch. A head may have to wait for
+an adapter or for capacity for its size while the next customer's need not; further
+probes cost more than they find."""
 
-_MIN_FORGET = 64
+_MIN_IDLE_TAGS = 64
 
 
-class Placed(NamedTuple):
-    """A request taken from the queue and where it goes."""
+class PlacedRequest(NamedTuple):
+    """A request taken from the queue and the upstreams it is placed on."""
 
     request: Request
     upstreams: tuple[str, ...]
 
 
-class _Turn(NamedTuple):
-    tag: float
-    number: int
+class _ScheduledCustomer(NamedTuple):
+    start_tag: float
+    sequence_number: int
     customer: str
 
 
 class StartTimeFairQueue:
-    """Serves the customer that had the fewest tokens for its weight.
-
-    Load pattern: one customer sends much more, or much longer prompts, than the
-    others. Served in order of arrival it would take the fleet in proportion to what
-    it sends; served by requests, the one with the longest prompts would win.
-
-    This is start-time fair queueing. Each customer has a tag, its tokens served by
-    weight; the lowest tag goes next. Deficit round robin gives the same shares, but
-    needs a quantum: one of a million tokens lets a customer take that much in a
-    burst, a smaller one takes many rounds over all customers before a long prompt
-    is served. The heap has neither: each decision costs the logarithm of the number
-    of customers that wait.
+    """Serves the customer that has received the fewest tokens relative to its weight.
+
+    Load pattern: one customer sends many more requests, or much longer prompts, than
+    the others. In order of arrival it would get a share of the fleet in proportion to
+    what it sends; with fairness by requests, the customer with the longest prompts
+    would get most.
+
+    This is start-time fair queueing. Each customer has a start tag, the tokens served
+    to it divided by its weight; the lowest start tag goes next. Deficit round robin
+    gives the same shares but needs a quantum: with a million tokens a customer gets a
+    burst of that size, and a smaller quantum takes many rounds over all customers
+    before a long prompt is served. The heap has neither problem; each decision is
+    logarithmic in the number of waiting customers.
     """
 
     def __init__(self) -> None:
-        self._lines: dict[str, CustomerQueue] = {}
-        self._turns: list[_Turn] = []
-        self._tags: dict[str, float] = {}
+        self._queues: dict[str, CustomerQueue] = {}
+        self._schedule: list[_ScheduledCustomer] = []
+        self._idle_tags: dict[str, float] = {}
         self._virtual_time = 0.0
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._n_requests = 0
 
     def __len__(self) -> int:
         return self._n_requests
 
     def __iter__(self) -> Iterator[Request]:
-        for line in self._lines.values():
-            yield from line
+        for queue in self._queues.values():
+            yield from queue
 
     def push(self, request: Request, due_ms: float) -> None:
-        """Add a request; a customer that was idle gets no credit for that time."""
-        line = self._lines.get(request.customer)
-        if line is None:
-            line = self._lines[request.customer] = CustomerQueue()
-            tag = max(self._virtual_time, self._tags.get(request.customer, 0.0))
-            self._add_turn(request.customer, tag)
-        line.push(request, due_ms)
+        """Add a request; a customer gets no credit for time without requests."""
+        queue = self._queues.get(request.customer)
+        if queue is None:
+            queue = self._queues[request.customer] = CustomerQueue()
+            start_tag = max(
+                self._virtual_time, self._idle_tags.get(request.customer, 0.0)
+            )
+            self._schedule_customer(request.customer, start_tag)
+        queue.push(request, due_ms)
         self._n_requests += 1
 
     def discard(self, request: Request) -> None:
-        """Take a request out that is not served."""
-        self._lines[request.customer].discard(request.request_id)
+        """Remove a queued request, served or not."""
+        self._queues[request.customer].discard(request.request_id)
         self._n_requests -= 1
 
-    def take(self, place: PlaceFunction) -> Placed | None:
-        """:returns: the next request that can be placed, of a few that are next"""
-        passed: list[_Turn] = []
+    def take(self, place: PlaceFunction) -> PlacedRequest | None:
+        """:returns: the first placeable request of the next few customers
+
+        At most :data:`MAX_PROBES` requests are tried.
+        """
+        skipped: list[_ScheduledCustomer] = []
         placed = None
-        while self._turns and placed is None and len(passed) < MAX_PROBES:
-            turn = heapq.heappop(self._turns)
-            head = self._lines[turn.customer].peek()
+        while self._schedule and placed is None and len(skipped) < MAX_PROBES:
+            entry = heapq.heappop(self._schedule)
+            head = self._queues[entry.customer].peek()
             if head is None:
-                self._retire(turn)
+                self._remove_idle(entry)
                 continue
             upstreams = place(head)
             if upstreams is None:
-                passed.append(turn)
+                skipped.append(entry)
                 continue
-            self._serve(turn, head)
-            placed = Placed(head, upstreams)
-        for turn in passed:
-            heapq.heappush(self._turns, turn)
+            self._dequeue(entry, head)
+            placed = PlacedRequest(head, upstreams)
+        for entry in skipped:
+            heapq.heappush(self._schedule, entry)
         return placed
 
-    def _serve(self, turn: _Turn, request: Request) -> None:
-        self._virtual_time = max(self._virtual_time, turn.tag)
-        tag = turn.tag + request.n_kv_tokens / request.weight
+    def _dequeue(self, entry: _ScheduledCustomer, request: Request) -> None:
+        self._virtual_time = max(self._virtual_time, entry.start_tag)
+        start_tag = entry.start_tag + request.n_kv_tokens / request.weight
         self.discard(request)
-        if self._lines[turn.customer].peek() is None:
-            self._retire(turn._replace(tag=tag))
+        if self._queues[entry.customer].peek() is None:
+            self._remove_idle(entry._replace(start_tag=start_tag))
         else:
-            self._add_turn(turn.customer, tag)
-
-    def _add_turn(self, customer: str, tag: float) -> None:
-        heapq.heappush(self._turns, _Turn(tag, next(self._numbers), customer))
-
-    def _retire(self, turn: _Turn) -> None:
-        """Remember a customer without requests while its tag still tells something."""
-        del self._lines[turn.customer]
-        self._tags[turn.customer] = turn.tag
-        if len(self._tags) > 2 * len(self._lines) + _MIN_FORGET:
+            self._schedule_customer(entry.customer, start_tag)
+
+    def _schedule_customer(self, customer: str, start_tag: float) -> None:
+        heapq.heappush(
+            self._schedule,
+            _ScheduledCustomer(start_tag, next(self._sequence), customer),
+        )
+
+    def _remove_idle(self, entry: _ScheduledCustomer) -> None:
+        """Remove a customer without requests and keep its start tag.
+
+        The tag matters only while it is ahead of the virtual time; older ones are
+        dropped, so that memory does not grow with all customers ever served.
+        """
+        del self._queues[entry.customer]
+        self._idle_tags[entry.customer] = entry.start_tag
+        if len(self._idle_tags) > 2 * len(self._queues) + _MIN_IDLE_TAGS:
             now = self._virtual_time
-            self._tags = {c: tag for c, tag in self._tags.items() if tag > now}
+            self._idle_tags = {
+                c: tag for c, tag in self._idle_tags.items() if tag > now
+            }
 
 
-__all__ = ("MAX_PROBES", "Placed", "StartTimeFairQueue")
+__all__ = ("MAX_PROBES", "PlacedRequest", "StartTimeFairQueue")
--- a/src/quetzaldeck/decisions/queueing/target_queue.py
+++ b/src/quetzaldeck/decisions/queueing/target_queue.py
@@ -1,4 +1,4 @@
-"""The queue before one model or plain service."""
+"""Queue of one model or plain service, with priorities."""
 
 from __future__ import annotations
 
@@ -10,78 +10,78 @@
     from collections.abc import Iterator
 
     from quetzaldeck.decisions.queueing.api import PlaceFunction
-    from quetzaldeck.decisions.queueing.start_time_fair_queue import Placed
+    from quetzaldeck.decisions.queueing.start_time_fair_queue import PlacedRequest
     from quetzaldeck.decisions.request import Request
 
-LOWER_SHARE = 0.125
-"""Tokens that each lower priority may have for each token of the higher ones."""
+LOWER_PRIORITY_SHARE = 0.125
+"""Tokens of credit that each lower priority earns per token served at a higher one."""
 
 MAX_CREDIT_TOKENS = 200_000.0
-"""Bound of what a priority saves up while it cannot be placed, so that it does not
-take the fleet for minutes once it can."""
+"""Limit of the credit of a priority. Without it, a priority that could not be placed
+for a long time would then take the whole fleet for minutes."""
 
 
 class TargetQueue:
-    """Priorities of the bundle, 0 first, and a rota of customers in each.
+    """Serves priorities in order, 0 first, with a fair queue of customers in each.
 
-    A lower priority has a guaranteed share while higher ones have work: without it,
-    a customer of high priority that keeps its queue full would stop all others.
+    Lower priorities are guaranteed a share while higher ones have work. Otherwise a
+    high-priority customer that keeps its queue full would starve all others.
     """
 
     def __init__(self) -> None:
-        self._rotas: dict[int, StartTimeFairQueue] = {}
+        self._queues: dict[int, StartTimeFairQueue] = {}
         self._credits: dict[int, float] = {}
 
     def __len__(self) -> int:
-        return sum(len(rota) for rota in self._rotas.values())
+        return sum(len(queue) for queue in self._queues.values())
 
     def __iter__(self) -> Iterator[Request]:
-        for rota in self._rotas.values():
-            yield from rota
+        for queue in self._queues.values():
+            yield from queue
 
     def push(self, request: Request, due_ms: float) -> None:
         """Add a request that is due at ``due_ms``."""
-        rota = self._rotas.get(request.priority)
-        if rota is None:
-            rota = self._rotas[request.priority] = StartTimeFairQueue()
-        rota.push(request, due_ms)
+        queue = self._queues.get(request.priority)
+        if queue is None:
+            queue = self._queues[request.priority] = StartTimeFairQueue()
+        queue.push(request, due_ms)
 
     def discard(self, request: Request) -> None:
-        """Take a request out that is not served."""
-        rota = self._rotas[request.priority]
-        rota.discard(request)
-        if not rota:
-            self._forget(request.priority)
+        """Remove a queued request that is not served."""
+        queue = self._queues[request.priority]
+        queue.discard(request)
+        if not queue:
+            self._remove_priority(request.priority)
 
-    def take(self, place: PlaceFunction) -> Placed | None:
+    def take(self, place: PlaceFunction) -> PlacedRequest | None:
         """:returns: the next request that can be placed"""
-        for priority in self._order():
-            placed = self._rotas[priority].take(place)
+        for priority in self._priorities_in_order():
+            placed = self._queues[priority].take(place)
             if placed is not None:
-                self._charge(priority, placed.request)
+                self._update_credits(priority, placed.request)
                 return placed
         return None
 
-    def _order(self) -> list[int]:
-        """:returns: priorities with work: those with earned credit, then 0 to 9"""
-        ordered = sorted(self._rotas)
-        earned = [p for p in ordered if self._credits.get(p, 0.0) > 0.0]
-        return earned + [p for p in ordered if p not in earned]
+    def _priorities_in_order(self) -> list[int]:
+        """:returns: priorities with requests: those with credit first, then the others"""
+        ordered = sorted(self._queues)
+        with_credit = [p for p in ordered if self._credits.get(p, 0.0) > 0.0]
+        return with_credit + [p for p in ordered if p not in with_credit]
 
-    def _charge(self, priority: int, request: Request) -> None:
+    def _update_credits(self, priority: int, request: Request) -> None:
         n_tokens = request.n_kv_tokens
         if self._credits.get(priority, 0.0) > 0.0:
             self._credits[priority] -= n_tokens
-        for other in self._rotas:
+        for other in self._queues:
             if other > priority:
-                earned = self._credits.get(other, 0.0) + LOWER_SHARE * n_tokens
-                self._credits[other] = min(MAX_CREDIT_TOKENS, earned)
-        if not self._rotas[priority]:
-            self._forget(priority)
+                credit = self._credits.get(other, 0.0) + LOWER_PRIORITY_SHARE * n_tokens
+                self._credits[other] = min(MAX_CREDIT_TOKENS, credit)
+        if not self._queues[priority]:
+            self._remove_priority(priority)
 
-    def _forget(self, priority: int) -> None:
-        del self._rotas[priority]
+    def _remove_priority(self, priority: int) -> None:
+        del self._queues[priority]
         self._credits.pop(priority, None)
 
 
-__all__ = ("LOWER_SHARE", "MAX_CREDIT_TOKENS", "TargetQueue")
+__all__ = ("LOWER_PRIORITY_SHARE", "MAX_CREDIT_TOKENS", "TargetQueue")
--- a/tests/decisions/queueing/test_deadline_heap.py
+++ b/tests/decisions/queueing/test_deadline_heap.py
@@ -1,11 +1,11 @@
-"""Expired requests are found without a scan."""
+"""Tests of the heap that finds expired requests without scanning the queue."""
 
 from __future__ import annotations
 
 from quetzaldeck.decisions.queueing import DeadlineHeap
 
 
-def test_pop_expired_gives_each_expired_request_once() -> None:
+def test_pop_expired_returns_each_expired_request_once() -> None:
     heap = DeadlineHeap()
     for name, deadline_ms in (("b", 20.0), ("a", 10.0), ("c", 30.0)):
         heap.add(name, deadline_ms)
@@ -14,8 +14,11 @@
     assert len(heap) == 1
 
 
-def test_discard_forgets_requests_in_bounded_memory() -> None:
-    """Requests come and go for days while one with a far deadline waits."""
+def test_discard_keeps_memory_bounded() -> None:
+    """Guards against a leak: stale entries must go while one with a late deadline stays.
+
+    Entries behind the oldest one would otherwise stay in the heap until its deadline.
+    """
     heap = DeadlineHeap()
     heap.add("stays", 1e9)
     for index in range(10_000):
@@ -26,7 +29,7 @@
     assert heap.pop_expired(1e9) == ["stays"]
 
 
-def test_add_again_keeps_the_later_deadline_only() -> None:
+def test_add_after_discard_replaces_the_deadline() -> None:
     heap = DeadlineHeap()
     heap.add("a", 10.0)
     heap.discard("a")
--- a/tests/decisions/queueing/test_fair.py
+++ b/tests/decisions/queueing/test_fair.py
@@ -1,4 +1,4 @@
-"""Whom the length-aware queue serves next."""
+"""Tests of the order in which the fair queue serves requests."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
     return taken
 
 
-def test_take_serves_the_short_before_the_long(make_request: MakeRequest) -> None:
+def test_take_serves_short_requests_before_long_ones(make_request: MakeRequest) -> None:
     queue = FairQueue()
     for n_tokens in (30_000, 1_000, 8_000):
         queue.push(make_request(n_tokens))
     assert [r.n_prompt_tokens for r in drain(queue)] == [1_000, 8_000, 30_000]
 
 
-def test_take_serves_an_aged_long_before_a_new_short(
+def test_take_serves_an_old_long_request_before_a_new_short_one(
     make_request: MakeRequest,
 ) -> None:
-    """A season review waits while check-ins arrive without end.
+    """Guards against starvation of long requests while short ones keep arriving.
 
-    Shortest-first alone would never serve it, and a coach would lose a week of work.
+    Shortest-first without ageing would never serve the long one.
     """
     queue = FairQueue()
     queue.push(make_request(20_000, arrived_ms=0.0))
@@ -72,12 +72,12 @@
     assert served == {"heavy": 60, "light": 20}
 
 
-def test_take_gives_a_newcomer_its_turn_but_no_arrears(
+def test_take_gives_no_credit_for_time_before_the_first_request(
     make_request: MakeRequest,
 ) -> None:
-    """A customer has sent for an hour; another one begins.
+    """A customer starts to send after another one has been served for long.
 
-    Had the newcomer a credit for that hour, it would shut the first one out.
+    With credit for the time before, the new customer would starve the old one.
     """
     queue = FairQueue()
     for _ in range(300):
@@ -89,7 +89,7 @@
     assert served["new"] in (10, 11)
 
 
-def test_take_serves_priorities_in_order_with_a_share_for_the_lower(
+def test_take_serves_priorities_in_order_with_a_share_for_lower_ones(
     make_request: MakeRequest,
 ) -> None:
     queue = FairQueue()
@@ -101,8 +101,8 @@
     assert 8 <= sum(r.customer == "reviews" for r in served) <= 11
 
 
-def test_take_passes_what_cannot_be_placed(make_request: MakeRequest) -> None:
-    """The head waits for an engine with room; a check-in behind it must not."""
+def test_take_skips_a_request_that_cannot_be_placed(make_request: MakeRequest) -> None:
+    """A long head request waits for capacity; a short one behind it must not."""
     queue = FairQueue()
     queue.push(make_request(30_000, customer="blocked"))
     queue.push(make_request(1_000, customer="other", arrived_ms=500_000.0))
@@ -116,7 +116,9 @@
     assert len(queue) == 1
 
 
-def test_take_never_lets_one_target_block_another(make_request: MakeRequest) -> None:
+def test_take_is_not_blocked_by_other_models_or_services(
+    make_request: MakeRequest,
+) -> None:
     queue = FairQueue()
     for index in range(50):
         queue.push(make_request(customer=f"c{index}"))
@@ -126,7 +128,7 @@
     assert placed[0].service == "desk"
 
 
-def test_take_probes_few_heads_however_many_customers_wait(
+def test_take_probes_few_requests_with_many_customers(
     make_request: MakeRequest,
 ) -> None:
     queue = FairQueue()
@@ -153,7 +155,7 @@
         max_size=80,
     )
 )
-def test_queue_holds_each_request_until_it_is_taken_once(
+def test_queue_keeps_each_request_until_it_is_taken_or_removed(
     steps: list[tuple[str, int, int, int]],
 ) -> None:
     queue = FairQueue()
