--- a/src/quetzaldeck/decisions/queueing/target_queue.py
+++ b/src/quetzaldeck/decisions/queueing/target_queue.py
@@ -63,7 +63,7 @@
         return None
 
     def _priorities_in_order(self) -> list[int]:
-        """:returns: priorities with requests: those with credit first, then the others"""
+        """:returns: priorities with requests; those with credit come first"""
         ordered = sorted(self._queues)
         with_credit = [p for p in ordered if self._credits.get(p, 0.0) > 0.0]
         return with_credit + [p for p in ordered if p not in with_credit]
--- a/src/quetzaldeck/decisions/retries/__init__.py
+++ b/src/quetzaldeck/decisions/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Retries: which failed attempts are made again, when, and how many in all."""
+"""Retries: which failed attempts are retried, when, and within which budgets."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/retries/bounds.py
+++ b/src/quetzaldeck/decisions/retries/bounds.py
@@ -1,4 +1,4 @@
-"""Figures of the retry policy and their grounds."""
+"""Parameters of the retry policy and the reasons for their defaults."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 class RetryBounds(NamedTuple):
     """Bounds of retries.
 
-    :param max_attempts: attempts of one request that may have run
-    :param ratio: work of retries against admitted work. One of three zones has a
-        third of the work in flight; at up to a minute a request, long prompts
-        included, that is under a quarter of what the window admits.
-    :param floor_tokens: work of retries that an idle VM may always make
+    :param max_attempts: maximum attempts of one request that may have run
+    :param ratio: maximum ratio of retried to admitted work. When one of three zones
+        fails, a third of the work in flight is lost; with requests of up to a minute,
+        long prompts included, that is under a quarter of the work that the window
+        admits.
+    :param min_retry_tokens: retried work that is always allowed, also on an idle VM
     :param half_life_ms: time after which admitted and retried work count half
-    :param base_delay_ms: mean of the first back-off's range is half of it
-    :param max_delay_ms: longest back-off
-    :param reservation_delay_ms: longest pause before a reservation is tried again
+    :param base_delay_ms: longest first backoff; its mean is half of that
+    :param max_delay_ms: longest backoff
+    :param reservation_delay_ms: longest backoff before a reservation is retried
     """
 
     max_attempts: int = 3
     ratio: float = 0.25
-    floor_tokens: float = 50_000.0
+    min_retry_tokens: float = 50_000.0
     half_life_ms: float = 60_000.0
     base_delay_ms: float = 50.0
     max_delay_ms: float = 2_000.0
--- a/src/quetzaldeck/decisions/retries/budget.py
+++ b/src/quetzaldeck/decisions/retries/budget.py
@@ -1,12 +1,12 @@
 """Budget of retries as a ratio of admitted work.
 
-Load pattern: an availability zone or a wave of engines dies under load. Each request
-that was there fails, and each is tried again while the rest of the fleet already
-carries the lost zone's share. Without a budget the offered work doubles at the worst
-moment, and the overload outlives its cause.
+Load pattern: an availability zone or many engines fail at once under load. All their
+requests fail and are retried while the rest of the fleet already carries the load of
+the lost zone. Without a budget the offered work doubles at the worst moment, and the
+overload outlasts its cause.
 
-Work is counted in tokens: one retry of a million tokens costs what a thousand
-retries of desk questions cost.
+Work is counted in tokens: one retry of a million tokens costs as much as a thousand
+retries of short requests.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 
 
 class RetryBudget:
-    """A leaky account: admitted work pays in, retries draw.
+    """Decaying account of admitted and retried work.
 
-    A draw is allowed while the retried work is under the ratio of the admitted work
-    plus the floor; it may pass that line by one request. Without this allowance a
-    request larger than the floor could never be retried on a quiet fleet.
+    A retry is allowed while the retried work is below the ratio of the admitted work
+    plus the minimum. It may exceed that bound by one request: otherwise a request
+    larger than the minimum could never be retried on an idle fleet.
 
-    :param ratio: retried work against admitted work
-    :param floor_tokens: work that may always be retried
-    :param half_life_ms: time after which both sides count half
+    :param ratio: maximum ratio of retried to admitted work
+    :param min_retry_tokens: work that may always be retried
+    :param half_life_ms: time after which admitted and retried work count half
     """
 
     def __init__(
-        self, *, ratio: float, floor_tokens: float, half_life_ms: float
+        self, *, ratio: float, min_retry_tokens: float, half_life_ms: float
     ) -> None:
         self._ratio = ratio
-        self._floor_tokens = floor_tokens
+        self._min_retry_tokens = min_retry_tokens
         self._half_life_ms = half_life_ms
         self._admitted = 0.0
         self._retried = 0.0
@@ -38,27 +38,30 @@
 
     @property
     def allowed_tokens(self) -> float:
-        """:returns: line up to which retried work is allowed, in tokens"""
-        return self._ratio * self._admitted + self._floor_tokens
+        """:returns: bound of the retried work, in tokens"""
+        return self._ratio * self._admitted + self._min_retry_tokens
 
     @property
     def retried_tokens(self) -> float:
-        """:returns: work of recent retries, in tokens"""
+        """:returns: decayed work of past retries, in tokens"""
         return self._retried
 
-    def admit(self, n_tokens: int, now_ms: float) -> None:
-        """Pay in the work of an admitted request."""
+    def deposit(self, n_tokens: int, now_ms: float) -> None:
+        """Add the work of an admitted request."""
         self._decay(now_ms)
         self._admitted += n_tokens
 
-    def has_room(self, now_ms: float) -> bool:
-        """:returns: whether a retry may be made now"""
+    def can_spend(self, now_ms: float) -> bool:
+        """:returns: whether the budget allows a retry now"""
         self._decay(now_ms)
         return self._retried < self.allowed_tokens
 
-    def draw(self, n_tokens: int, now_ms: float) -> bool:
-        """:returns: whether a retry of ``n_tokens`` may be made; it is then charged"""
-        if not self.has_room(now_ms):
+    def try_spend(self, n_tokens: int, now_ms: float) -> bool:
+        """Charge a retry of ``n_tokens`` if the budget allows it.
+
+        :returns: whether it does
+        """
+        if not self.can_spend(now_ms):
             return False
         self._retried += n_tokens
         return True
--- a/src/quetzaldeck/decisions/retries/delayed.py
+++ b/src/quetzaldeck/decisions/retries/delayed.py
@@ -1,4 +1,4 @@
-"""Requests that wait for the end of their back-off."""
+"""Requests that wait for the end of their backoff."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class DelayedRequests:
-    """A heap by due time."""
+    """Requests by the time at which their backoff ends.
+
+    Removed requests stay in the heap until their time, but are not returned.
+    """
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, str]] = []
@@ -30,11 +33,14 @@
         heapq.heappush(self._heap, (due_ms, request.request_id))
 
     def remove(self, request_id: str) -> Request | None:
-        """:returns: the request taken out, ``None`` if it is not held"""
+        """:returns: the removed request, ``None`` if it was not held"""
         return self._requests.pop(request_id, None)
 
     def take_due(self, now_ms: float) -> Iterator[Request]:
-        """:returns: the requests whose time has come, taken out"""
+        """Remove the requests whose backoff has ended.
+
+        :returns: these requests, earliest first
+        """
         while self._heap and self._heap[0][0] <= now_ms:
             request = self._requests.pop(heapq.heappop(self._heap)[1], None)
             if request is not None:
--- a/src/quetzaldeck/decisions/retries/history.py
+++ b/src/quetzaldeck/decisions/retries/history.py
@@ -1,4 +1,4 @@
-"""What has happened to one request so far."""
+"""History of the attempts of one request."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 class AttemptHistory(NamedTuple):
     """Attempts of one request.
 
-    :param n_dispatched: attempts handed out, for their ids
-    :param n_run: failed attempts that may have run
-    :param n_unrun: failed attempts of which no byte reached an upstream
-    :param n_no_room: reservations that could not be had
-    :param avoided: upstreams that failed the request, oldest first
-    :param has_reached: whether any byte may have reached an upstream
-    :param has_output: whether an upstream generated some of the answer
+    :param n_dispatched: dispatched attempts, used to number them
+    :param n_maybe_run: failed attempts that an upstream may have begun to run
+    :param n_not_run: failed attempts that no upstream began to run
+    :param n_no_room: reservations refused for lack of capacity
+    :param avoided: upstreams on which the request failed, oldest first
+    :param has_reached: whether any upstream may have begun to run the request
+    :param has_output: whether any upstream generated a part of the answer
     """
 
     n_dispatched: int = 0
-    n_run: int = 0
-    n_unrun: int = 0
+    n_maybe_run: int = 0
+    n_not_run: int = 0
     n_no_room: int = 0
     avoided: tuple[str, ...] = ()
     has_reached: bool = False
@@ -33,7 +33,7 @@
 
     @property
     def ran(self) -> Ran:
-        """:returns: what a failure may say: ``no`` only if nothing was sent"""
+        """:returns: whether the request ran; ``NO`` only if no attempt can have run"""
         if self.has_output:
             return Ran.YES
         return Ran.UNKNOWN if self.has_reached else Ran.NO
@@ -41,18 +41,19 @@
     def after(self, end: AttemptEnd, upstreams: tuple[str, ...]) -> AttemptHistory:
         """:returns: the history with one more failed attempt
 
-        A member without room did not fail: it may have room the next time. Nor did one
-        that was given more than was announced.
+        An upstream that refused a reservation for lack of capacity is not avoided: it
+        may have capacity next time. Nor is one that refused a prompt longer than
+        estimated.
         """
         if end.fault is AttemptFault.NO_ROOM:
             return self._replace(n_no_room=self.n_no_room + 1)
-        blamed = (end.upstream,) if end.upstream else upstreams
+        failed = (end.upstream,) if end.upstream else upstreams
         if end.fault is AttemptFault.TOO_LONG:
-            blamed = ()
+            failed = ()
         return self._replace(
-            n_run=self.n_run + end.has_reached,
-            n_unrun=self.n_unrun + (not end.has_reached),
-            avoided=self.avoided + blamed,
+            n_maybe_run=self.n_maybe_run + end.has_reached,
+            n_not_run=self.n_not_run + (not end.has_reached),
+            avoided=self.avoided + failed,
             has_reached=self.has_reached or end.has_reached,
             has_output=self.has_output or end.n_output_tokens > 0,
         )
--- a/src/quetzaldeck/decisions/retries/policy.py
+++ b/src/quetzaldeck/decisions/retries/policy.py
@@ -1,14 +1,13 @@
-"""Decides whether and when a failed attempt is made again.
+"""Decides whether and when a failed attempt is retried.
 
-Load pattern: single failures under normal load, and many failures at once when a
-zone or a wave of engines dies. Without back-off with jitter all victims come back
-in the same instant and the survivors' prefill queues fill at once; without the
-budget see :mod:`quetzaldeck.decisions.retries.budget`.
+Load pattern: single failures under normal load, and many failures at once when a zone
+or many engines fail. Without backoff with jitter all failed requests are retried at the
+same moment and fill the prefill queues of the remaining engines at once. For the
+effect of the budget see :mod:`quetzaldeck.decisions.retries.budget`.
 
-Only safe retries are made: a request that may not be repeated is retried only if no
-byte of it can have reached an upstream. What is given up on is given up at once, so
-that the caller need not wait for its deadline to hear it, with the time at which
-coming back makes sense.
+Only safe retries are made: a non-repeatable request is retried only if no upstream can
+have begun to run it. A request that cannot be retried fails at once, so that its caller
+need not wait for the deadline, and with the time after which to retry.
 """
 
 from __future__ import annotations
@@ -29,34 +28,36 @@
     from quetzaldeck.decisions.retries.history import AttemptHistory
     from quetzaldeck.decisions.retries.resend_budget import ResendBudget
 
-MAX_UNRUN_ATTEMPTS = 20
-"""Refused connections of one request: a bound on the work of trying, not on load."""
+MAX_NOT_RUN_ATTEMPTS = 20
+"""Attempts of one request that were certainly not run, such as refused connections.
+Bounds the work of trying; such attempts put no load on upstreams."""
 
 MAX_DOUBLINGS = 10
-"""Keeps the power small; the longest delay is reached long before."""
+"""Bounds the exponent of the backoff; the longest backoff is reached well before."""
 
 ESTIMATE_GROWTH = 1.6
-"""What an estimate is multiplied by when an engine counted more; 2.6 in two steps."""
+"""Factor for a prompt estimate that an engine found too low; 2.6 in two steps."""
 
-COME_BACK_MS = 2_000.0
-"""When to come back after a failure of upstreams: most probes are due by then."""
+UPSTREAM_FAILURE_RETRY_AFTER_MS = 2_000.0
+"""Time after which callers should retry when upstreams failed; most health probes are
+due by then."""
 
 
 class Retry(NamedTuple):
-    """Make another attempt.
+    """Decision to make another attempt.
 
-    :param due_ms: monotonic time before which it is not made
+    :param due_ms: monotonic time before which the attempt must not start
     """
 
     due_ms: float
 
 
 class RetryPolicy:
-    """One VM's retries.
+    """Decides on the retries of one VM.
 
     :param random_state: source of the jitter
-    :param bounds: figures
-    :param resend_budget: bound on sends beyond the first; ``None``: there is none
+    :param bounds: parameters, the defaults if not given
+    :param resend_budget: bound on resends by service, ``None`` for no such bound
     """
 
     def __init__(
@@ -71,88 +72,91 @@
         self._bounds = bounds or RetryBounds()
         self._budget = RetryBudget(
             ratio=self._bounds.ratio,
-            floor_tokens=self._bounds.floor_tokens,
+            min_retry_tokens=self._bounds.min_retry_tokens,
             half_life_ms=self._bounds.half_life_ms,
         )
 
     @property
     def budget(self) -> RetryBudget:
-        """:returns: the account of admitted and retried work"""
+        """:returns: the budget of retried work"""
         return self._budget
 
     def note_admitted(self, request: Request, now_ms: float) -> None:
-        """Pay an admitted request into the budget."""
-        self._budget.admit(request.n_kv_tokens, now_ms)
+        """Add an admitted request to the budgets."""
+        self._budget.deposit(request.n_kv_tokens, now_ms)
         if self._resend_budget is not None:
-            self._resend_budget.admit(request.target, now_ms)
+            self._resend_budget.record_request(request.target, now_ms)
 
     def decide(
         self, request: Request, end: AttemptEnd, history: AttemptHistory, now_ms: float
     ) -> Retry | Failure:
-        """Decide on a failed attempt.
+        """Decide whether a failed attempt is retried.
 
-        :param history: the attempts so far, this one included
-        :returns: when to try again, or the final failure
+        :param history: the attempts so far, including the failed one
+        :returns: the retry, or the final failure
         """
         reason = _final_reason(end.fault)
-        come_back_ms = max(COME_BACK_MS, end.retry_after_ms or 0.0)
-        failure = Failure(reason, history.ran, come_back_ms)
+        retry_after_ms = max(UPSTREAM_FAILURE_RETRY_AFTER_MS, end.retry_after_ms or 0.0)
+        failure = Failure(reason, history.ran, retry_after_ms)
         if end.fault is AttemptFault.REFUSED:
             return failure._replace(retry_after_ms=end.retry_after_ms)
         if not request.is_repeatable and history.has_reached:
             return failure
         if (
-            history.n_run >= self._max_attempts(request)
-            or history.n_unrun >= MAX_UNRUN_ATTEMPTS
+            history.n_maybe_run >= self._max_attempts(request)
+            or history.n_not_run >= MAX_NOT_RUN_ATTEMPTS
         ):
             return failure
         due_ms = now_ms + self._delay(end, history)
         if due_ms >= min(request.deadline_ms, request.hang_up_ms):
             return failure
-        if not self._may_draw(request, end, now_ms):
+        if not self._try_spend(request, end, now_ms):
             return failure._replace(reason=Reason.RETRY_BUDGET_SPENT)
         return Retry(due_ms)
 
     def may_retry(
         self, request: Request, history: AttemptHistory, now_ms: float
     ) -> bool:
-        """:returns: whether a running attempt may be given up for another one
+        """:returns: whether a running attempt may be abandoned for a retry
 
-        :param history: the attempts before the one that runs
+        :param history: the attempts before the running one
         """
         if not request.is_repeatable:
             return False
-        if history.n_run + 1 >= self._max_attempts(request):
+        if history.n_maybe_run + 1 >= self._max_attempts(request):
             return False
         if now_ms >= min(request.deadline_ms, request.hang_up_ms):
             return False
         resend_budget = self._resend_budget
-        if resend_budget is not None and not resend_budget.has_room(
+        if resend_budget is not None and not resend_budget.can_spend(
             request.target, now_ms
         ):
             return False
-        return self._budget.has_room(now_ms)
+        return self._budget.can_spend(now_ms)
 
     def _max_attempts(self, request: Request) -> int:
         if request.max_attempts is None:
             return self._bounds.max_attempts
         return min(self._bounds.max_attempts, request.max_attempts)
 
-    def _may_draw(self, request: Request, end: AttemptEnd, now_ms: float) -> bool:
-        """:returns: whether the budgets bear one more attempt, which they then do"""
-        if end.has_reached and not self._budget.draw(request.n_kv_tokens, now_ms):
+    def _try_spend(self, request: Request, end: AttemptEnd, now_ms: float) -> bool:
+        """Charge one more attempt to the budgets that apply to it.
+
+        :returns: whether they allow it
+        """
+        if end.has_reached and not self._budget.try_spend(request.n_kv_tokens, now_ms):
             return False
         if self._resend_budget is None or not end.has_arrived:
             return True
-        return self._resend_budget.draw(request.target, now_ms)
+        return self._resend_budget.try_spend(request.target, now_ms)
 
     def _delay(self, end: AttemptEnd, history: AttemptHistory) -> float:
-        """:returns: pause before the next attempt, in milliseconds
+        """:returns: delay before the next attempt, in milliseconds
 
-        The whole range is random: a fixed part would leave the victims of one crash
-        in step with each other.
+        The backoff has full jitter: with a fixed part, requests that failed in the same
+        crash would be retried nearly at the same time.
         """
-        n_failed = history.n_run + history.n_unrun + history.n_no_room
+        n_failed = history.n_maybe_run + history.n_not_run + history.n_no_room
         bounds = self._bounds
         ceiling_ms = bounds.max_delay_ms
         if end.fault is AttemptFault.NO_ROOM:
@@ -166,11 +170,11 @@
 
 
 def grow_estimate(request: Request) -> Request:
-    """:returns: the request with a larger estimate of its prompt
+    """:returns: the request with a larger estimate of its prompt tokens
 
-    Texts of short words or of other scripts have up to four times the tokens that
-    their length suggests. Given up after the first refusal, a history that the
-    fleet could hold would be lost for a wrong guess.
+    Texts of short words or of non-Latin scripts have up to four times the tokens that
+    their length suggests. Without growth, a long prompt that fits into the fleet would
+    fail after the first refusal because of a wrong estimate.
     """
     n_prompt_tokens = math.ceil(request.n_prompt_tokens * ESTIMATE_GROWTH)
     return request._replace(n_prompt_tokens=n_prompt_tokens)
@@ -186,4 +190,4 @@
     return Reason.UPSTREAM_FAILED
 
 
-__all__ = ("MAX_UNRUN_ATTEMPTS", "Retry", "RetryPolicy", "grow_estimate")
+__all__ = ("MAX_NOT_RUN_ATTEMPTS", "Retry", "RetryPolicy", "grow_estimate")
--- a/src/quetzaldeck/decisions/retries/resend_budget.py
+++ b/src/quetzaldeck/decisions/retries/resend_budget.py
@@ -1,64 +1,73 @@
-"""Budget of the sends beyond the first of each request, by service, without a store.
+"""Budget of resends (sends of a request after its first), by service, without a store.
 
-Load pattern: replicas of one service fail or reject under load, and every VM sends
-their requests again to the ones that are left. The bound on such sends holds for all
-VMs together, but they share no counter. Without this module each VM keeps a bound of
-its own and the sum is as many times too large as there are VMs.
+Load pattern: replicas of a service fail or reject requests under load, and every VM
+resends those requests to the remaining replicas. The bound on resends holds for all VMs
+together, but they share no counter. If each VM applied the whole bound by itself, the
+sum would exceed it by a factor of the number of VMs.
 
-Each VM keeps to the ratio of the requests that came to itself: whatever the balancer
-does, the parts then sum to the ratio of all requests. A quiet VM may still make a few
-sends: the floor, which all VMs together have to fit into the slack of the bound.
+So each VM applies the ratio to the requests that arrived at itself; however the
+balancer distributes requests, the resends of all VMs then sum to at most the ratio of
+all requests. A VM with little traffic may still make a few resends; this minimum, over
+all VMs, has to fit into the slack of the bound.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-FLOOR = 2
-"""Sends in a window that a VM may always make. The bound on the sum leaves a slack of
-between three and fifteen for each VM of the deployments known."""
+MIN_RESENDS = 2
+"""Resends in a window that a VM may always make. In the known deployments the bound on
+the sum leaves a slack of three to fifteen resends per VM."""
 
 
 class ResendBudget:
-    """One VM's part of the bound on repeated arrivals.
+    """One VM's part of the bound on resends.
 
-    :param ratio: repeated sends against requests
-    :param window_ms: time over which both are counted; it slides
-    :param floor: sends that may always be made in a window
+    :param ratio: maximum ratio of resends to requests
+    :param window_ms: length of the sliding window in which both are counted
+    :param min_resends: resends that are always allowed in a window
     """
 
-    def __init__(self, *, ratio: float, window_ms: float, floor: int = FLOOR) -> None:
+    def __init__(
+        self, *, ratio: float, window_ms: float, min_resends: int = MIN_RESENDS
+    ) -> None:
         self._ratio = ratio
         self._window_ms = window_ms
-        self._floor = floor
-        self._admitted: dict[str, deque[float]] = {}
-        self._drawn: dict[str, deque[float]] = {}
-
-    def admit(self, service: str, now_ms: float) -> None:
-        """Count a request for a service."""
-        self._count(self._admitted, service, now_ms).append(now_ms)
-
-    def has_room(self, service: str, now_ms: float) -> bool:
-        """:returns: whether one more send may be made now"""
-        n_admitted = len(self._count(self._admitted, service, now_ms))
-        n_drawn = len(self._count(self._drawn, service, now_ms))
-        return n_drawn + 1 <= self._ratio * n_admitted + self._floor
-
-    def draw(self, service: str, now_ms: float) -> bool:
-        """:returns: whether one more send may be made; it is then counted"""
-        if not self.has_room(service, now_ms):
+        self._min_resends = min_resends
+        self._requests: dict[str, deque[float]] = {}
+        self._resent: dict[str, deque[float]] = {}
+
+    def record_request(self, service: str, now_ms: float) -> None:
+        """Count the first send of a request to a service."""
+        self._recent(self._requests, service, now_ms).append(now_ms)
+
+    def can_spend(self, service: str, now_ms: float) -> bool:
+        """:returns: whether the budget allows one more resend now"""
+        n_requests = len(self._recent(self._requests, service, now_ms))
+        n_resent = len(self._recent(self._resent, service, now_ms))
+        return n_resent + 1 <= self._ratio * n_requests + self._min_resends
+
+    def try_spend(self, service: str, now_ms: float) -> bool:
+        """Count a resend if the budget allows it.
+
+        :returns: whether it does
+        """
+        if not self.can_spend(service, now_ms):
             return False
-        self._count(self._drawn, service, now_ms).append(now_ms)
+        self._recent(self._resent, service, now_ms).append(now_ms)
         return True
 
-    def _count(
+    def _recent(
         self, times: dict[str, deque[float]], service: str, now_ms: float
     ) -> deque[float]:
-        """:returns: the times within the window, older ones dropped"""
-        held = times.setdefault(service, deque())
-        while held and held[0] < now_ms - self._window_ms:
-            held.popleft()
-        return held
+        """Drop the times of a service that are older than the window.
+
+        :returns: the remaining times
+        """
+        recent = times.setdefault(service, deque())
+        while recent and recent[0] < now_ms - self._window_ms:
+            recent.popleft()
+        return recent
 
 
-__all__ = ("FLOOR", "ResendBudget")
+__all__ = ("MIN_RESENDS", "ResendBudget")
--- a/src/quetzaldeck/decisions/retries/silence.py
+++ b/src/quetzaldeck/decisions/retries/silence.py
@@ -1,21 +1,21 @@
-"""When an upstream that says nothing is left for another one.
-
-Load pattern: two that look alike. An upstream hangs and will never answer: the sooner
-its request goes elsewhere the better. Or all upstreams are busy, and parts of long
-prompts go before what waits: then a request that is cut off has been read in vain, is
-read again elsewhere, and makes all others wait for longer.
-
-A fixed time limit cuts off attempts on busy engines though none hangs, and where the
-retry budget is spent the caller gets an error in place of an answer that is on its way.
-
-So an attempt is left only if what was to be read at its engines before it does not
-explain the silence, and only if there is another upstream to which the request may be
-sent: attempts, patience and budgets bear it. Else it goes on waiting, and is looked at
-again. What engines are given later explains nothing: at one that is dead it only grows,
-and would have all its callers wait until they hang up. Nor does anything explain a
-silence of half a caller's patience: after that another upstream would be too late.
-Whether another upstream has room at the moment does not count: what waits here goes to
-the first that has.
+"""Decides when to abandon an attempt on a silent upstream for a retry on another one.
+
+Load pattern: two cases that look alike. An upstream hangs and will never respond; its
+request should go elsewhere as soon as possible. Or all upstreams are busy, and parts of
+long prompts are prefilled before waiting requests; an abandoned request then wasted its
+prefill, is prefilled again elsewhere, and delays all others.
+
+A fixed timeout abandons attempts on busy engines though none hangs, and when the retry
+budget is spent, the caller gets an error instead of an answer that was under way.
+
+So an attempt is abandoned only if the prefill backlog of its engines at dispatch does
+not explain the silence, and only if another upstream may get the request: the bounds on
+attempts, the caller's idle timeout and the budgets must allow it. Otherwise the attempt
+goes on and is rechecked later. Prompts that engines get after the dispatch do not count
+as an explanation: on a dead engine that backlog only grows, and all its callers would
+wait until they disconnect. No backlog explains a silence of half the caller's idle
+timeout: a retry after that would come too late. It does not matter whether the other
+upstream has capacity right now, since the request goes to the first one that has.
 """
 
 from __future__ import annotations
@@ -28,45 +28,53 @@
     from quetzaldeck.decisions.retries.policy import RetryPolicy
     from quetzaldeck.decisions.tracked import Tracked
 
-FIRST_BYTE_TARGETS = 2.0
-"""A first token that takes this many times its target is late for its caller twice
-over; where another upstream may still be asked, it is."""
+FIRST_BYTE_TARGET_FACTOR = 2.0
+"""Multiple of the time-to-first-token target after which a silent attempt is checked.
+Such a first token is late by as much as its target."""
 
-MIN_FIRST_BYTE_MS = 500.0
-"""Least wait for a first byte: below it, a busy upstream looks like a silent one."""
+MIN_FIRST_BYTE_THRESHOLD_MS = 500.0
+"""Minimum threshold for the first byte; below it, busy upstreams look silent."""
 
-GAP_TARGETS = 4.0
-"""A stream that pauses for this many times the pause its caller bears has stopped, and
-may go on elsewhere; callers leave after eight times."""
+GAP_FACTOR = 4.0
+"""Multiple of the accepted gap between tokens after which a stream is taken to have
+stalled and may continue elsewhere; callers disconnect after eight times the gap."""
 
-MIN_GAP_MS = 1_000.0
-"""Least pause taken for a stop: an engine that reads a long prompt, or waits for a
-helper that died, pauses for less."""
+MIN_GAP_THRESHOLD_MS = 1_000.0
+"""Minimum gap that counts as a stall. An engine that prefills a long prompt, or waits
+for a helper that died, pauses for less."""
 
-SILENCE_BACKLOGS = 3.0
-"""A silence of this many times what was to be read at an engine is not explained by it.
-In a burst of long prompts all engines are busy for seconds."""
+BACKLOG_FACTOR = 3.0
+"""Multiple of the prefill backlog up to which it explains a silence. In a burst of long
+prompts all engines are busy for seconds."""
 
-MAX_PATIENCE_SHARE = 0.5
-"""Part of a caller's patience that a backlog may take; the rest is for another one."""
+MAX_BACKLOG_SHARE = 0.5
+"""Part of the caller's idle timeout that a backlog may use up; the rest is left for a
+retry on another upstream."""
 
 SILENCE_RECHECK_MS = 100.0
-"""Time between two looks at an attempt that is silent for too long: a fifth of the
-least wait, so that it adds little where an upstream hangs."""
+"""Interval at which a silent attempt is rechecked: a fifth of the minimum threshold, so
+that it adds little delay when an upstream hangs."""
 
 
 def first_byte_threshold_ms(target_ms: float) -> float:
-    """:returns: silence before the first byte that is looked into"""
-    return max(MIN_FIRST_BYTE_MS, FIRST_BYTE_TARGETS * target_ms)
+    """:returns: silence before the first byte after which an attempt is checked"""
+    return max(MIN_FIRST_BYTE_THRESHOLD_MS, FIRST_BYTE_TARGET_FACTOR * target_ms)
 
 
 def stream_gap_threshold_ms(max_gap_ms: float) -> float | None:
-    """:returns: silence within a stream that is looked into; ``None``: none is"""
-    return max(MIN_GAP_MS, GAP_TARGETS * max_gap_ms) if max_gap_ms else None
+    """:returns: gap in a stream after which its attempt is checked, ``None`` for never
+
+    :param max_gap_ms: accepted gap between two tokens; 0: none is stated
+    """
+    return max(MIN_GAP_THRESHOLD_MS, GAP_FACTOR * max_gap_ms) if max_gap_ms else None
 
 
 class SilenceVerdict(StrEnum):
-    """What becomes of an attempt that is silent."""
+    """Decision on a silent attempt: abandon it, or why it goes on.
+
+    ``BACKLOG``: the prefill backlog explains the silence. ``NO_RETRY``: the request may
+    not be retried. ``NO_OTHER``: there is no other upstream for it.
+    """
 
     ABANDON = "left"
     BACKLOG = "backlog"
@@ -75,10 +83,10 @@
 
 
 class SilencePolicy:
-    """Tells silent upstreams from busy ones.
+    """Tells hanging upstreams from busy ones.
 
-    :param placer: knows whether there is another upstream
-    :param retries: knows whether the request may be sent again
+    :param placer: finds whether there is another upstream
+    :param retries: decides whether the request may be retried
     """
 
     def __init__(self, *, placer: Placer, retries: RetryPolicy) -> None:
@@ -87,7 +95,10 @@
 
     @staticmethod
     def is_first_token_overdue(tracked: Tracked, now_ms: float) -> bool:
-        """:returns: whether an attempt runs that has said nothing for too long"""
+        """:returns: whether the running attempt exceeds its first-byte threshold
+
+        False if no attempt runs.
+        """
         if not tracked.attempt_id or tracked.first_token_ms is not None:
             return False
         silent_ms = now_ms - tracked.dispatched_ms
@@ -96,14 +107,14 @@
     def judge(
         self, tracked: Tracked, silent_ms: float, now_ms: float
     ) -> SilenceVerdict:
-        """:returns: whether the running attempt is left, or why it is waited for
+        """:returns: whether to abandon the running attempt, or why not
 
-        :param silent_ms: time since the attempt last said anything, or began
+        :param silent_ms: time since the last byte from the attempt, or since it began
         """
         request = tracked.request
-        explained_ms = SILENCE_BACKLOGS * tracked.backlog_ms
+        explained_ms = BACKLOG_FACTOR * tracked.backlog_ms
         if request.patience_ms:
-            patience_ms = MAX_PATIENCE_SHARE * request.patience_ms
+            patience_ms = MAX_BACKLOG_SHARE * request.patience_ms
             explained_ms = min(explained_ms, patience_ms)
         if silent_ms < explained_ms:
             return SilenceVerdict.BACKLOG
--- a/tests/decisions/queueing/test_deadline_heap.py
+++ b/tests/decisions/queueing/test_deadline_heap.py
@@ -15,9 +15,9 @@
 
 
 def test_discard_keeps_memory_bounded() -> None:
-    """Guards against a leak: stale entries must go while one with a late deadline stays.
+    """Guards against a leak: removed requests must not stay in the heap.
 
-    Entries behind the oldest one would otherwise stay in the heap until its deadline.
+    Their entries would otherwise stay until the deadline of each has passed.
     """
     heap = DeadlineHeap()
     heap.add("stays", 1e9)
--- a/tests/decisions/queueing/test_fair.py
+++ b/tests/decisions/queueing/test_fair.py
@@ -18,14 +18,14 @@
     MakeRequest = Callable[..., Request]
 
 
-def anywhere(request: Request) -> tuple[str, ...]:
+def place_always(request: Request) -> tuple[str, ...]:
     return ("e0",)
 
 
 def drain(queue: FairQueue, n: int | None = None) -> list[Request]:
     taken: list[Request] = []
     while n is None or len(taken) < n:
-        placed = queue.take(0.0, anywhere)
+        placed = queue.take(0.0, place_always)
         if placed is None:
             break
         taken.append(placed[0])
@@ -159,21 +159,21 @@
     steps: list[tuple[str, int, int, int]],
 ) -> None:
     queue = FairQueue()
-    held: dict[str, Request] = {}
+    queued: dict[str, Request] = {}
     for index, (step, customer, n_tokens, priority) in enumerate(steps):
         if step == "push":
             request = Request(
                 f"r{index}", f"c{customer}", "m", n_tokens, 10, priority, 0.0, 1e9
             )
             queue.push(request)
-            held[request.request_id] = request
+            queued[request.request_id] = request
         elif step == "take":
-            placed = queue.take(0.0, anywhere)
-            assert (placed is None) == (not held)
+            placed = queue.take(0.0, place_always)
+            assert (placed is None) == (not queued)
             if placed is not None:
-                del held[placed[0].request_id]
-        elif held:
-            request_id = sorted(held)[customer % len(held)]
-            assert queue.remove(request_id) == held.pop(request_id)
-        assert len(queue) == len(held)
-        assert {r.request_id for r in queue} == set(held)
+                del queued[placed[0].request_id]
+        elif queued:
+            request_id = sorted(queued)[customer % len(queued)]
+            assert queue.remove(request_id) == queued.pop(request_id)
+        assert len(queue) == len(queued)
+        assert {r.request_id for r in queue} == set(queued)
--- a/tests/decisions/retries/test_retry_policy.py
+++ b/tests/decisions/retries/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Tests of retries: safe ones only, within the deadline and the budget."""
+"""Tests that only safe retries are made, within the deadline and the budget."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     return (policy or make_policy()).decide(request, end, history, NOW_MS)
 
 
-def test_decide_backs_off_within_the_first_range() -> None:
+def test_decide_draws_the_first_backoff_from_the_whole_range() -> None:
     delays = []
     for seed in range(200):
         policy = RetryPolicy(random_state=random.Random(seed))
@@ -48,18 +48,17 @@
     assert max(delays) - min(delays) > RetryBounds().base_delay_ms / 2
 
 
-def test_decide_waits_as_long_as_the_upstream_asked() -> None:
+def test_decide_waits_for_the_retry_after_of_the_upstream() -> None:
     end = AttemptEnd("a", AttemptFault.OVERLOADED, retry_after_ms=3_000)
     retry = decide(end)
     assert isinstance(retry, Retry)
     assert retry.due_ms >= NOW_MS + 3_000
 
 
-def test_decide_gives_up_at_once_what_the_deadline_forbids() -> None:
-    """The upstream asks to come back after the caller's deadline.
+def test_decide_fails_at_once_if_the_retry_would_miss_the_deadline() -> None:
+    """The upstream asks for a retry after the caller's deadline.
 
-    Waiting for the deadline would keep the caller in silence for an answer that is
-    known now.
+    The caller should get the failure now instead of at its deadline.
     """
     end = AttemptEnd("a", AttemptFault.OVERLOADED, retry_after_ms=3_000)
     failure = decide(end, timeout_ms=2_000)
@@ -72,7 +71,7 @@
     ("has_reached", "n_output_tokens", "ran"),
     [(False, 0, Ran.NO), (True, 0, Ran.UNKNOWN), (True, 3, Ran.YES)],
 )
-def test_decide_says_what_ran(
+def test_decide_reports_whether_the_request_ran(
     *, has_reached: bool, n_output_tokens: int, ran: Ran
 ) -> None:
     end = AttemptEnd(
@@ -86,11 +85,10 @@
     assert failure.ran is ran
 
 
-def test_decide_never_takes_back_that_it_may_have_run() -> None:
-    """A request breaks on one engine, then a second one refuses the connection.
+def test_decide_reports_an_earlier_attempt_that_may_have_run() -> None:
+    """The connection to one engine breaks, then a second engine refuses the connection.
 
-    The second attempt did not run. The request may have run all the same, by the
-    first.
+    The second attempt did not run, but the first one may have.
     """
     first = AttemptEnd("a", AttemptFault.BROKEN)
     history = AttemptHistory().after(first, ("e0",))
@@ -100,19 +98,20 @@
     assert failure.ran is Ran.UNKNOWN
 
 
-def test_decide_repeats_a_booking_only_if_nothing_was_sent() -> None:
-    unsent = AttemptEnd("a", AttemptFault.CONNECT, has_reached=False)
-    sent = AttemptEnd("a", AttemptFault.BROKEN)
-    assert isinstance(decide(unsent, is_repeatable=False), Retry)
-    assert isinstance(decide(sent, is_repeatable=False), Failure)
+def test_decide_retries_a_non_repeatable_request_only_if_it_did_not_run() -> None:
+    not_run = AttemptEnd("a", AttemptFault.CONNECT, has_reached=False)
+    maybe_run = AttemptEnd("a", AttemptFault.BROKEN)
+    assert isinstance(decide(not_run, is_repeatable=False), Retry)
+    assert isinstance(decide(maybe_run, is_repeatable=False), Failure)
 
 
-def test_decide_stops_when_the_budget_is_spent() -> None:
-    """A zone dies under load and every request that was there fails.
+def test_decide_fails_when_the_budget_is_spent() -> None:
+    """A zone fails under load, and all its requests with it.
 
-    Each would be tried again on engines that already carry the zone's share.
+    Without the budget, each would be retried on engines that already carry the load of
+    the lost zone.
     """
-    policy = make_policy(RetryBounds(floor_tokens=2_500))
+    policy = make_policy(RetryBounds(min_retry_tokens=2_500))
     end = AttemptEnd("a", AttemptFault.BROKEN)
     results = [decide(end, policy=policy) for _ in range(10)]
     retries = [result for result in results if isinstance(result, Retry)]
@@ -123,23 +122,23 @@
 
 
 def test_decide_charges_nothing_for_a_refused_connection() -> None:
-    policy = make_policy(RetryBounds(floor_tokens=1))
+    policy = make_policy(RetryBounds(min_retry_tokens=1))
     end = AttemptEnd("a", AttemptFault.CONNECT, has_reached=False)
     assert all(isinstance(decide(end, policy=policy), Retry) for _ in range(10))
     assert policy.budget.retried_tokens == 0
 
 
-def test_budget_lets_one_request_larger_than_it_pass() -> None:
-    budget = RetryBudget(ratio=0.2, floor_tokens=1_000, half_life_ms=1_000)
-    assert budget.draw(1_000_000, 0.0)
-    assert not budget.draw(1, 0.0)
+def test_budget_allows_one_request_larger_than_its_bound() -> None:
+    budget = RetryBudget(ratio=0.2, min_retry_tokens=1_000, half_life_ms=1_000)
+    assert budget.try_spend(1_000_000, 0.0)
+    assert not budget.try_spend(1, 0.0)
 
 
-def test_budget_forgets_with_time() -> None:
-    budget = RetryBudget(ratio=0.2, floor_tokens=1_000, half_life_ms=1_000)
-    budget.admit(10_000, 0.0)
+def test_budget_decays_with_time() -> None:
+    budget = RetryBudget(ratio=0.2, min_retry_tokens=1_000, half_life_ms=1_000)
+    budget.deposit(10_000, 0.0)
     assert budget.allowed_tokens == pytest.approx(3_000)
-    assert budget.draw(4_000, 0.0)
-    assert not budget.draw(1, 0.0)
-    assert budget.draw(1, 2_000.0)
+    assert budget.try_spend(4_000, 0.0)
+    assert not budget.try_spend(1, 0.0)
+    assert budget.try_spend(1, 2_000.0)
     assert budget.allowed_tokens == pytest.approx(1_500)
--- a/tests/decisions/retries/test_silence.py
+++ b/tests/decisions/retries/test_silence.py
@@ -1,8 +1,8 @@
-"""An engine says nothing for a while: it hangs, or all engines are busy.
+"""Tests of silent attempts: the engine hangs, or all engines are busy.
 
-A request that is cut off at a busy engine is read again elsewhere, and makes all others
-wait for longer; where it cannot be sent again its caller gets an error in place of an
-answer that was on its way. A request that stays at a hanging engine is lost.
+A request that is abandoned at a busy engine is prefilled again elsewhere and delays all
+others; if it cannot be retried, its caller gets an error instead of an answer that was
+under way. A request that stays at a hanging engine is lost.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 GAP_MS = 250.0
 
 
-def send(
+def dispatch_request(
     scheduler: Scheduler,
     clock: ManualClock,
     request_id: str = "r",
@@ -57,63 +57,64 @@
     return scheduler.judge_silence(dispatch.attempt_id, silent_ms)
 
 
-def test_bounds_follow_what_the_caller_wants() -> None:
+def test_thresholds_scale_with_the_latency_targets() -> None:
     assert first_byte_threshold_ms(100.0) == 500.0
     assert first_byte_threshold_ms(1_500.0) == 3_000.0
     assert stream_gap_threshold_ms(0.0) is None
     assert stream_gap_threshold_ms(1_000.0) == 4_000.0
 
 
-def test_hanging_engine_is_left(clock: ManualClock) -> None:
-    """Nothing else is to be read there, and the other engines are idle."""
+def test_attempt_on_a_hanging_engine_is_abandoned(clock: ManualClock) -> None:
+    """No prefill backlog explains the silence, and the other engines are idle."""
     scheduler = make_entry_scheduler(clock, NAMES)
-    dispatch = send(scheduler, clock)
+    dispatch = dispatch_request(scheduler, clock)
     clock.advance(SILENT_MS)
     assert judge(scheduler, dispatch) is SilenceVerdict.ABANDON
 
 
-def test_engine_with_long_parts_to_read_is_waited_for(clock: ManualClock) -> None:
-    """Other VMs had sent every engine a part of 27,000 tokens, which is read first."""
+def test_attempt_behind_long_prompt_parts_goes_on(clock: ManualClock) -> None:
+    """Other VMs have sent each engine a part of 27,000 tokens, prefilled first."""
     scheduler = make_entry_scheduler(clock, NAMES)
     part = UpstreamShare(1, 27_000, 0, n_parts=1)
     scheduler.fleet.observe_peer("other", [(name, part) for name in NAMES])
-    dispatch = send(scheduler, clock)
+    dispatch = dispatch_request(scheduler, clock)
     clock.advance(SILENT_MS)
     assert judge(scheduler, dispatch) is SilenceVerdict.BACKLOG
     clock.advance(300)
     assert judge(scheduler, dispatch, 1_000) is SilenceVerdict.ABANDON
 
 
-def test_dead_engine_is_left_though_more_and_more_is_sent_to_it(
+def test_attempt_on_a_dead_engine_with_growing_backlog_is_abandoned(
     clock: ManualClock,
 ) -> None:
-    """It reads nothing any more, so what is to be read there only grows.
+    """The backlog of a dead engine only grows, as it prefills nothing any more.
 
-    Taken for the cause of the silence, it had 31 callers wait until they hung up.
+    When it counted as an explanation of the silence, 31 callers waited until they
+    disconnected.
     """
     scheduler = make_entry_scheduler(clock, NAMES)
-    dispatch = send(scheduler, clock)
+    dispatch = dispatch_request(scheduler, clock)
     clock.advance(SILENT_MS)
     (name,) = dispatch.upstreams
     scheduler.fleet.observe_peer("other", [(name, UpstreamShare(9, 90_000, 0))])
     assert judge(scheduler, dispatch) is SilenceVerdict.ABANDON
 
 
-def test_attempt_stays_where_all_other_engines_leave(clock: ManualClock) -> None:
+def test_attempt_goes_on_if_all_other_engines_are_leaving(clock: ManualClock) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
-    dispatch = send(scheduler, clock)
+    dispatch = dispatch_request(scheduler, clock)
     clock.advance(SILENT_MS)
     others = [name for name in NAMES if name not in dispatch.upstreams]
     scheduler.fleet.observe((), leaving=others)
     assert judge(scheduler, dispatch) is not SilenceVerdict.ABANDON
 
 
-def test_attempt_stays_where_the_budget_is_spent(clock: ManualClock) -> None:
-    """Cut off, its caller would get an error: it is not sent again."""
-    arrivals = ResendBudget(ratio=0.2, window_ms=10_000, floor=1)
-    scheduler = make_entry_scheduler(clock, NAMES, arrivals=arrivals)
-    first = send(scheduler, clock, "r1")
-    second = send(scheduler, clock, "r2")
+def test_attempt_goes_on_if_the_budget_is_spent(clock: ManualClock) -> None:
+    """If it were abandoned, its caller would get an error instead of a retry."""
+    resend_budget = ResendBudget(ratio=0.2, window_ms=10_000, min_resends=1)
+    scheduler = make_entry_scheduler(clock, NAMES, arrivals=resend_budget)
+    first = dispatch_request(scheduler, clock, "r1")
+    second = dispatch_request(scheduler, clock, "r2")
     clock.advance(SILENT_MS)
     assert judge(scheduler, first) is SilenceVerdict.ABANDON
     fault = AttemptFault.SILENT
@@ -121,9 +122,9 @@
     assert judge(scheduler, second) is not SilenceVerdict.ABANDON
 
 
-def test_last_attempt_stays(clock: ManualClock) -> None:
+def test_last_attempt_goes_on(clock: ManualClock) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
-    first = send(scheduler, clock)
+    first = dispatch_request(scheduler, clock)
     clock.advance(SILENT_MS)
     fault = AttemptFault.SILENT
     assert scheduler.end_attempt(AttemptEnd(first.attempt_id, fault)) is None
@@ -133,24 +134,26 @@
     assert judge(scheduler, last) is not SilenceVerdict.ABANDON
 
 
-def test_request_that_may_not_be_repeated_stays(clock: ManualClock) -> None:
+def test_attempt_of_a_non_repeatable_request_goes_on(clock: ManualClock) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
-    dispatch = send(scheduler, clock, is_repeatable=False)
+    dispatch = dispatch_request(scheduler, clock, is_repeatable=False)
     clock.advance(SILENT_MS)
     assert judge(scheduler, dispatch) is not SilenceVerdict.ABANDON
 
 
-def test_attempt_stays_when_its_caller_is_about_to_hang_up(clock: ManualClock) -> None:
+def test_attempt_goes_on_if_its_caller_is_about_to_disconnect(
+    clock: ManualClock,
+) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
-    dispatch = send(scheduler, clock)
+    dispatch = dispatch_request(scheduler, clock)
     clock.advance(2_000)
     assert judge(scheduler, dispatch, 2_000) is not SilenceVerdict.ABANDON
 
 
-def test_stream_that_stops_after_seconds_is_left(clock: ManualClock) -> None:
-    """Its caller has heard events all the while and goes on listening."""
+def test_stream_that_stalls_after_seconds_is_abandoned(clock: ManualClock) -> None:
+    """Its caller has received events until then and keeps listening."""
     scheduler = make_entry_scheduler(clock, NAMES)
-    dispatch = send(scheduler, clock)
+    dispatch = dispatch_request(scheduler, clock)
     scheduler.note_first_token(dispatch.attempt_id)
     clock.advance(4_000)
     assert judge(scheduler, dispatch, 1_000) is SilenceVerdict.ABANDON
