--- a/src/quetzaldeck/decisions/limits/__init__.py
+++ b/src/quetzaldeck/decisions/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits of customers over the whole fleet, without shared writes."""
+"""Fleet-wide limits of customers, kept without shared writes."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/limits/share.py
+++ b/src/quetzaldeck/decisions/limits/share.py
@@ -1,4 +1,4 @@
-"""How much of a fleet-wide limit one VM may use."""
+"""Computes how much of a fleet-wide limit one VM may use."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 class Allowance(NamedTuple):
     """What one VM may use of one limit.
 
-    :param share: always its own: the limit divided by the VMs
-    :param most: with what the others leave unused
-    :param left: what the whole fleet leaves of the limit, as far as is known
+    :param share: guaranteed to the VM: the limit divided by the number of VMs
+    :param max_usage: share plus what the VM may borrow from the unused shares of others
+    :param remaining: limit minus the known usage of the whole fleet
     """
 
     share: float
-    most: float
-    left: float
+    max_usage: float
+    remaining: float
 
 
 def compute_allowance(
@@ -27,39 +27,41 @@
     own: float,
     peers: Sequence[float],
     n_vms: int,
-    borrower_share: float,
+    borrower_threshold: float,
     may_borrow: bool,
 ) -> Allowance:
-    """Divide a limit among VMs by what they use.
+    """Divide a limit among VMs according to their usage.
 
-    Each VM has an equal share for itself. What the others do not use of theirs is
-    divided among the VMs that use up their own, so that a customer whose calls all
-    arrive at one VM gets nearly all of its limit there.
+    Each VM is guaranteed an equal share. The unused part of the other shares is divided
+    among the VMs that use up their own, so that a customer whose requests all arrive at
+    one VM gets nearly its whole limit there.
 
     :param own: usage at this VM
-    :param peers: usage at the other VMs of which something is known; a VM of which
-        nothing is known uses nothing
+    :param peers: known usage at other VMs; VMs of unknown usage are taken to use
+        nothing
+    :param borrower_threshold: part of its share from which a VM counts as a borrower
+    :param may_borrow: whether this VM may use more than its share
     :returns: what this VM may use
     """
     share = limit / max(1, n_vms)
-    left = limit - own - sum(peers)
+    remaining = limit - own - sum(peers)
     if not may_borrow:
-        return Allowance(share, share, left)
-    n_silent = max(0, n_vms - 1 - len(peers))
-    unused = n_silent * share + sum(max(0.0, share - used) for used in peers)
-    n_borrowers = 1 + sum(used >= borrower_share * share for used in peers)
-    return Allowance(share, share + unused / n_borrowers, left)
+        return Allowance(share, share, remaining)
+    n_unknown = max(0, n_vms - 1 - len(peers))
+    unused = n_unknown * share + sum(max(0.0, share - used) for used in peers)
+    n_borrowers = 1 + sum(used >= borrower_threshold * share for used in peers)
+    return Allowance(share, share + unused / n_borrowers, remaining)
 
 
 def may_use(allowance: Allowance, own: float, cost: float) -> bool:
-    """:returns: whether ``cost`` more may be used by this VM
+    """:returns: whether this VM may use ``cost`` more
 
-    What a VM borrows must also be left by the fleet as a whole: a VM that borrowed
-    before is still giving back while its requests end.
+    A VM may borrow only what the fleet as a whole has left: another VM that borrowed
+    before gives it back only as its requests end.
     """
     if own + cost <= allowance.share:
         return True
-    return own + cost <= allowance.most and cost <= allowance.left
+    return own + cost <= allowance.max_usage and cost <= allowance.remaining
 
 
 __all__ = ("Allowance", "compute_allowance", "may_use")
--- a/src/quetzaldeck/decisions/limits/usage.py
+++ b/src/quetzaldeck/decisions/limits/usage.py
@@ -1,4 +1,4 @@
-"""What one VM uses of a customer's limits."""
+"""Usage of a customer's limits at one VM."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Usage(NamedTuple):
-    """Usage at one moment.
+    """Current usage of a customer's limits; other VMs get it as an array.
 
-    :param n_requests: requests admitted and not ended
+    :param n_requests: admitted requests that have not ended
     :param n_tokens: their prompt and output tokens
-    :param tokens_per_s: rate of admitted tokens lately
+    :param tokens_per_s: average rate of recently admitted tokens
     """
 
     n_requests: int = 0
@@ -19,7 +19,7 @@
 
 
 class UsageUpdate(NamedTuple):
-    """What other VMs should know of a customer's usage at this VM."""
+    """Usage of one customer at a VM, to be sent to the other VMs."""
 
     customer: str
     usage: Usage
