--- a/src/quetzaldeck/decisions/estimation/__init__.py
+++ b/src/quetzaldeck/decisions/estimation/__init__.py
@@ -1,4 +1,4 @@
-"""What is learned of requests and upstreams from the answers."""
+"""Estimators of token counts, service times and drain rates, learned from answers."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/estimation/drain_rate.py
+++ b/src/quetzaldeck/decisions/estimation/drain_rate.py
@@ -1,72 +1,76 @@
-"""How fast a queue drains, learned while it has work."""
+"""Estimates the rate at which a queue drains while it is backlogged."""
 
 from __future__ import annotations
 
 import math
 
 TIME_CONSTANT_MS = 20_000.0
-"""A few prefills of long prompts: shorter, and each one looks like a stall."""
+"""Time constant of the average. Equals a few prefills of long prompts; with a shorter
+one, each such prefill would look like a stall."""
 
-SEED_MS = 500.0
-"""Weight of the rate before the queue filled up, until there are measurements."""
+PRIOR_WEIGHT_MS = 500.0
+"""Weight of the prior, the dispatch rate with and without a backlog, as time of a
+backlog. It prevails until the drain rate has been measured."""
 
-_MIN_ELAPSED_MS = 1_000.0
+_MIN_OBSERVED_MS = 1_000.0
 
-_MIN_BACKLOG_MS = 5.0
-"""What is dispatched sooner after a line began to wait did not wait: counted, it would
-be tokens in no time, and the rate that of the arrivals."""
+_MIN_BACKLOG_AGE_MS = 5.0
+"""Age of a backlog below which dispatched requests did not really wait. Counting them
+would add tokens in no time and turn the rate into that of the arrivals."""
 
 
 class DrainRate:
-    """Tokens dispatched for each millisecond in which something waited.
+    """Tokens dispatched per millisecond of backlog, as a decaying average.
 
-    The rate while nothing waits tells only what arrived; it is the lower bound that
-    the estimate starts from. While nothing can be dispatched the rate falls, and the
-    predicted wait grows, without any event.
+    The dispatch rate without a backlog is only the arrival rate, a lower bound that
+    serves as the prior. While nothing can be dispatched, the rate falls, and with it
+    the predicted wait grows, without any event.
     """
 
     def __init__(self, now_ms: float) -> None:
-        self._since_ms = now_ms
-        self._at_ms = now_ms
+        self._started_ms = now_ms
+        self._updated_ms = now_ms
         self._is_backlogged = False
-        self._backlog_since_ms = now_ms
-        self._tokens = 0.0
-        self._elapsed_ms = 0.0
+        self._backlog_started_ms = now_ms
+        self._backlog_tokens = 0.0
+        self._backlog_elapsed_ms = 0.0
         self._all_tokens = 0.0
 
     def note_dispatched(self, n_tokens: int, now_ms: float) -> None:
         """Count tokens that left the queue for an upstream."""
         self._advance(now_ms)
         self._all_tokens += n_tokens
-        backlog_ms = now_ms - self._backlog_since_ms
-        if self._is_backlogged and backlog_ms >= _MIN_BACKLOG_MS:
-            self._tokens += n_tokens
+        backlog_ms = now_ms - self._backlog_started_ms
+        if self._is_backlogged and backlog_ms >= _MIN_BACKLOG_AGE_MS:
+            self._backlog_tokens += n_tokens
 
     def note_backlog(self, now_ms: float, *, is_backlogged: bool) -> None:
-        """Note whether something waits from now on."""
+        """Record whether requests wait from now on."""
         self._advance(now_ms)
         if is_backlogged and not self._is_backlogged:
-            self._backlog_since_ms = now_ms
+            self._backlog_started_ms = now_ms
         self._is_backlogged = is_backlogged
 
     def tokens_per_ms(self, now_ms: float) -> float:
-        """:returns: the rate; 0 only if nothing was ever dispatched"""
+        """:returns: the drain rate, 0 only if nothing was ever dispatched"""
         self._advance(now_ms)
-        known_ms = min(TIME_CONSTANT_MS, now_ms - self._since_ms)
-        seed = self._all_tokens / max(_MIN_ELAPSED_MS, known_ms)
-        return (self._tokens + seed * SEED_MS) / (self._elapsed_ms + SEED_MS)
+        observed_ms = min(TIME_CONSTANT_MS, now_ms - self._started_ms)
+        prior_rate = self._all_tokens / max(_MIN_OBSERVED_MS, observed_ms)
+        return (self._backlog_tokens + prior_rate * PRIOR_WEIGHT_MS) / (
+            self._backlog_elapsed_ms + PRIOR_WEIGHT_MS
+        )
 
     def _advance(self, now_ms: float) -> None:
-        elapsed_ms = now_ms - self._at_ms
+        elapsed_ms = now_ms - self._updated_ms
         if elapsed_ms <= 0:
             return
         factor = math.exp(-elapsed_ms / TIME_CONSTANT_MS)
-        self._tokens *= factor
+        self._backlog_tokens *= factor
         self._all_tokens *= factor
-        self._elapsed_ms *= factor
+        self._backlog_elapsed_ms *= factor
         if self._is_backlogged:
-            self._elapsed_ms += TIME_CONSTANT_MS * (1.0 - factor)
-        self._at_ms = now_ms
+            self._backlog_elapsed_ms += TIME_CONSTANT_MS * (1.0 - factor)
+        self._updated_ms = now_ms
 
 
 __all__ = ("TIME_CONSTANT_MS", "DrainRate")
--- a/src/quetzaldeck/decisions/estimation/engine_model.py
+++ b/src/quetzaldeck/decisions/estimation/engine_model.py
@@ -1,10 +1,10 @@
-"""What an engine's stated figures say about the time to a first token.
+"""Predicts the time to first token from an engine's configured figures.
 
-An engine works in passes. While it writes, a pass is ``stride`` steps, in which it
-reads up to ``chunk_tokens`` in each; new work joins at the end of a pass. So a prompt
-waits for the rest of the present pass, about half of one, and its first token comes at
-the end of the pass in which the last of it was read. An engine that writes nothing
-reads at once.
+An engine works in scheduling passes. While it decodes, a pass has ``stride`` steps, and
+each step prefills up to ``chunk_tokens``; new requests join at the end of a pass. So a
+prompt waits for the rest of the current pass, half a pass on average, and its first
+token comes at the end of the pass that completes its prefill. An engine that decodes
+nothing starts to prefill at once.
 
 See ``docs/design/platform-measured.md``.
 """
@@ -16,23 +16,23 @@
 if TYPE_CHECKING:
     from quetzaldeck.bundle.engine_figures import EngineFigures
 
-JOIN_PASSES = 0.5
-"""Part of a pass that new work waits for on average."""
+MEAN_PASSES_TO_JOIN = 0.5
+"""Average wait of a new request until the current pass ends, in passes."""
 
 
 def predict_first_token_ms(
-    figures: EngineFigures, n_writers: int, unread_ms: float
+    figures: EngineFigures, n_decoding: int, prefill_backlog_ms: float
 ) -> float:
-    """:returns: expected time from a dispatch to the first token, in milliseconds
+    """:returns: expected time from dispatch to the first token, in milliseconds
 
-    :param n_writers: other requests that are written at the engine
-    :param unread_ms: reading time of all prompts there, the new one included
+    :param n_decoding: other requests that the engine decodes
+    :param prefill_backlog_ms: prefill time of all prompts there, including the new one
     """
-    step_ms = figures.step_ms + (n_writers + 1) * figures.sequence_ms
-    if not n_writers:
-        return unread_ms + step_ms
+    step_ms = figures.step_ms + (n_decoding + 1) * figures.sequence_ms
+    if not n_decoding:
+        return prefill_backlog_ms + step_ms
     pass_ms = figures.stride * step_ms
-    return JOIN_PASSES * pass_ms + unread_ms + pass_ms
+    return MEAN_PASSES_TO_JOIN * pass_ms + prefill_backlog_ms + pass_ms
 
 
-__all__ = ("JOIN_PASSES", "predict_first_token_ms")
+__all__ = ("MEAN_PASSES_TO_JOIN", "predict_first_token_ms")
--- a/src/quetzaldeck/decisions/estimation/token_estimator.py
+++ b/src/quetzaldeck/decisions/estimation/token_estimator.py
@@ -1,4 +1,4 @@
-"""Prompt tokens before dispatch, corrected by what engines count."""
+"""Corrects estimates of prompt tokens by the counts that engines report."""
 
 from __future__ import annotations
 
@@ -10,79 +10,81 @@
 if TYPE_CHECKING:
     from quetzaldeck.decisions.request import Request
 
-MAX_SOURCES = 4_096
-"""Customers and models remembered, least recently used goes first; each takes some
-hundred bytes, so that 9,200 customers do not grow the process."""
+MAX_KEYS = 4_096
+"""Pairs of customer and model that are kept; the least recently used is evicted. Each
+takes a few hundred bytes, so that 9,200 customers do not grow the process."""
 
 MIN_SAMPLES = 3
-"""Prompts of a customer after which their mean is believed."""
+"""Prompts of a customer after which its own mean is used instead of the overall one."""
 MIN_RATIO = 0.1
 MAX_RATIO = 10.0
-"""Bounds of a single observation: an engine that counts nonsense, or a prompt of
-images, must not move what is believed of a customer's texts by more."""
+"""Bounds of a single sample. An engine that reports a wrong count, or a prompt of
+images, must not distort the ratio of a customer's texts by more."""
 
 
-class Source(NamedTuple):
-    """Whose prompts have similar texts."""
+class EstimatorKey(NamedTuple):
+    """Customer and model, whose prompts have a similar ratio."""
 
     customer: str
     model: str
 
 
 class TokenEstimator:
-    """Learns tokens counted by characters guessed, for each customer and model.
+    """Learns the ratio of actual to estimated prompt tokens by customer and model.
 
-    Load pattern: prompts in Nepali, French legal prose, tables or code have two to
-    five characters for each token. One figure for all is off by a factor of two for
-    some customers: their prompts get the wrong length class, their memory is
-    reserved short, and their waits are predicted wrong.
+    Load pattern: prompts in Nepali, French legal prose, tables or code have two to five
+    characters per token. A single figure is wrong by a factor of two for some
+    customers: their prompts get the wrong length class, too little memory is reserved,
+    and their waits are mispredicted.
 
-    The estimate is the mean ratio plus the mean deviation, a little high on purpose:
-    memory reserved too short shows as a stalled engine, too long as a little waste.
+    The correction is the mean ratio plus the mean deviation, deliberately a little
+    high: too small a reservation stalls an engine, too large a one wastes a little
+    memory.
     """
 
     def __init__(self) -> None:
-        self._sources: OrderedDict[Source, MovingAverage] = OrderedDict()
+        self._averages: OrderedDict[EstimatorKey, MovingAverage] = OrderedDict()
         self._overall = MovingAverage(gain=0.02)
-        self._error = MovingAverage(gain=0.02)
+        self._relative_error = MovingAverage(gain=0.02)
 
     @property
     def mean_error(self) -> float:
-        """:returns: mean absolute error of recent estimates, as a share"""
-        return self._error.value
+        """:returns: mean relative error of recent corrected estimates"""
+        return self._relative_error.value
 
     def correct(self, request: Request) -> Request:
-        """:returns: the request with its prompt tokens corrected"""
+        """:returns: the request with corrected prompt tokens"""
         if not request.model:
             return request
-        ratio = self._ratio(Source(request.customer, request.model))
+        ratio = self._ratio(EstimatorKey(request.customer, request.model))
         n_tokens = max(1, round(request.n_prompt_tokens * ratio))
         return request._replace(n_prompt_tokens=n_tokens)
 
     def learn(
-        self, request: Request, n_guessed: int, n_counted: int, now_ms: float
+        self, request: Request, n_estimated: int, n_actual: int, now_ms: float
     ) -> None:
-        """Take what an engine counted.
+        """Record the token count that an engine reported.
 
-        :param request: the request as corrected
-        :param n_guessed: its tokens before the correction
+        :param request: the request with corrected prompt tokens
+        :param n_estimated: its prompt tokens before the correction
+        :param n_actual: its prompt tokens by the engine's count, 0 if unknown
         """
-        if n_counted <= 0 or n_guessed <= 0:
+        if n_actual <= 0 or n_estimated <= 0:
             return
-        self._error.add(abs(request.n_prompt_tokens / n_counted - 1.0), now_ms)
-        ratio = min(MAX_RATIO, max(MIN_RATIO, n_counted / n_guessed))
+        self._relative_error.add(abs(request.n_prompt_tokens / n_actual - 1.0), now_ms)
+        ratio = min(MAX_RATIO, max(MIN_RATIO, n_actual / n_estimated))
         self._overall.add(ratio, now_ms)
-        source = Source(request.customer, request.model)
-        average = self._sources.get(source)
+        key = EstimatorKey(request.customer, request.model)
+        average = self._averages.get(key)
         if average is None:
-            average = self._sources[source] = MovingAverage()
-            if len(self._sources) > MAX_SOURCES:
-                self._sources.popitem(last=False)
+            average = self._averages[key] = MovingAverage()
+            if len(self._averages) > MAX_KEYS:
+                self._averages.popitem(last=False)
         average.add(ratio, now_ms)
-        self._sources.move_to_end(source)
+        self._averages.move_to_end(key)
 
-    def _ratio(self, source: Source) -> float:
-        average = self._sources.get(source)
+    def _ratio(self, key: EstimatorKey) -> float:
+        average = self._averages.get(key)
         if average is None or average.n_samples < MIN_SAMPLES:
             average = self._overall
         if average.n_samples < MIN_SAMPLES:
@@ -90,4 +92,4 @@
         return average.value + average.deviation
 
 
-__all__ = ("MAX_SOURCES", "Source", "TokenEstimator")
+__all__ = ("MAX_KEYS", "EstimatorKey", "TokenEstimator")
--- a/tests/decisions/estimation/test_service_times.py
+++ b/tests/decisions/estimation/test_service_times.py
@@ -1,4 +1,4 @@
-"""How long requests take, learned under load and forgotten after it."""
+"""Tests of service times and drain rates, learned under load and decayed after it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     MakeRequest = Callable[..., Request]
 
 
-def test_predict_returns_to_the_fastest_time_when_nothing_is_learned(
+def test_prediction_decays_to_the_minimum_time_without_samples(
     make_request: MakeRequest,
 ) -> None:
     times = ServiceTimes()
@@ -30,13 +30,13 @@
     assert later_ms == pytest.approx(times.fastest_ms(request), rel=0.05)
 
 
-def test_predict_does_not_blow_up_contention_for_long_prompts(
+def test_prediction_does_not_scale_contention_to_much_longer_prompts(
     make_request: MakeRequest,
 ) -> None:
-    """Check-ins lose a second to contention; they take a tenth of one alone.
+    """Short prompts take a tenth of a second alone and lose a second to contention.
 
-    Had a season history to lose in proportion, it would be refused for minutes that
-    it never takes (5 of 8 were).
+    Scaled by length, that contention would be minutes for a very long prompt, which
+    would be refused although it is never delayed so much (5 of 8 were refused).
     """
     times = ServiceTimes()
     for _ in range(50):
@@ -47,12 +47,13 @@
     assert predicted_ms < times.fastest_ms(long) + 2_000.0
 
 
-def test_fastest_is_not_taken_from_the_first_slow_answers(
+def test_minimum_time_is_not_learned_from_the_first_slow_answers(
     make_request: MakeRequest,
 ) -> None:
-    """A VM starts under load; all its first answers are slow.
+    """A VM starts under load, and all its first answers are slow.
 
-    Taken for the fastest there is, they would have it give up on requests in time.
+    If they defined the minimum time, the VM would give up on requests that could still
+    complete in time.
     """
     times = ServiceTimes()
     request = make_request(100_000)
@@ -62,7 +63,7 @@
     assert times.fastest_ms(request) <= before_ms
 
 
-def test_drain_rate_counts_only_time_in_which_something_waits() -> None:
+def test_drain_rate_counts_only_time_with_a_backlog() -> None:
     rate = DrainRate(0.0)
     rate.note_dispatched(1_000, 50_000.0)
     rate.note_backlog(100_000.0, is_backlogged=True)
@@ -71,7 +72,7 @@
     assert rate.tokens_per_ms(120_000.0) == pytest.approx(10.0, rel=0.1)
 
 
-def test_drain_rate_falls_while_nothing_leaves() -> None:
+def test_drain_rate_falls_while_nothing_is_dispatched() -> None:
     rate = DrainRate(0.0)
     rate.note_backlog(0.0, is_backlogged=True)
     for step in range(1, 101):
@@ -80,7 +81,7 @@
     assert rate.tokens_per_ms(40_000.0) < 0.5 * before
 
 
-def test_correction_is_bounded_and_forgets() -> None:
+def test_bias_correction_is_bounded_and_decays() -> None:
     correction = BiasCorrection()
     assert correction.factor(0.0) == 1.0
     for _ in range(100):
@@ -89,13 +90,13 @@
     assert correction.factor(1e6) == pytest.approx(1.0, abs=0.01)
 
 
-def test_stated_figures_tell_the_least_time_from_the_first_request_on(
+def test_engine_figures_give_the_minimum_time_from_the_first_request(
     make_request: MakeRequest,
 ) -> None:
-    """A VM starts, and its first request is a season history of 600,000 tokens.
+    """The first request of a newly started VM has a prompt of 600,000 tokens.
 
-    By a guess from the length alone it would take 37 s, and be refused for ever; by
-    the figures of its engines, seventeen read it in under two.
+    By the reference for its length it would take 37 s and always be refused; by the
+    engines' figures, seventeen of them prefill it in under two seconds.
     """
     figures = EngineFigures(8, 232_000, 206.0, pairs_ms_per_million=0.138)
     times = ServiceTimes()
@@ -106,5 +107,7 @@
     short = make_request(2_000)
     for _ in range(30):
         times.learn_first_token(short, 300.0, 0.0)
-    assert times.fastest_ms(longest) < 2_000.0, "what short ones wait is no speed"
+    assert times.fastest_ms(longest) < 2_000.0, (
+        "contention must not change the minimum time"
+    )
     assert times.predict_first_token_ms(longest, 0.0) < 2_500.0
--- a/tests/decisions/limits/test_limiter.py
+++ b/tests/decisions/limits/test_limiter.py
@@ -138,8 +138,8 @@
 ) -> None:
     """Two parts get no updates from each other but still count all seven VMs.
 
-    Each part borrows what it takes for unused in the other one, so that each reaches
-    the limit, and both together twice the limit, until the partition heals.
+    Until the VM list drops the other part, each part borrows what it takes for unused
+    there, so that each may reach the limit, and both together twice the limit.
     """
     fleet.run(set(range(N_VMS)), 5_000)
     fleet.partition = {0, 1, 2}
