--- a/src/quetzaldeck/decisions/limits/limiter.py
+++ b/src/quetzaldeck/decisions/limits/limiter.py
@@ -40,7 +40,7 @@
 MIN_RETRY_AFTER_MS = 200.0
 MAX_RETRY_AFTER_MS = 30_000.0
 """Bounds of the retry-after of callers over a limit: after the minimum some of their
-requests have ended, and within the maximum they should notice a raised limit."""
+requests have ended, and within the maximum they should notice a changed limit."""
 DEFAULT_IN_FLIGHT_MS = 1_000.0
 """Assumed time in flight of a request until one of the customer has ended."""
 JITTER = 0.2
--- a/src/quetzaldeck/decisions/retries/resend_budget.py
+++ b/src/quetzaldeck/decisions/retries/resend_budget.py
@@ -5,7 +5,7 @@
 together, but they share no counter. If each VM applied the whole bound by itself, the
 sum would exceed it by a factor of the number of VMs.
 
-So each VM applies the ratio to the requests that arrived at itself; however the
+So each VM applies the ratio to the requests that arrived at itself; however the load
 balancer distributes requests, the resends of all VMs then sum to at most the ratio of
 all requests. A VM with little traffic may still make a few resends; this minimum, over
 all VMs, has to fit into the slack of the bound.
--- a/tests/decisions/limits/test_limiter.py
+++ b/tests/decisions/limits/test_limiter.py
@@ -102,7 +102,7 @@
 def test_limit_holds_when_a_customer_starts_at_all_vms_at_once(
     fleet: LimitedFleet,
 ) -> None:
-    """The balancer spreads a burst over all VMs before any update on it arrives."""
+    """A burst is balanced over all VMs before any update on it arrives."""
     fleet.run(set(range(N_VMS)), 20_000)
     assert 0.9 * LIMIT <= fleet.max_running <= LIMIT
 
--- a/tests/decisions/retries/test_resend_budget.py
+++ b/tests/decisions/retries/test_resend_budget.py
@@ -17,8 +17,8 @@
 def test_resends_of_all_vms_keep_to_the_ratio(n_vms: int) -> None:
     """Guards against replicas overloaded by resends of requests that they rejected.
 
-    Load: the balancer spreads requests unevenly over the VMs; every request fails and
-    is resent as often as the budget allows, for six windows.
+    The load balancer spreads requests unevenly over the VMs; every request fails and is
+    resent as often as the budget allows, for six windows.
     """
     random_state = random.Random(1)
     budgets = [ResendBudget(ratio=RATIO, window_ms=WINDOW_MS) for _ in range(n_vms)]
