--- a/src/quetzaldeck/decisions/retries/policy.py
+++ b/src/quetzaldeck/decisions/retries/policy.py
@@ -108,7 +108,7 @@
         ):
             return failure
         due_ms = now_ms + self._delay(end, history)
-        if due_ms >= min(request.deadline_ms, request.hang_up_ms):
+        if due_ms >= min(request.deadline_ms, request.next_token_deadline_ms):
             return failure
         if not self._try_spend(request, end, now_ms):
             return failure._replace(reason=Reason.RETRY_BUDGET_SPENT)
@@ -125,7 +125,7 @@
             return False
         if history.n_maybe_run + 1 >= self._max_attempts(request):
             return False
-        if now_ms >= min(request.deadline_ms, request.hang_up_ms):
+        if now_ms >= min(request.deadline_ms, request.next_token_deadline_ms):
             return False
         resend_budget = self._resend_budget
         if resend_budget is not None and not resend_budget.can_spend(
--- a/src/quetzaldeck/decisions/retries/silence.py
+++ b/src/quetzaldeck/decisions/retries/silence.py
@@ -113,13 +113,13 @@
         """
         request = tracked.request
         explained_ms = BACKLOG_FACTOR * tracked.backlog_ms
-        if request.patience_ms:
-            patience_ms = MAX_BACKLOG_SHARE * request.patience_ms
-            explained_ms = min(explained_ms, patience_ms)
+        if request.caller_idle_timeout_ms:
+            max_explained_ms = MAX_BACKLOG_SHARE * request.caller_idle_timeout_ms
+            explained_ms = min(explained_ms, max_explained_ms)
         if silent_ms < explained_ms:
             return SilenceVerdict.BACKLOG
         if tracked.first_token_ms is not None:
-            request = request._replace(heard_ms=now_ms)
+            request = request._replace(last_token_ms=now_ms)
         if not self._retries.may_retry(request, tracked.history, now_ms):
             return SilenceVerdict.NO_RETRY
         avoided = (*tracked.history.avoided, *tracked.upstreams)
--- a/tests/decisions/retries/test_silence.py
+++ b/tests/decisions/retries/test_silence.py
@@ -12,8 +12,8 @@
 from tests.support.builders import make_entry_scheduler, make_request, poll_dispatch
 
 from quetzaldeck.decisions import AttemptEnd, AttemptFault, Dispatch
-from quetzaldeck.decisions.patience import patience_ms
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.caller_idle_timeout import infer_idle_timeout_ms
+from quetzaldeck.decisions.peer_load import VmLoad
 from quetzaldeck.decisions.retries import ResendBudget
 from quetzaldeck.decisions.retries.silence import (
     SilenceVerdict,
@@ -43,7 +43,7 @@
     )._replace(
         target_ms=TARGET_MS,
         max_gap_ms=GAP_MS,
-        patience_ms=patience_ms(TARGET_MS, GAP_MS),
+        caller_idle_timeout_ms=infer_idle_timeout_ms(TARGET_MS, GAP_MS),
         is_repeatable=is_repeatable,
         max_attempts=2,
     )
@@ -75,7 +75,7 @@
 def test_attempt_behind_long_prompt_parts_goes_on(clock: ManualClock) -> None:
     """Other VMs have sent each engine a part of 27,000 tokens, prefilled first."""
     scheduler = make_entry_scheduler(clock, NAMES)
-    part = UpstreamShare(1, 27_000, 0, n_parts=1)
+    part = VmLoad(1, 27_000, 0, n_parts=1)
     scheduler.fleet.observe_peer("other", [(name, part) for name in NAMES])
     dispatch = dispatch_request(scheduler, clock)
     clock.advance(SILENT_MS)
@@ -96,7 +96,7 @@
     dispatch = dispatch_request(scheduler, clock)
     clock.advance(SILENT_MS)
     (name,) = dispatch.upstreams
-    scheduler.fleet.observe_peer("other", [(name, UpstreamShare(9, 90_000, 0))])
+    scheduler.fleet.observe_peer("other", [(name, VmLoad(9, 90_000, 0))])
     assert judge(scheduler, dispatch) is SilenceVerdict.ABANDON
 
 
