--- a/src/quetzaldeck/decisions/limits/usage.py
+++ b/src/quetzaldeck/decisions/limits/usage.py
@@ -1,4 +1,4 @@
-"""What one VM uses of a customer's limits."""
+"""Usage of a customer's limits at one VM."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Usage(NamedTuple):
-    """Usage at one moment.
+    """Current usage of a customer's limits; other VMs get it as an array.
 
-    :param n_requests: requests admitted and not ended
+    :param n_requests: admitted requests that have not ended
     :param n_tokens: their prompt and output tokens
-    :param tokens_per_s: rate of admitted tokens lately
+    :param tokens_per_s: average rate of recently admitted tokens
     """
 
     n_requests: int = 0
@@ -18,11 +18,11 @@
     tokens_per_s: float = 0.0
 
 
-class UsageNews(NamedTuple):
-    """What other VMs should know of a customer's usage at this VM."""
+class UsageUpdate(NamedTuple):
+    """Usage of one customer at a VM, to be sent to the other VMs."""
 
     customer: str
     usage: Usage
 
 
-__all__ = ("Usage", "UsageNews")
+__all__ = ("Usage", "UsageUpdate")
