--- a/src/quetzaldeck/bench/bench_group.py
+++ b/src/quetzaldeck/bench/bench_group.py
@@ -89,7 +89,7 @@
         elif self._events.now_ms >= until_ms:
             self._fail(engine, AttemptFault.NO_ROOM, has_reached=False)
         else:
-            interval_ms = self._bounds.ask_interval_ms
+            interval_ms = self._bounds.poll_interval_ms
             self._events.after(interval_ms, lambda: self._ask(index, until_ms))
 
     def _take_grant(self, index: int) -> None:
--- a/src/quetzaldeck/decisions/groups/__init__.py
+++ b/src/quetzaldeck/decisions/groups/__init__.py
@@ -3,7 +3,13 @@
 from __future__ import annotations
 
 from quetzaldeck.decisions.groups.bounds import GroupBounds
-from quetzaldeck.decisions.groups.plan import GroupPlan, build_plan, n_tokens_of
+from quetzaldeck.decisions.groups.plan import GroupPlan, build_plan, n_reservable_tokens
 from quetzaldeck.decisions.groups.planner import GroupPlanner
 
-__all__ = ("GroupBounds", "GroupPlan", "GroupPlanner", "build_plan", "n_tokens_of")
+__all__ = (
+    "GroupBounds",
+    "GroupPlan",
+    "GroupPlanner",
+    "build_plan",
+    "n_reservable_tokens",
+)
--- a/src/quetzaldeck/decisions/groups/plan.py
+++ b/src/quetzaldeck/decisions/groups/plan.py
@@ -28,9 +28,9 @@
     reserved_tokens: tuple[int, ...]
 
 
-def n_tokens_of(spec: UpstreamSpec, bounds: GroupBounds) -> int:
+def n_reservable_tokens(spec: UpstreamSpec, bounds: GroupBounds) -> int:
     """:returns: memory of an engine that reservations may take"""
-    return math.floor(spec.kv_tokens * (1.0 - bounds.floor_share))
+    return math.floor(spec.kv_tokens * (1.0 - bounds.unreserved_share))
 
 
 def build_plan(
@@ -44,7 +44,7 @@
     :returns: the plan, ``None`` if the members cannot hold the prompt
     """
     ordered = sorted(members, key=_name)
-    rooms = [n_tokens_of(spec, bounds) for spec in ordered]
+    rooms = [n_reservable_tokens(spec, bounds) for spec in ordered]
     rooms[-1] -= request.max_output_tokens
     total = sum(rooms)
     if min(rooms) < 1 or request.n_prompt_tokens * bounds.margin > total:
@@ -65,4 +65,4 @@
     return spec.name
 
 
-__all__ = ("GroupPlan", "build_plan", "n_tokens_of")
+__all__ = ("GroupPlan", "build_plan", "n_reservable_tokens")
--- a/src/quetzaldeck/decisions/groups/planner.py
+++ b/src/quetzaldeck/decisions/groups/planner.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.decisions.groups.bounds import GroupBounds
-from quetzaldeck.decisions.groups.plan import GroupPlan, build_plan, n_tokens_of
+from quetzaldeck.decisions.groups.plan import GroupPlan, build_plan, n_reservable_tokens
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -45,7 +45,9 @@
         Such a request would otherwise wait for a moment at which an engine is
         empty, which never comes on a busy fleet.
         """
-        largest = max((n_tokens_of(s.spec, self._bounds) for s in pool), default=0)
+        largest = max(
+            (n_reservable_tokens(s.spec, self._bounds) for s in pool), default=0
+        )
         return request.n_kv_tokens > largest
 
     def can_hold(self, request: Request, pool: Sequence[UpstreamState]) -> bool:
@@ -84,7 +86,7 @@
         fitting = [
             state
             for state in pool
-            if request.n_kv_tokens <= n_tokens_of(state.spec, self._bounds)
+            if request.n_kv_tokens <= n_reservable_tokens(state.spec, self._bounds)
             and request.n_kv_tokens
             >= state.spec.kv_tokens * self._bounds.min_aged_share
         ]
--- a/src/quetzaldeck/decisions/head_of_line/api.py
+++ b/src/quetzaldeck/decisions/head_of_line/api.py
@@ -25,7 +25,7 @@
     def note_arrival(self, request: Request, now_ms: float) -> None:  # noqa: B027
         """Learn what kind of work arrives."""
 
-    def may_begin(
+    def may_start(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> bool:
         """:returns: whether a request may be placed now; if not, it waits
--- a/src/quetzaldeck/decisions/head_of_line/reading_lane.py
+++ b/src/quetzaldeck/decisions/head_of_line/reading_lane.py
@@ -125,7 +125,7 @@
         if request.max_gap_ms:
             self._least_gap_ms = min(self._least_gap_ms, request.max_gap_ms)
 
-    def may_begin(
+    def may_start(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> bool:
         """:returns: whether the lane has room for a long prompt among its reads"""
--- a/src/quetzaldeck/decisions/head_of_line/reading_lane_at_once.py
+++ b/src/quetzaldeck/decisions/head_of_line/reading_lane_at_once.py
@@ -18,7 +18,7 @@
 class ReadingLaneAtOnce(ReadingLane):
     """Begins each long prompt when it arrives, whatever the lane has to read."""
 
-    def may_begin(
+    def may_start(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> bool:
         """:returns: always true"""
--- a/src/quetzaldeck/decisions/memory/in_flight.py
+++ b/src/quetzaldeck/decisions/memory/in_flight.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class InFlight(NamedTuple):
+class InFlightAttempt(NamedTuple):
     """One attempt of this VM that runs on an upstream.
 
     :param n_kv_tokens: memory reserved for it, in tokens
@@ -28,4 +28,4 @@
     is_part: bool = False
 
 
-__all__ = ("InFlight",)
+__all__ = ("InFlightAttempt",)
--- a/src/quetzaldeck/decisions/memory/ledger.py
+++ b/src/quetzaldeck/decisions/memory/ledger.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-    from quetzaldeck.decisions.memory.in_flight import InFlight
+    from quetzaldeck.decisions.memory.in_flight import InFlightAttempt
 
 
 class MemoryLedger:
@@ -26,8 +26,8 @@
     """
 
     def __init__(self) -> None:
-        self._attempts: dict[str, InFlight] = {}
-        self._unreported: dict[str, InFlight] = {}
+        self._attempts: dict[str, InFlightAttempt] = {}
+        self._unreported: dict[str, InFlightAttempt] = {}
         self._total = _Sums()
         self._since_report = _Sums()
         self._n_suspects = 0
@@ -37,10 +37,10 @@
     def __len__(self) -> int:
         return len(self._attempts)
 
-    def __iter__(self) -> Iterator[InFlight]:
+    def __iter__(self) -> Iterator[InFlightAttempt]:
         return iter(tuple(self._attempts.values()))
 
-    def get(self, attempt_id: str) -> InFlight | None:
+    def get(self, attempt_id: str) -> InFlightAttempt | None:
         """:returns: an attempt that is in flight"""
         return self._attempts.get(attempt_id)
 
@@ -79,7 +79,7 @@
         """:returns: their prompt tokens still to be prefilled"""
         return self._since_report.n_prefill_tokens
 
-    def reserve(self, attempt: InFlight) -> None:
+    def reserve(self, attempt: InFlightAttempt) -> None:
         """Account for an attempt before it is sent.
 
         :raises ValueError: if the attempt is accounted for already
@@ -112,7 +112,7 @@
             self._since_report.subtract(unreported)
         return True
 
-    def lose_all(self) -> None:
+    def drop_all(self) -> None:
         """Drop all attempts: the engine that held them has started again.
 
         They end later, each by its own connection, and are released then as usual.
@@ -157,17 +157,17 @@
         self.n_prefill_tokens = 0
 
     @classmethod
-    def of(cls, attempts: Iterable[InFlight]) -> _Sums:
+    def of(cls, attempts: Iterable[InFlightAttempt]) -> _Sums:
         sums = cls()
         for attempt in attempts:
             sums.add(attempt)
         return sums
 
-    def add(self, attempt: InFlight) -> None:
+    def add(self, attempt: InFlightAttempt) -> None:
         self.n_kv_tokens += attempt.n_kv_tokens
         self.n_prefill_tokens += attempt.n_prefill_tokens
 
-    def subtract(self, attempt: InFlight) -> None:
+    def subtract(self, attempt: InFlightAttempt) -> None:
         self.n_kv_tokens -= attempt.n_kv_tokens
         self.n_prefill_tokens -= attempt.n_prefill_tokens
 
--- a/src/quetzaldeck/decisions/placement/group_plans.py
+++ b/src/quetzaldeck/decisions/placement/group_plans.py
@@ -39,7 +39,7 @@
     @property
     def has_enough(self) -> bool:
         """:returns: whether further reservations would only wait for each other"""
-        return len(self._waiting) >= self._planner.bounds.max_waiting
+        return len(self._waiting) >= self._planner.bounds.max_pending
 
     def is_needed(self, request: Request, pool: Sequence[UpstreamState]) -> bool:
         """:returns: whether one engine is not to hold a request alone"""
--- a/src/quetzaldeck/decisions/placement/help_account.py
+++ b/src/quetzaldeck/decisions/placement/help_account.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.decisions.memory import InFlight
+from quetzaldeck.decisions.memory import InFlightAttempt
 
 if TYPE_CHECKING:
     from quetzaldeck.decisions.placement.place import Place
@@ -42,7 +42,7 @@
             n_part = place.n_part(request, state.spec)
             n_queued = state.n_prefill_tokens() + n_part
             state.add(
-                InFlight(
+                InFlightAttempt(
                     attempt_id,
                     request.request_id,
                     0,
--- a/src/quetzaldeck/decisions/placement/placer.py
+++ b/src/quetzaldeck/decisions/placement/placer.py
@@ -13,7 +13,7 @@
 from quetzaldeck.decisions.health import list_usable
 from quetzaldeck.decisions.health.pace import list_fast
 from quetzaldeck.decisions.health.partial import list_sound
-from quetzaldeck.decisions.memory import InFlight
+from quetzaldeck.decisions.memory import InFlightAttempt
 from quetzaldeck.decisions.placement.apart import SuspectPlaces
 from quetzaldeck.decisions.placement.candidates import CandidateFilter
 from quetzaldeck.decisions.placement.group_plans import GroupPlans
@@ -115,7 +115,7 @@
         pool = self._table.list_serving(request)
         if self._suspects.is_suspect(request, now_ms):
             return self._suspects.find(request, pool, (), now_ms) is not None
-        if not self._head_of_line.may_begin(request, pool, now_ms):
+        if not self._head_of_line.may_start(request, pool, now_ms):
             return False
         if (
             self._plans.is_needed(request, pool)
@@ -124,7 +124,7 @@
             return True
         return bool(self._list_allowed(request, pool, (), now_ms))
 
-    def has_other(self, request: Request, avoided: Sequence[str]) -> bool:
+    def has_alternative(self, request: Request, avoided: Sequence[str]) -> bool:
         """:returns: whether there is another upstream for a request, now or later
 
         :param avoided: the upstreams that others are sought for
@@ -165,7 +165,7 @@
             n_reserved = place.n_reserved(request, index)
             n_queued = state.n_prefill_tokens() + n_prompt
             state.add(
-                InFlight(
+                InFlightAttempt(
                     attempt_id,
                     request.request_id,
                     n_reserved,
@@ -185,7 +185,7 @@
         """:returns: engines that read parts of the prompt of an attempt"""
         return self._help.list_helpers(attempt_id)
 
-    def end_help(self, attempt_id: str) -> None:
+    def release_helpers(self, attempt_id: str) -> None:
         """Release what helpers hold: their parts are read, or will not be."""
         self._help.end(attempt_id)
 
@@ -198,7 +198,7 @@
     ) -> None:
         """Release what an attempt holds; must be called once for each attempt."""
         self._plans.note_settled(attempt_id)
-        self.end_help(attempt_id)
+        self.release_helpers(attempt_id)
         self._suspects.note_end(request)
         for name in upstreams:
             state = self._table.get(name)
@@ -216,7 +216,7 @@
             return self._choose(request, pool, avoided, now_ms)
         if self._suspects.is_suspect(request, now_ms):
             return self._suspects.find(request, pool, avoided, now_ms)
-        if not self._head_of_line.may_begin(request, pool, now_ms):
+        if not self._head_of_line.may_start(request, pool, now_ms):
             return None
         if self._plans.is_needed(request, pool):
             readers = self._helper_choice.list_readers(request, pool, now_ms)
--- a/src/quetzaldeck/decisions/retries/silence.py
+++ b/src/quetzaldeck/decisions/retries/silence.py
@@ -112,7 +112,7 @@
         if not self._retries.may_retry(request, tracked.history, now_ms):
             return SilenceVerdict.NO_RETRY
         avoided = (*tracked.history.avoided, *tracked.upstreams)
-        if not self._placer.has_other(request, avoided):
+        if not self._placer.has_alternative(request, avoided):
             return SilenceVerdict.NO_OTHER
         return SilenceVerdict.LEFT
 
--- a/src/quetzaldeck/decisions/scheduler.py
+++ b/src/quetzaldeck/decisions/scheduler.py
@@ -223,7 +223,7 @@
         self._monitor.note_first_token(
             tracked.request, attempt_id, tracked.upstreams, now_ms
         )
-        self._placer.end_help(attempt_id)
+        self._placer.release_helpers(attempt_id)
         self._waiting.note_room()
 
     def note_reserved(self, attempt_id: str) -> None:
--- a/src/quetzaldeck/decisions/upstream_state.py
+++ b/src/quetzaldeck/decisions/upstream_state.py
@@ -8,7 +8,7 @@
 from quetzaldeck.decisions.health.help_refusals import HelpRefusals
 from quetzaldeck.decisions.health.outcomes import OutcomeCount, Outcomes
 from quetzaldeck.decisions.health.pace import Pace
-from quetzaldeck.decisions.memory import InFlight, MemoryLedger
+from quetzaldeck.decisions.memory import InFlightAttempt, MemoryLedger
 from quetzaldeck.decisions.peer_load import PeerLoad, UpstreamShare
 from quetzaldeck.decisions.reading_backlog import ReadingBacklog
 
@@ -67,7 +67,7 @@
         self.report = None
         self.reported_ms = 0.0
         self.health.start_anew(now_ms)
-        self.ledger.lose_all()
+        self.ledger.drop_all()
         self.peers = PeerLoad()
         self.outcomes = OutcomeCount()
         self.pace = Pace()
@@ -84,7 +84,7 @@
         return len(self.ledger)
 
     @property
-    def in_flight(self) -> tuple[InFlight, ...]:
+    def in_flight(self) -> tuple[InFlightAttempt, ...]:
         """:returns: this VM's attempts"""
         return tuple(self.ledger)
 
@@ -107,7 +107,7 @@
         self.reported_ms = measured_ms
         self.ledger.note_report(measured_ms)
 
-    def add(self, attempt: InFlight) -> None:
+    def add(self, attempt: InFlightAttempt) -> None:
         """Account for an attempt before it is sent.
 
         :raises ValueError: if the attempt is accounted for already
@@ -243,4 +243,4 @@
         return max(own, self.report.n_prefill_tokens + since)
 
 
-__all__ = ("InFlight", "UpstreamState")
+__all__ = ("InFlightAttempt", "UpstreamState")
--- a/src/quetzaldeck/gateway/group_reservation.py
+++ b/src/quetzaldeck/gateway/group_reservation.py
@@ -92,7 +92,7 @@
                     has_arrived=False,
                     upstream=name,
                 )
-            await asyncio.sleep(self._bounds.ask_interval_ms / 1_000)
+            await asyncio.sleep(self._bounds.poll_interval_ms / 1_000)
 
     def _release_all(self) -> None:
         for name in self._plan.upstreams[: self._n_asked]:
--- a/tests/decisions/groups/test_groups.py
+++ b/tests/decisions/groups/test_groups.py
@@ -15,7 +15,7 @@
 
 from quetzaldeck.clock import ManualClock
 from quetzaldeck.decisions.groups import GroupBounds, GroupPlanner, build_plan
-from quetzaldeck.decisions.groups.plan import n_tokens_of
+from quetzaldeck.decisions.groups.plan import n_reservable_tokens
 from quetzaldeck.outcomes import Reason
 
 BOUNDS = GroupBounds()
@@ -33,7 +33,7 @@
     specs = [make_spec(f"e{i}", kv_tokens=size) for i, size in enumerate(sizes)]
     request = make_request(n_prompt_tokens=n_prompt, max_output_tokens=n_output)
     plan = build_plan(request, specs, BOUNDS)
-    rooms = [n_tokens_of(spec, BOUNDS) for spec in specs]
+    rooms = [n_reservable_tokens(spec, BOUNDS) for spec in specs]
     if plan is None:
         is_tight = n_prompt * BOUNDS.margin + n_output > sum(rooms)
         assert is_tight or n_output >= rooms[-1]
--- a/tests/decisions/head_of_line/test_burst_of_long_prompts.py
+++ b/tests/decisions/head_of_line/test_burst_of_long_prompts.py
@@ -17,7 +17,7 @@
 from quetzaldeck.bundle.engine_figures import EngineFigures
 from quetzaldeck.decisions import Request
 from quetzaldeck.decisions.head_of_line import ReadingLane
-from quetzaldeck.decisions.memory import InFlight
+from quetzaldeck.decisions.memory import InFlightAttempt
 from quetzaldeck.decisions.peer_load import UpstreamShare
 from quetzaldeck.decisions.tuning import tune
 from quetzaldeck.decisions.upstream_state import UpstreamState
@@ -85,7 +85,7 @@
         while waiting and now_ms < DEADLINE_MS:
             self._note_read(now_ms)
             for request in list(waiting):
-                if self._lane.may_begin(request, self._pool, now_ms):
+                if self._lane.may_start(request, self._pool, now_ms):
                     waiting.remove(request)
                     self._begin(request, now_ms)
             now_ms += STEP_MS
@@ -98,7 +98,9 @@
             name = state.spec.name
             self._free_ms[name] = max(self._free_ms[name], now_ms) + part_ms
             state.add(
-                InFlight(request.request_id, request.request_id, 0, n_part, now_ms)
+                InFlightAttempt(
+                    request.request_id, request.request_id, 0, n_part, now_ms
+                )
             )
         read_ms = max(self._free_ms[state.spec.name] for state in readers)
         self.begun.append(Begun(request, now_ms, read_ms))
@@ -140,7 +142,7 @@
     others = [make(make_request, 200_000) for _ in range(6)]
 
     def list_willing(now_ms: float) -> list[Request]:
-        return [r for r in others if lane.may_begin(r, pool, now_ms)]
+        return [r for r in others if lane.may_start(r, pool, now_ms)]
 
     assert not list_willing(huge.began_ms + STEP_MS)
     assert list_willing(huge.read_ms - 600.0), "before all of it is read"
@@ -151,11 +153,11 @@
 ) -> None:
     pool = make_pool()
     for state in pool:
-        state.add(InFlight("a", "r", 0, 1_500_000, 0.0))
+        state.add(InFlightAttempt("a", "r", 0, 1_500_000, 0.0))
     late_ms = 30_000.0
     assert all(state.unread_ms(late_ms) > 0 for state in pool)
     request = make(make_request, 200_000, arrived_ms=late_ms, deadline_ms=60_000.0)
-    assert not lane.may_begin(request, pool, late_ms)
+    assert not lane.may_start(request, pool, late_ms)
 
 
 def test_prompt_that_waits_gets_its_turn_among_shorter_ones(
@@ -168,10 +170,10 @@
     pool = make_pool()
     long = make(make_request, 400_000)
     now_ms = 0.0
-    while not lane.may_begin(long, pool, now_ms):
+    while not lane.may_start(long, pool, now_ms):
         for state in pool:
             state.discard(f"a{now_ms - 200.0}")
-            state.add(InFlight(f"a{now_ms}", "r", 0, 77_000, now_ms))
+            state.add(InFlightAttempt(f"a{now_ms}", "r", 0, 77_000, now_ms))
         now_ms += 100.0
         assert now_ms < DEADLINE_MS / 2
 
@@ -181,9 +183,9 @@
 ) -> None:
     pool = make_pool()
     for state in pool:
-        state.add(InFlight("a", "r", 0, 1_500_000, 0.0))
+        state.add(InFlightAttempt("a", "r", 0, 1_500_000, 0.0))
     for n_tokens in (SHORT, 45_000):
-        assert lane.may_begin(make(make_request, n_tokens), pool, 0.0)
+        assert lane.may_start(make(make_request, n_tokens), pool, 0.0)
 
 
 def test_parts_read_for_others_keep_no_engines_from_long_prompts(
@@ -197,7 +199,7 @@
     huge = make(make_request, 500_000)
     before = len(lane.restrict_helpers(huge, pool, 0.0))
     for state in pool:
-        state.add(InFlight("p", "r", 0, 30_000, 0.0, is_part=True))
+        state.add(InFlightAttempt("p", "r", 0, 30_000, 0.0, is_part=True))
         state.take_peer_share("vm-b", UpstreamShare(2, 60_000, 0, 2), 0.0)
     assert len(lane.restrict_helpers(huge, pool, 0.0)) == before
 
@@ -212,7 +214,7 @@
     pool = make_pool()
     for number in range(54):
         state = lane.restrict(make(make_request, SHORT), pool, 0.0)[0]
-        state.add(InFlight(f"a{number}", f"r{number}", SHORT, 0, 0.0))
+        state.add(InFlightAttempt(f"a{number}", f"r{number}", SHORT, 0, 0.0))
     writing = {state.spec.name for state in pool if state.n_answers(0.0)}
     readers = lane.restrict_helpers(make(make_request, 500_000), pool, 0.0)
     assert readers
@@ -232,7 +234,7 @@
     first = lane.restrict_helpers(request, pool, 0.0)[:4]
     for state in first:
         for number in range(5):
-            state.add(InFlight(f"a{number}", f"r{number}", SHORT, 0, 0.0))
+            state.add(InFlightAttempt(f"a{number}", f"r{number}", SHORT, 0, 0.0))
     readers = lane.restrict_helpers(request, pool, 0.0)
     assert len(readers) >= 2
     assert not {s.spec.name for s in readers} & {s.spec.name for s in first}
@@ -251,7 +253,7 @@
     writing = pool[5:]
     for state in writing:
         for number in range(3):
-            state.add(InFlight(f"a{number}", f"r{number}", SHORT, 0, 0.0))
+            state.add(InFlightAttempt(f"a{number}", f"r{number}", SHORT, 0, 0.0))
     request = make(make_request, 330_000)
     readers = {state.spec.name for state in lane.restrict_helpers(request, pool, 0.0)}
     assert readers == {state.spec.name for state in pool[:5]}
--- a/tests/decisions/head_of_line/test_reading_lane.py
+++ b/tests/decisions/head_of_line/test_reading_lane.py
@@ -10,7 +10,7 @@
 from quetzaldeck.bundle.engine_figures import EngineFigures
 from quetzaldeck.decisions.head_of_line import ReadingLane
 from quetzaldeck.decisions.head_of_line.reading_lane import MAX_READ_SHARE_OF_TARGET
-from quetzaldeck.decisions.memory import InFlight
+from quetzaldeck.decisions.memory import InFlightAttempt
 from quetzaldeck.decisions.peer_load import UpstreamShare
 from quetzaldeck.decisions.tuning import tune
 from quetzaldeck.decisions.upstream_state import UpstreamState
@@ -50,7 +50,7 @@
     """:returns: engines that each write one answer"""
     pool = make_pool()
     for state in pool:
-        state.add(InFlight("a", "r", SHORT, 0, 0.0))
+        state.add(InFlightAttempt("a", "r", SHORT, 0, 0.0))
     return pool
 
 
@@ -98,7 +98,7 @@
     for number in range(20):
         request = make(make_request, SHORT)
         state = lane.restrict(request, pool, 0.0)[0]
-        state.add(InFlight(f"a{number}", f"r{number}", SHORT, 0, 0.0))
+        state.add(InFlightAttempt(f"a{number}", f"r{number}", SHORT, 0, 0.0))
     used = [state for state in pool if state.n_requests(0.0)]
     assert len(used) <= 5
     assert max(state.n_requests(0.0) for state in used) <= FIGURES.n_slots
@@ -154,7 +154,7 @@
     pool = make_pool()
     for number in range(20):
         state = lane.restrict(make(make_request, SHORT), pool, 0.0)[0]
-        state.add(InFlight(f"a{number}", f"r{number}", SHORT, 0, 0.0))
+        state.add(InFlightAttempt(f"a{number}", f"r{number}", SHORT, 0, 0.0))
     busy = names(state for state in pool if state.n_requests(0.0))
     huge = make(make_request, 560_000)
     first = lane.restrict_helpers(huge, pool, 0.0)
--- a/tests/decisions/memory/test_ledger.py
+++ b/tests/decisions/memory/test_ledger.py
@@ -6,11 +6,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quetzaldeck.decisions.memory import InFlight, MemoryLedger
+from quetzaldeck.decisions.memory import InFlightAttempt, MemoryLedger
 
 
-def make_attempt(attempt_id: str, n_kv_tokens: int = 10, at_ms: float = 0) -> InFlight:
-    return InFlight(attempt_id, attempt_id, n_kv_tokens, n_kv_tokens, at_ms)
+def make_attempt(
+    attempt_id: str, n_kv_tokens: int = 10, at_ms: float = 0
+) -> InFlightAttempt:
+    return InFlightAttempt(attempt_id, attempt_id, n_kv_tokens, n_kv_tokens, at_ms)
 
 
 def test_reserve_twice_is_an_error() -> None:
--- a/tests/decisions/placement/test_few_choices.py
+++ b/tests/decisions/placement/test_few_choices.py
@@ -8,7 +8,7 @@
 
 from tests.support.builders import make_report, make_request, make_state
 
-from quetzaldeck.decisions.memory import InFlight
+from quetzaldeck.decisions.memory import InFlightAttempt
 from quetzaldeck.decisions.placement import (
     CacheCursor,
     CacheEvent,
@@ -53,7 +53,7 @@
             request = make_request(f"r{index}")
             name = choose(policy, request, pool)
             state = next(s for s in pool if s.spec.name == name)
-            state.add(InFlight(f"a{index}", f"r{index}", 1_010, 1_000, 1.0))
+            state.add(InFlightAttempt(f"a{index}", f"r{index}", 1_010, 1_000, 1.0))
             sent[name] += 1
     assert sum(sent.values()) == 70
     assert sent["e0"] <= 14
@@ -72,7 +72,7 @@
         name = choose(policy, request, pool)
         sent[name] += 1
         state = next(s for s in pool if s.spec.name == name)
-        state.add(InFlight(f"a{index}", f"r{index}", 4_510, 4_500, 1.0))
+        state.add(InFlightAttempt(f"a{index}", f"r{index}", 4_510, 4_500, 1.0))
     assert sent["e0"] == max(sent.values())
     assert sent["e0"] <= 10
     assert len(sent) == 8
@@ -91,7 +91,7 @@
     policy = FewChoices(random_state=random.Random(1), availability_zone="b")
     pool = [make_state("e0", zone="a"), make_state("e1", zone="b")]
     assert choose(policy, make_request(), pool) == "e1"
-    pool[1].add(InFlight("a", "r", 1_010, 1_000, 0.0))
+    pool[1].add(InFlightAttempt("a", "r", 1_010, 1_000, 0.0))
     assert choose(policy, make_request(), pool) == "e0"
 
 
@@ -109,7 +109,7 @@
             name = choose(policy, make_request(), pool, now_ms)
             sent[name] += 1
             state = next(s for s in pool if s.spec.name == name)
-            state.add(InFlight(f"a{index}", f"r{index}", 1_010, 1_000, now_ms))
+            state.add(InFlightAttempt(f"a{index}", f"r{index}", 1_010, 1_000, now_ms))
         shares.append(sent["e0"])
     assert shares[0] < 10
     assert shares == sorted(shares)
@@ -121,7 +121,7 @@
     pool[0].observe(make_report("e0", n_prefill_tokens=5_000), 0.0)
     pool[1].observe(make_report("e1", n_running=2), 0.0)
     assert choose(make_policy(), make_request(), pool, 0.0) == "e1"
-    pool[1].add(InFlight("a", "r", 2_010, 2_000, 0.0))
+    pool[1].add(InFlightAttempt("a", "r", 2_010, 2_000, 0.0))
     assert choose(make_policy(), make_request(), pool, 10_000.0) == "e0"
 
 
--- a/tests/decisions/placement/test_first_token.py
+++ b/tests/decisions/placement/test_first_token.py
@@ -9,7 +9,7 @@
 
 from quetzaldeck.bundle import UpstreamSpec
 from quetzaldeck.bundle.engine_figures import EngineFigures
-from quetzaldeck.decisions.memory import InFlight
+from quetzaldeck.decisions.memory import InFlightAttempt
 from quetzaldeck.decisions.peer_load import UpstreamShare
 from quetzaldeck.decisions.placement import FirstToken
 from quetzaldeck.decisions.placement.first_token import MAX_HELPERS
@@ -119,7 +119,7 @@
         assert name is not None
         counts[name] = counts.get(name, 0) + 1
         state = next(s for s in pool if s.spec.name == name)
-        state.add(InFlight(f"a{number}", f"r{number}", 5_000, 5_000, 0.0))
+        state.add(InFlightAttempt(f"a{number}", f"r{number}", 5_000, 5_000, 0.0))
     assert max(counts.values()) <= 3
 
 
@@ -136,5 +136,5 @@
         name = policy.choose(make_request(5_000), pool, 0.0)
         chosen.append(name)
         state = next(s for s in pool if s.spec.name == name)
-        state.add(InFlight(f"a{number}", f"r{number}", 5_000, 5_000, 0.0))
+        state.add(InFlightAttempt(f"a{number}", f"r{number}", 5_000, 5_000, 0.0))
     assert chosen.count("a0") <= 1
--- a/tests/decisions/test_upstream_restart.py
+++ b/tests/decisions/test_upstream_restart.py
@@ -11,7 +11,7 @@
 from quetzaldeck.decisions.decision import AttemptFault
 from quetzaldeck.decisions.health.outcomes import Outcomes
 from quetzaldeck.decisions.load_report import LoadReport
-from quetzaldeck.decisions.memory import InFlight
+from quetzaldeck.decisions.memory import InFlightAttempt
 from quetzaldeck.decisions.peer_load import UpstreamShare
 from quetzaldeck.decisions.upstream_state import UpstreamState
 
@@ -24,7 +24,7 @@
     """:returns: an engine that looks full, slow, failing and dead"""
     state = UpstreamState(SPEC)
     state.note_incarnation(FIRST, 0.0)
-    state.add(InFlight("a1", "q1", 300_000, 300_000, 0.0, 300_000))
+    state.add(InFlightAttempt("a1", "q1", 300_000, 300_000, 0.0, 300_000))
     state.observe(LoadReport("e0", FIRST, 1, 0.0, 8, 4, 350_000, 0), 10.0)
     share = UpstreamShare(3, 90_000, 90_000, 3, Outcomes(0.0, 4.0), FIRST)
     state.take_peer_share("vm-b", share, 10.0)
