--- a/src/quetzaldeck/decisions/groups/__init__.py
+++ b/src/quetzaldeck/decisions/groups/__init__.py
@@ -1,4 +1,4 @@
-"""Groups of engines for prompts that one engine cannot hold."""
+"""Groups of engines that together hold prompts too large for one engine."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/groups/bounds.py
+++ b/src/quetzaldeck/decisions/groups/bounds.py
@@ -1,4 +1,4 @@
-"""Figures of group reservations and their grounds."""
+"""Limits of group reservations."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 
 class GroupBounds(NamedTuple):
-    """Bounds of group reservations.
-
-    :param unreserved_share: share of an engine's memory that no reservation takes, so
-        that short requests go on being served by every member
-    :param prefers_zone: whether a group in one availability zone is better than one
-        with more room; where parts travel fast it is not
-    :param min_members: engines that a group has if the pool has as many. Small parts
-        fit beside what the members hold already, where two halves would not.
-    :param max_members: engines in a group; the transfers grow with its square
-    :param margin: memory reserved over the estimate of the prompt's tokens
-    :param max_pending: reservations that one VM may have waiting at a time; more
-        would only hold memory while they wait for each other
-    :param aged_ms: wait after which a long request gets a reservation on one
-        engine, since short ones would fill each gap before it is large enough
-    :param min_aged_share: share of an engine's memory from which a request is long
-        enough for that
-    :param max_wait_ms: longest wait for one member, while those before it are held.
-        Giving up loses the places in the engines' lines, so a short wait lets the
-        longest prompts fail.
-    :param max_wait_share: share of the time left that all waits together may take
-    :param poll_interval_ms: time between two questions for a waiting reservation
+    """Limits of group reservations.
+
+    :param unreserved_share: share of an engine's memory that reservations must leave
+        free, so that every member can still serve short requests
+    :param prefers_zone: whether a group within one availability zone is preferred to
+        one with more free memory; not where transfers between zones are fast
+    :param min_members: members of a group if the pool has as many. Small parts fit
+        beside what the members hold already, where two halves would not.
+    :param max_members: most members of a group; transfers grow with its square
+    :param margin: memory reserved per estimated prompt token
+    :param max_pending: pending reservations of one VM; more would only hold memory
+        while they wait for each other
+    :param aged_ms: wait after which a long request gets a reservation on one engine;
+        otherwise short requests fill each gap before it is large enough
+    :param min_aged_share: share of an engine's memory from which a request counts as
+        long for that
+    :param max_wait_ms: longest wait for one member, while the members before it are
+        reserved. Giving up loses the position in the engines' queues, so that a short
+        wait makes the longest prompts fail.
+    :param max_wait_share: share of the remaining time that all waits together may take
+    :param poll_interval_ms: time between two polls of a pending reservation
     """
 
     unreserved_share: float = 0.25
@@ -42,7 +42,7 @@
     poll_interval_ms: float = 100.0
 
     def member_wait_ms(self, left_ms: float, n_members: int) -> float:
-        """:returns: longest wait for each of the members of a group"""
+        """:returns: longest wait for each member of a group"""
         return min(self.max_wait_ms, left_ms * self.max_wait_share / n_members)
 
 
--- a/src/quetzaldeck/decisions/groups/plan.py
+++ b/src/quetzaldeck/decisions/groups/plan.py
@@ -1,4 +1,4 @@
-"""How a prompt is spread over the members of a group."""
+"""Division of a prompt among the members of a group."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class GroupPlan(NamedTuple):
-    """The members of a group in canonical order and what each holds.
+    """Members of a group in canonical order, with the part and memory of each.
 
     The last member prefills the last part and generates the answer.
 
-    :param upstreams: names, ascending: every VM reserves in this order
+    :param upstreams: names in ascending order, in which every VM reserves
     :param prompt_tokens: estimated prompt tokens of each member's part
-    :param reserved_tokens: memory reserved on each member
+    :param reserved_tokens: memory reserved on each member, in tokens
     """
 
     upstreams: tuple[str, ...]
@@ -29,31 +29,34 @@
 
 
 def n_reservable_tokens(spec: UpstreamSpec, bounds: GroupBounds) -> int:
-    """:returns: memory of an engine that reservations may take"""
+    """:returns: memory of an engine that reservations may take, in tokens"""
     return math.floor(spec.kv_tokens * (1.0 - bounds.unreserved_share))
 
 
 def build_plan(
     request: Request, members: Sequence[UpstreamSpec], bounds: GroupBounds
 ) -> GroupPlan | None:
-    """Spread a prompt over engines in proportion to their room.
+    """Divide a prompt among engines in proportion to their capacity.
 
-    Names sort the same on every VM. Two VMs that reserve overlapping groups
-    therefore wait for each other in one direction only, never in a circle.
+    Names sort the same on every VM. Two VMs that reserve overlapping groups therefore
+    wait for each other in one direction only and cannot deadlock.
 
-    :returns: the plan, ``None`` if the members cannot hold the prompt
+    :returns: the plan; ``None`` if the members cannot hold the prompt
     """
     ordered = sorted(members, key=_name)
-    rooms = [n_reservable_tokens(spec, bounds) for spec in ordered]
-    rooms[-1] -= request.max_output_tokens
-    total = sum(rooms)
-    if min(rooms) < 1 or request.n_prompt_tokens * bounds.margin > total:
+    capacities = [n_reservable_tokens(spec, bounds) for spec in ordered]
+    capacities[-1] -= request.max_output_tokens
+    total = sum(capacities)
+    if min(capacities) < 1 or request.n_prompt_tokens * bounds.margin > total:
         return None
-    parts = [math.floor(request.n_prompt_tokens * room / total) for room in rooms]
+    parts = [
+        math.floor(request.n_prompt_tokens * capacity / total)
+        for capacity in capacities
+    ]
     parts[0] += request.n_prompt_tokens - sum(parts)
     reserved = [
-        min(room, math.ceil(part * bounds.margin))
-        for part, room in zip(parts, rooms, strict=True)
+        min(capacity, math.ceil(part * bounds.margin))
+        for part, capacity in zip(parts, capacities, strict=True)
     ]
     reserved[-1] += request.max_output_tokens
     return GroupPlan(
--- a/src/quetzaldeck/decisions/groups/planner.py
+++ b/src/quetzaldeck/decisions/groups/planner.py
@@ -1,14 +1,14 @@
 """Chooses groups of engines for prompts that one engine cannot hold.
 
-Load pattern: one prompt in fifty is over 100 K tokens, and the longest need more
-memory than two engines have, on the fleet that serves check-ins. Without groups
-these prompts are refused; with groups that are put together piece by piece, two of
-them can each hold half of the fleet and wait for the other for ever.
+Load pattern: one prompt in fifty is over 100 K tokens, and the longest need more memory
+than two engines have, on the fleet that serves check-ins. Without groups these prompts
+are refused. With groups that are reserved member by member in any order, two prompts
+can each hold half of the fleet and wait for the other forever.
 
-A group is reserved all or nothing, in the order of the names, each reservation
-with a timeout. The members' floor stays with short requests. An engine serves
+A group is reserved all or nothing, in the order of the names, each reservation with a
+timeout. Part of each member's memory is left to short requests. An engine serves
 waiting reservations in order of arrival and admits no further long sequence before
-them, so that a long prompt does not starve among short ones.
+them, so that short requests do not starve a long prompt.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 
 class GroupPlanner:
-    """Plans groups; it holds no reservation itself.
+    """Plans groups; keeps no reservations itself.
 
-    :param bounds: figures
+    :param bounds: limits of group reservations
     """
 
     def __init__(self, bounds: GroupBounds | None = None) -> None:
@@ -36,14 +36,14 @@
 
     @property
     def bounds(self) -> GroupBounds:
-        """:returns: figures"""
+        """:returns: limits of group reservations"""
         return self._bounds
 
     def needs_group(self, request: Request, pool: Sequence[UpstreamState]) -> bool:
-        """:returns: whether a request is over what one engine can set aside
+        """:returns: whether a request needs more memory than any engine may reserve
 
-        Such a request would otherwise wait for a moment at which an engine is
-        empty, which never comes on a busy fleet.
+        Such a request would otherwise wait for an empty engine, which a busy fleet
+        never has.
         """
         largest = max(
             (n_reservable_tokens(s.spec, self._bounds) for s in pool), default=0
@@ -59,9 +59,9 @@
     def plan(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> GroupPlan | None:
-        """Choose members: few, in one availability zone if one can hold it.
+        """Choose as few members as possible, in one availability zone if one suffices.
 
-        :param pool: upstreams that take new work
+        :param pool: upstreams that accept new work
         :returns: the plan; ``None`` if the pool cannot hold the request
         """
         if not self._bounds.prefers_zone:
@@ -80,19 +80,19 @@
     def plan_single(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> GroupPlan | None:
-        """:returns: a reservation on one engine for a long request that aged"""
+        """:returns: a reservation on one engine for a long request that has aged"""
         if now_ms - request.arrived_ms < self._bounds.aged_ms:
             return None
-        fitting = [
+        candidates = [
             state
             for state in pool
             if request.n_kv_tokens <= n_reservable_tokens(state.spec, self._bounds)
             and request.n_kv_tokens
             >= state.spec.kv_tokens * self._bounds.min_aged_share
         ]
-        if not fitting:
+        if not candidates:
             return None
-        state = min(fitting, key=lambda state: _memory_share(state, now_ms))
+        state = min(candidates, key=lambda state: _memory_share(state, now_ms))
         return GroupPlan(
             (state.spec.name,), (request.n_prompt_tokens,), (request.n_kv_tokens,)
         )
@@ -101,9 +101,9 @@
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> GroupPlan | None:
         by_load = sorted(pool, key=lambda state: _memory_share(state, now_ms))
-        n_most = min(len(by_load), self._bounds.max_members)
-        n_least = min(n_most, self._bounds.min_members)
-        for n_members in range(max(1, n_least), n_most + 1):
+        n_max = min(len(by_load), self._bounds.max_members)
+        n_min = min(n_max, self._bounds.min_members)
+        for n_members in range(max(1, n_min), n_max + 1):
             specs = [state.spec for state in by_load[:n_members]]
             plan = build_plan(request, specs, self._bounds)
             if plan is not None:
--- a/src/quetzaldeck/decisions/head_of_line/__init__.py
+++ b/src/quetzaldeck/decisions/head_of_line/__init__.py
@@ -1,4 +1,4 @@
-"""Head-of-line policies: which engines a request must leave to others."""
+"""Head-of-line policies: protect short requests from waiting behind long prefills."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/head_of_line/api.py
+++ b/src/quetzaldeck/decisions/head_of_line/api.py
@@ -1,4 +1,4 @@
-"""The family of policies that protect short requests from long prefills."""
+"""Interface and registry of head-of-line policies."""
 
 from __future__ import annotations
 
@@ -17,18 +17,21 @@
 
 
 class HeadOfLinePolicy(ABC):
-    """Restricts the engines of a request before the placement chooses."""
+    """Restricts the engines of a request before the placement policy chooses.
+
+    This protects short requests from waiting behind long prefills.
+    """
 
     def configure(self, bundle: Bundle, tuning: Tuning) -> None:  # noqa: B027
-        """Take the engines and the figures of the bundle in force."""
+        """Apply the engines and the tuning of the bundle in force."""
 
     def note_arrival(self, request: Request, now_ms: float) -> None:  # noqa: B027
-        """Learn what kind of work arrives."""
+        """Record the arrival of a request."""
 
     def may_start(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> bool:
-        """:returns: whether a request may be placed now; if not, it waits
+        """:returns: whether a request may be placed now; otherwise it waits
 
         :param pool: engines that serve the model
         """
@@ -38,20 +41,20 @@
     def restrict(
         self, request: Request, candidates: Sequence[UpstreamState], now_ms: float
     ) -> Sequence[UpstreamState]:
-        """:returns: the best candidates; empty if the request should wait
+        """:returns: the preferred candidates; empty if the request should wait
 
-        :param candidates: engines that serve the model and have room
+        :param candidates: engines that serve the model and have capacity
         """
 
     def restrict_helpers(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> Sequence[UpstreamState]:
-        """:returns: engines that may read parts of a prompt, or hold some of it"""
+        """:returns: engines that may prefill parts of a prompt or be group members"""
         return pool
 
     @abstractmethod
     def rank(self, request: Request, upstream: str) -> int:
-        """:returns: priority for the engine, 0 to 9; a lower one is prefilled first"""
+        """:returns: priority at the engine, 0 to 9; lower ones are prefilled first"""
 
 
 head_of_line_policies: Registry[HeadOfLinePolicy] = Registry("head-of-line policy")
--- a/src/quetzaldeck/decisions/head_of_line/reading_lane.py
+++ b/src/quetzaldeck/decisions/head_of_line/reading_lane.py
@@ -1,4 +1,4 @@
-"""Long reads at one end of the engines, short answers packed at the other."""
+"""Restricts long prefills to a lane of engines and packs short requests on others."""
 
 from __future__ import annotations
 
@@ -23,45 +23,46 @@
     from quetzaldeck.decisions.tuning import Tuning
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
-MAX_PART_SHARE = 0.25
-"""Part of the shortest pause between tokens that a part may hold an engine's writers
-up for, if as many engines read one as may. Two or three long prompts at a time then
-still leave the short answers everywhere within their pauses."""
+MAX_PART_SHARE_OF_GAP = 0.25
+"""Share of the shortest gap between tokens for which a part may delay the running
+sequences of an engine when a prompt is divided among as many engines as possible;
+prompts above it are long. Two or three long prompts at a time then still leave all
+short answers within their gaps."""
 
 DEFAULT_GAP_MS = 250.0
-"""Shortest pause where no request has stated one; a reader's pace."""
+"""Shortest gap between tokens as long as no request has stated one; a reading pace."""
 
-READ_SHARE_OF_TARGET = 0.3
-"""Part of the time to the first token in which the lane has to read all that is to be
-read there: prompts come in bursts, and parts of one engine wait for another's."""
+PREFILL_SHARE_OF_TARGET = 0.3
+"""Share of the time-to-first-token target within which the lane should prefill all its
+work: prompts arrive in bursts, and parts wait for other prompts on the same engine."""
 
-MAX_READ_SHARE_OF_TARGET = 0.75
-"""Part of that time which reading may take where fewer engines read, so that answers
-that are written on the others go on."""
+MAX_PREFILL_SHARE_OF_TARGET = 0.75
+"""Share of that target which prefill may take when fewer engines are used, so that
+answers on the other engines are not delayed."""
 
 MAX_PACKED_SHARE = 0.75
-"""Part of an engine's slots that short requests fill before the next engine gets any.
-The rest is for what other VMs send in the same instant, and for long prompts."""
+"""Share of an engine's slots that short requests fill before the next engine is used.
+The rest is for requests that other VMs send at the same time and for long prompts."""
 
-MAX_PACKED_UNREAD_MS = 40.0
-"""Prompts that an engine may have to read before a short one: about a pass of an engine
-that writes, so that it hardly shows in the time to the first token."""
+MAX_PACKED_BACKLOG_MS = 40.0
+"""Most prefill that may be ahead of a short request: about one pass of a generating
+engine, so that it hardly affects the time to first token."""
 
-MAX_KEPT_SHARE = 0.75
-"""Most of the engines that may be kept from long prompts, however much is written."""
+MAX_RESERVED_SHARE = 0.75
+"""Largest share of engines reserved for answers, regardless of their number."""
 
-MIN_KEPT_DIVISOR = 4
-"""One engine in so many is never taken by long prompts. A VM that has just started
-knows of no answers that are written, and some forty prompts come within the two seconds
-in which a prompt of half a million tokens is read; a quarter of the engines holds
-them."""
+RESERVED_DIVISOR = 4
+"""One engine in this many is always reserved. A VM that has just started knows of no
+running answers, and some forty prompts arrive within the two seconds that the prefill
+of half a million tokens takes; a quarter of the engines can hold them."""
 
-IDLE_SHARE = 0.25
-"""Part of the reading that the lane may have before it, up to which the longest prompt
-may begin, though by itself it takes longer than all may."""
+NEARLY_IDLE_SHARE = 0.25
+"""Share of the lane's prefill limit up to which its backlog admits any prompt, even one
+that exceeds the limit by itself."""
 
 MIN_TARGET_MS = 1.0
-"""Least time that a prompt's work is divided by; one whose time is up has none left."""
+"""Lower bound of the target: a request past its deadline has no time left, and work is
+divided by the target."""
 
 SHORT_RANK = 2
 LONG_RANK = 5
@@ -69,43 +70,43 @@
 
 @head_of_line_policies.register("reading_lane")
 class ReadingLane(HeadOfLinePolicy):
-    """Keeps long reads and short answers at different ends of the engines.
-
-    Load pattern: prompts of 5,000 tokens all the time, and some of 100,000 to 600,000
-    that come in bursts. Reading costs the square of the length: a prompt of 270,000
-    tokens takes six seconds of an engine. Spread over all engines it stops every
-    answer that is being written for a third of a second, three of them for a second,
-    so that all short answers are late. On a few engines it is read in time as well,
-    and only the short answers there notice: best if there are none.
-
-    Engines are ordered by a hash of their names, the same on all VMs, so that VMs agree
-    without a message; what runs where they tell each other.
-
-    - What can be spread over engines in parts that hold nobody up, is. A request names
-      a limited number of them, however many there are.
-    - Longer prompts are read where the fewest answers are written, by as many engines
-      as can read within the target what all VMs have sent to be read, and by those that
-      are idle. Engines that write are left out while the others are in time without
-      them: an earlier first token of one prompt costs each answer there a pause.
-    - However much is to be read, some engines stay free of it, as many as the answers
-      that are written now need. A prompt that all engines read to be in time itself
-      holds up every answer; on two thirds of them it alone is late.
-    - Long prompts take turns. Engines read a little of all that they have, so that
-      prompts which are begun together all end last. One begins while the lane reads all
-      that it has, this one included, within a share of its target: the shorter ones
-      find room first, and no VM has to ask another. Who waits is let in with more and
-      more before it, so that nobody waits for ever.
-    - Short requests begin at the last engines and fill them before they take another:
-      an engine writes eight answers about as fast as one.
+    """Keeps long prefills and short requests on different engines.
+
+    Load pattern: a steady stream of prompts of 5,000 tokens, and bursts of prompts of
+    100,000 to 600,000. Prefill time grows with the square of the length: a prompt of
+    270,000 tokens takes six seconds of one engine. Spread over all engines, it stops
+    every running answer for a third of a second, three such prompts for a second, so
+    that all short answers are late. On a few engines its first token is in time as
+    well, and only short answers there are affected, ideally none.
+
+    Engines are ordered by a hash of their names, so that all VMs agree on the order
+    without messages. VMs tell each other what runs on the engines.
+
+    - Prompts whose parts delay nobody when divided among engines are spread freely. A
+      request can name only a limited number of engines, however many there are.
+    - Longer prompts go to a lane: the engines with the fewest running answers, as many
+      as are needed to prefill within the target what all VMs have sent, plus idle
+      engines. Generating engines are left out while the others meet the target without
+      them: an earlier first token of one prompt would delay every answer there.
+    - Some engines are always reserved for answers, as many as the running answers need.
+      A prompt that all engines prefill to be in time delays every answer; on two thirds
+      of them, only the prompt itself is late.
+    - Long prompts are queued. Engines interleave their prefills, so that prompts which
+      start together all finish last. A prompt starts when the lane can prefill its
+      backlog and the prompt within a share of the target: shorter ones fit in earlier,
+      and VMs need not ask each other. The allowed backlog grows with the wait, so that
+      no prompt waits forever.
+    - Short requests start at the last engines and fill one before the next is used: an
+      engine generates eight answers about as fast as one.
     """
 
     def __init__(self) -> None:
         self._positions: dict[str, dict[str, int]] = {}
         self._figures: dict[str, EngineFigures] = {}
-        self._least_gap_ms = math.inf
+        self._min_gap_ms = math.inf
 
     def configure(self, bundle: Bundle, tuning: Tuning) -> None:
-        """Order the engines of each model."""
+        """Order the engines of each model by hash."""
         names: dict[str, list[str]] = {}
         for spec in bundle.upstreams:
             for model in spec.models:
@@ -121,33 +122,33 @@
         }
 
     def note_arrival(self, request: Request, now_ms: float) -> None:
-        """Learn the shortest pause that a caller bears."""
+        """Record the shortest gap between tokens that callers accept."""
         if request.max_gap_ms:
-            self._least_gap_ms = min(self._least_gap_ms, request.max_gap_ms)
+            self._min_gap_ms = min(self._min_gap_ms, request.max_gap_ms)
 
     def may_start(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> bool:
-        """:returns: whether the lane has room for a long prompt among its reads"""
+        """:returns: whether the lane has capacity for another long prompt"""
         figures = self._figures.get(request.model)
         if figures is None or not self._is_long(request, figures):
             return True
-        n_free = self._count_free(request, figures, pool, now_ms)
-        lane = self._order_for_reading(request, pool, now_ms)[:n_free]
+        n_available = self._count_available(request, figures, pool, now_ms)
+        lane = self._order_for_prefill(request, pool, now_ms)[:n_available]
         if not lane:
             return True
         backlog_ms = sum(state.unread_ms(now_ms) for state in lane) / len(lane)
         own_ms = figures.read_ms(request.n_prompt_tokens, n_parts=len(lane))
         target_ms = _target_ms(request, now_ms)
         waited_ms = max(0.0, now_ms - request.arrived_ms)
-        limit_ms = target_ms * READ_SHARE_OF_TARGET * (1.0 + waited_ms / target_ms)
-        is_idle = backlog_ms <= limit_ms * IDLE_SHARE
-        return is_idle or backlog_ms + own_ms <= limit_ms
+        limit_ms = target_ms * PREFILL_SHARE_OF_TARGET * (1.0 + waited_ms / target_ms)
+        is_nearly_idle = backlog_ms <= limit_ms * NEARLY_IDLE_SHARE
+        return is_nearly_idle or backlog_ms + own_ms <= limit_ms
 
     def restrict(
         self, request: Request, candidates: Sequence[UpstreamState], now_ms: float
     ) -> Sequence[UpstreamState]:
-        """:returns: candidates at the request's end; all if none is there"""
+        """:returns: candidates for the length of the prompt; all if none is suitable"""
         figures = self._figures.get(request.model)
         if figures is None:
             return candidates
@@ -159,14 +160,14 @@
     def restrict_helpers(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> Sequence[UpstreamState]:
-        """:returns: engines that may read parts of a prompt"""
+        """:returns: engines that may prefill parts of a prompt"""
         figures = self._figures.get(request.model)
         if figures is None or not self._is_long(request, figures):
             return pool
         return self._list_lane(request, figures, pool, now_ms)
 
     def rank(self, request: Request, upstream: str) -> int:
-        """:returns: a lower rank for short prompts: they are admitted first"""
+        """:returns: a lower rank for short prompts, which engines admit first"""
         figures = self._figures.get(request.model)
         is_long = figures is not None and self._is_long(request, figures)
         return LONG_RANK if is_long else SHORT_RANK
@@ -174,11 +175,11 @@
     def _is_long(self, request: Request, figures: EngineFigures) -> bool:
         n_engines = max(1, len(self._positions.get(request.model, ())))
         n_parts = min(n_engines, MAX_HELPERS + 1)
-        gap_ms = self._least_gap_ms
+        gap_ms = self._min_gap_ms
         if math.isinf(gap_ms):
             gap_ms = DEFAULT_GAP_MS
         part_ms = figures.read_ms(request.n_prompt_tokens, n_parts=n_parts)
-        return part_ms > gap_ms * MAX_PART_SHARE
+        return part_ms > gap_ms * MAX_PART_SHARE_OF_GAP
 
     def _list_lane(
         self,
@@ -187,48 +188,48 @@
         pool: Sequence[UpstreamState],
         now_ms: float,
     ) -> list[UpstreamState]:
-        """:returns: the engines that read a long prompt"""
+        """:returns: the engines that prefill a long prompt"""
         work_ms = figures.read_ms(request.n_prompt_tokens)
         work_ms += sum(state.unread_ms(now_ms) for state in pool)
         target_ms = _target_ms(request, now_ms)
-        n_soon = math.ceil(work_ms / (target_ms * READ_SHARE_OF_TARGET))
-        n_least = math.ceil(work_ms / (target_ms * MAX_READ_SHARE_OF_TARGET))
-        n_free = self._count_free(request, figures, pool, now_ms)
-        ordered = self._order_for_reading(request, pool, now_ms)
-        lane = ordered[: min(n_soon, n_free)]
-        while len(lane) > n_least and lane[-1].n_answers(now_ms):
+        n_desired = math.ceil(work_ms / (target_ms * PREFILL_SHARE_OF_TARGET))
+        n_required = math.ceil(work_ms / (target_ms * MAX_PREFILL_SHARE_OF_TARGET))
+        n_available = self._count_available(request, figures, pool, now_ms)
+        ordered = self._order_for_prefill(request, pool, now_ms)
+        lane = ordered[: min(n_desired, n_available)]
+        while len(lane) > n_required and lane[-1].n_answers(now_ms):
             lane.pop()
-        if n_soon > n_free:
+        if n_desired > n_available:
             return lane
-        idle = [s for s in ordered[n_soon:] if not s.n_requests(now_ms)]
+        idle = [s for s in ordered[n_desired:] if not s.n_requests(now_ms)]
         return lane + idle
 
-    def _order_for_reading(
+    def _order_for_prefill(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> list[UpstreamState]:
-        """:returns: the pool, engines that write the fewest answers first"""
+        """:returns: the pool, engines with the fewest running answers first"""
         return sorted(
             pool,
             key=lambda s: (s.n_answers(now_ms), self._position(request, s)),
         )
 
-    def _count_free(
+    def _count_available(
         self,
         request: Request,
         figures: EngineFigures,
         pool: Sequence[UpstreamState],
         now_ms: float,
     ) -> int:
-        """:returns: how many engines long prompts may take
+        """:returns: how many engines long prompts may use
 
-        The others are as many as what is written now fits on, and a quarter for what
-        arrives while a prompt is read.
+        The others are reserved: as many as the running answers need, and at least a
+        quarter for requests that arrive during a prefill.
         """
         n_engines = len(self._positions.get(request.model, ()))
         n_answers = sum(state.n_answers(now_ms) for state in pool)
-        n_kept = math.ceil(n_answers / (figures.n_slots * MAX_PACKED_SHARE))
-        n_kept = max(n_kept, n_engines // MIN_KEPT_DIVISOR)
-        return n_engines - min(n_kept, math.floor(n_engines * MAX_KEPT_SHARE))
+        n_reserved = math.ceil(n_answers / (figures.n_slots * MAX_PACKED_SHARE))
+        n_reserved = max(n_reserved, n_engines // RESERVED_DIVISOR)
+        return n_engines - min(n_reserved, math.floor(n_engines * MAX_RESERVED_SHARE))
 
     def _pack(
         self,
@@ -237,21 +238,21 @@
         pool: Sequence[UpstreamState],
         now_ms: float,
     ) -> list[UpstreamState]:
-        """:returns: some of the last engines with room for one more short answer"""
+        """:returns: some of the last engines with capacity for a short request"""
         max_requests = max(1.0, figures.n_slots * MAX_PACKED_SHARE)
         n_by_state = [(state, state.n_answers(now_ms)) for state in pool]
-        fitting = [
+        with_room = [
             state
             for state, n_answers in n_by_state
             if n_answers < max_requests
-            and state.unread_ms(now_ms) <= MAX_PACKED_UNREAD_MS
+            and state.unread_ms(now_ms) <= MAX_PACKED_BACKLOG_MS
         ]
-        fitting.sort(key=lambda state: -self._position(request, state))
-        # The pool may be a sample of a large one.
+        with_room.sort(key=lambda state: -self._position(request, state))
+        # The pool may be a sample of a larger one.
         n_engines = len(self._positions.get(request.model, ()))
         mean = sum(n for _, n in n_by_state) / max(1, len(n_by_state))
         return draw_candidates(
-            request, fitting, n_answers=mean * n_engines, n_engines=n_engines
+            request, with_room, n_answers=mean * n_engines, n_engines=n_engines
         )
 
     def _position(self, request: Request, state: UpstreamState) -> int:
@@ -260,7 +261,7 @@
 
 
 def _target_ms(request: Request, now_ms: float) -> float:
-    """:returns: time to the first token that its caller wants, or has left"""
+    """:returns: time-to-first-token target of a request, or else its time left"""
     return max(MIN_TARGET_MS, request.target_ms or request.deadline_ms - now_ms)
 
 
--- a/src/quetzaldeck/decisions/head_of_line/reading_lane_at_once.py
+++ b/src/quetzaldeck/decisions/head_of_line/reading_lane_at_once.py
@@ -1,4 +1,4 @@
-"""The reading lane without its queue, to compare with."""
+"""The reading lane without its queue, as a baseline."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @head_of_line_policies.register("reading_lane_at_once")
 class ReadingLaneAtOnce(ReadingLane):
-    """Begins each long prompt when it arrives, whatever the lane has to read."""
+    """Starts each long prompt on arrival, regardless of the lane's backlog."""
 
     def may_start(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
--- a/src/quetzaldeck/decisions/head_of_line/short_candidates.py
+++ b/src/quetzaldeck/decisions/head_of_line/short_candidates.py
@@ -1,14 +1,14 @@
-"""Among which engines a short request chooses, while many VMs place at once.
+"""Candidates of a short request, chosen for many VMs that place concurrently.
 
-Load pattern: a hundred short requests a second at two hundred VMs. Each VM hears of
-what the others placed some 50 ms later, so that several requests are placed by the same
-view. If all VMs choose among the same few engines, the best of these is given three or
-four requests in that time: it has no slot for the last, which says nothing until an
-answer ends, and is late though most engines have room.
+Load pattern: a hundred short requests a second at two hundred VMs. Each VM learns some
+50 ms late what the others placed, so that several requests are placed on the same view
+of the load. If all VMs chose among the same few engines, the best of them would get
+three or four requests in that time. The last of these finds no slot, waits until an
+answer ends, and is late although most engines have slots.
 
-So the more answers are written, the more engines a request may go to: requests come as
-fast as answers end. Of these it compares a few, drawn for each request, so that VMs
-with the same view do not all take the same best one.
+Therefore the number of eligible engines grows with the number of running answers, since
+requests arrive as fast as answers end. Each request compares a few of these, drawn by a
+hash of its id, so that VMs with the same view do not all choose the same best engine.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 N_COMPARED = 3
-"""Engines that one request compares."""
+"""Engines that each request compares."""
 
 N_ANSWERS_PER_ENGINE = 10.0
-"""Answers that are written by all engines, for each engine that may be drawn."""
+"""Running answers of all engines per eligible engine."""
 
 
-OPEN_DIVISOR = 4
-"""One engine in so many may be drawn at most: answers are kept together, so that the
-other engines are free to read long prompts."""
+ELIGIBLE_DIVISOR = 4
+"""At most one engine in this many is eligible: answers are kept together, so that the
+other engines are free to prefill long prompts."""
 
 
 def draw_candidates(
@@ -44,19 +44,21 @@
 ) -> list[UpstreamState]:
     """:returns: the engines that a short request compares
 
-    :param ordered: engines with room for it, those to fill first before the others
-    :param n_answers: answers that all engines write
-    :param n_engines: engines that serve the model
+    :param ordered: engines with capacity for it, in the order in which to fill them
+    :param n_answers: running answers of all engines
+    :param n_engines: number of engines that serve the model
     """
-    n_open = round(n_answers / N_ANSWERS_PER_ENGINE)
-    n_open = max(N_COMPARED, min(n_open, n_engines // OPEN_DIVISOR))
-    pool = ordered[:n_open]
-    drawn = sorted(pool, key=lambda state: _draw(request.request_id, state.spec.name))
-    looked_at = drawn[:N_COMPARED]
-    return [state for state in pool if state in looked_at]
+    n_eligible = round(n_answers / N_ANSWERS_PER_ENGINE)
+    n_eligible = max(N_COMPARED, min(n_eligible, n_engines // ELIGIBLE_DIVISOR))
+    pool = ordered[:n_eligible]
+    drawn = sorted(
+        pool, key=lambda state: _draw_key(request.request_id, state.spec.name)
+    )
+    compared = drawn[:N_COMPARED]
+    return [state for state in pool if state in compared]
 
 
-def _draw(request_id: str, upstream: str) -> int:
+def _draw_key(request_id: str, upstream: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{request_id}\0{upstream}".encode())
 
 
--- a/src/quetzaldeck/decisions/head_of_line/time_average.py
+++ b/src/quetzaldeck/decisions/head_of_line/time_average.py
@@ -1,4 +1,4 @@
-"""An average over time of something that is looked at now and then."""
+"""Average over time of a value that is sampled irregularly."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class TimeAverage:
-    """Exponentially weighted by time, so that looking often does not weigh more.
+    """Exponential moving average, weighted by time and not by number of samples.
 
-    :param time_constant_ms: time in which an old value loses most of its weight
+    :param time_constant_ms: time in which an old sample loses most of its weight
     """
 
     def __init__(self, time_constant_ms: float) -> None:
         self._time_constant_ms = time_constant_ms
-        self._at_ms: float | None = None
+        self._sampled_ms: float | None = None
         self.value = 0.0
 
     def note(self, sample: float, now_ms: float) -> None:
-        """Take what was seen; it stands for the time since the last look."""
-        if self._at_ms is not None:
-            elapsed_ms = now_ms - self._at_ms
+        """Add a sample, which counts for the time since the last one."""
+        if self._sampled_ms is not None:
+            elapsed_ms = now_ms - self._sampled_ms
             gain = 1.0 - math.exp(-elapsed_ms / self._time_constant_ms)
             self.value += gain * (sample - self.value)
-        self._at_ms = now_ms
+        self._sampled_ms = now_ms
 
 
 __all__ = ("TimeAverage",)
--- a/src/quetzaldeck/decisions/head_of_line/unprotected.py
+++ b/src/quetzaldeck/decisions/head_of_line/unprotected.py
@@ -1,4 +1,4 @@
-"""No protection: the baseline of head-of-line protection."""
+"""No head-of-line protection, as a baseline."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @head_of_line_policies.register("none")
 class Unprotected(HeadOfLinePolicy):
-    """Lets every request go to every engine with the bundle's priority.
+    """Allows all requests on all engines, ranked by the request's priority.
 
     Load pattern: prompts of similar length. Baseline for measurements.
     """
@@ -30,7 +30,7 @@
         return candidates
 
     def rank(self, request: Request, upstream: str) -> int:
-        """:returns: the bundle's priority"""
+        """:returns: the request's priority"""
         return request.priority
 
 
--- a/src/quetzaldeck/decisions/memory/__init__.py
+++ b/src/quetzaldeck/decisions/memory/__init__.py
@@ -1,4 +1,4 @@
-"""Accounting of engine memory."""
+"""Accounting of the engine memory that this VM's attempts hold."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/memory/in_flight.py
+++ b/src/quetzaldeck/decisions/memory/in_flight.py
@@ -1,4 +1,4 @@
-"""One attempt as the accounting of an upstream knows it."""
+"""Accounting record of an attempt in flight."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
     :param n_kv_tokens: memory reserved for it, in tokens
     :param n_prefill_tokens: prompt tokens not yet prefilled
     :param started_ms: monotonic time of the dispatch
-    :param n_queued_tokens: work at the upstream at the dispatch, this one included
+    :param n_queued_tokens: prefill work at the upstream at the dispatch, including this
+        attempt
     :param fingerprint: fingerprint of the request; 0: none
     :param is_suspect: whether the request is suspected of crashing engines
-    :param is_part: whether another engine answers and this one only reads a part
+    :param is_part: whether this engine only prefills a part for one that answers
     """
 
     attempt_id: str
--- a/src/quetzaldeck/decisions/memory/ledger.py
+++ b/src/quetzaldeck/decisions/memory/ledger.py
@@ -1,11 +1,11 @@
-"""Memory that this VM's attempts hold on one engine: taken once, released once.
+"""Ledger of the memory that this VM's attempts hold on one engine.
 
-Load pattern: prompts of 1 K to 1 M tokens fill engines by memory long before they
-fill them by count, and load reports say so too late. Without the ledger a VM sends
-prompts that an engine cannot hold yet, and they block the engine's own queue.
+Load pattern: prompts of 1 K to 1 M tokens exhaust an engine's memory long before its
+request slots, and load reports show it too late. Without the ledger a VM sends prompts
+that an engine cannot hold yet, and they block the engine's own queue.
 
-The sums are kept, not recomputed: a placement asks for them on each candidate, and
-with hundreds of upstreams recomputing was most of a decision's cost.
+The sums are maintained incrementally: a placement reads them for each candidate, and
+with hundreds of upstreams recomputing them took most of the time of a decision.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 class MemoryLedger:
     """Attempts in flight on one upstream, with their sums.
 
-    Attempts that began after the last load report are summed a second time: the
-    report cannot include them.
+    Attempts that started after the last load report are also summed separately, since
+    the report cannot include them.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         self._since_report = _Sums()
         self._n_suspects = 0
         self._n_parts = 0
-        self._lost: set[str] = set()
+        self._dropped: set[str] = set()
 
     def __len__(self) -> int:
         return len(self._attempts)
@@ -41,7 +41,7 @@
         return iter(tuple(self._attempts.values()))
 
     def get(self, attempt_id: str) -> InFlightAttempt | None:
-        """:returns: an attempt that is in flight"""
+        """:returns: an attempt in flight; ``None`` if it is unknown"""
         return self._attempts.get(attempt_id)
 
     @property
@@ -51,22 +51,22 @@
 
     @property
     def n_prefill_tokens(self) -> int:
-        """:returns: prompt tokens of all attempts still to be prefilled"""
+        """:returns: prompt tokens of all attempts that are not yet prefilled"""
         return self._total.n_prefill_tokens
 
     @property
     def n_suspects(self) -> int:
-        """:returns: attempts of requests suspected of crashing engines"""
+        """:returns: number of attempts of requests suspected of crashing engines"""
         return self._n_suspects
 
     @property
     def n_parts(self) -> int:
-        """:returns: attempts of which another engine answers"""
+        """:returns: number of attempts that are prompt parts for another engine"""
         return self._n_parts
 
     @property
     def n_unreported(self) -> int:
-        """:returns: attempts that the last report cannot include"""
+        """:returns: number of attempts that the last report cannot include"""
         return len(self._unreported)
 
     @property
@@ -76,13 +76,13 @@
 
     @property
     def n_unreported_prefill_tokens(self) -> int:
-        """:returns: their prompt tokens still to be prefilled"""
+        """:returns: prompt tokens of these attempts that are not yet prefilled"""
         return self._since_report.n_prefill_tokens
 
     def reserve(self, attempt: InFlightAttempt) -> None:
-        """Account for an attempt before it is sent.
+        """Add an attempt before it is sent.
 
-        :raises ValueError: if the attempt is accounted for already
+        :raises ValueError: if the attempt is in the ledger already
         """
         if attempt.attempt_id in self._attempts:
             msg = f"attempt {attempt.attempt_id!r} is reserved twice on one upstream"
@@ -95,15 +95,15 @@
         self._n_parts += attempt.is_part
 
     def release(self, attempt_id: str) -> bool:
-        """Release what an attempt holds.
+        """Remove an attempt and release what it holds.
 
-        :returns: whether it held anything, so that a second release shows
+        :returns: whether it was in the ledger or dropped; false for a second release
         """
         attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
-            was_lost = attempt_id in self._lost
-            self._lost.discard(attempt_id)
-            return was_lost
+            was_dropped = attempt_id in self._dropped
+            self._dropped.discard(attempt_id)
+            return was_dropped
         self._total.subtract(attempt)
         self._n_suspects -= attempt.is_suspect
         self._n_parts -= attempt.is_part
@@ -113,11 +113,12 @@
         return True
 
     def drop_all(self) -> None:
-        """Drop all attempts: the engine that held them has started again.
+        """Drop all attempts: the engine that ran them has restarted.
 
-        They end later, each by its own connection, and are released then as usual.
+        Each attempt ends later, when its connection breaks; the release that follows
+        is not counted as a second one.
         """
-        self._lost.update(self._attempts)
+        self._dropped.update(self._attempts)
         self._attempts.clear()
         self._unreported.clear()
         self._total = _Sums()
@@ -126,7 +127,7 @@
         self._n_parts = 0
 
     def mark_prefilled(self, attempt_id: str) -> None:
-        """Note that the prompt of an attempt is prefilled."""
+        """Record that the prompt of an attempt is prefilled."""
         attempt = self._attempts.get(attempt_id)
         if attempt is None:
             return
@@ -140,7 +141,7 @@
             self._since_report.add(prefilled)
 
     def note_report(self, reported_ms: float) -> None:
-        """Take the time at which a report's figures were measured."""
+        """Process the time at which the figures of a load report were measured."""
         self._unreported = {
             attempt_id: attempt
             for attempt_id, attempt in self._attempts.items()
@@ -150,7 +151,7 @@
 
 
 class _Sums:
-    """Sums over attempts."""
+    """Sums over a set of attempts."""
 
     def __init__(self) -> None:
         self.n_kv_tokens = 0
--- a/src/quetzaldeck/decisions/placement/__init__.py
+++ b/src/quetzaldeck/decisions/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement policies: which upstream a request goes to."""
+"""Placement: chooses the upstreams that run a request."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/placement/api.py
+++ b/src/quetzaldeck/decisions/placement/api.py
@@ -1,4 +1,4 @@
-"""The family of placement policies."""
+"""Interface and registry of placement policies."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class PlacementPolicy(ABC):
-    """Chooses the upstream for a request.
+    """Chooses the upstream and the helpers of a request.
 
     :param random_state: source of random choices
-    :param availability_zone: zone of this VM
+    :param availability_zone: availability zone of this VM
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self._availability_zone = availability_zone
 
     max_helpers = 0
-    """Engines that a request may name besides or instead of the one that answers."""
+    """Most helpers of one request; 0 if the policy does not spread prompts."""
 
     @property
     def random_state(self) -> random.Random:
@@ -41,10 +41,11 @@
     def choose(
         self, request: Request, candidates: Sequence[UpstreamState], now_ms: float
     ) -> str | None:
-        """Choose among candidates that serve the model and have room.
+        """Choose among upstreams that serve the model and have capacity.
 
-        :param candidates: not empty; none of them is leaving or avoided
-        :returns: name of the upstream; ``None`` to wait for a better place
+        :param candidates: not empty; excludes leaving upstreams and, where others are
+            left, those that failed the request
+        :returns: name of the upstream; ``None`` to keep the request waiting
         """
 
     def choose_helpers(
@@ -54,30 +55,31 @@
         pool: Sequence[UpstreamState],
         now_ms: float,
     ) -> tuple[str, ...]:
-        """Choose engines that read parts of a long prompt.
+        """Choose helpers, which prefill parts of a long prompt.
 
         :param chosen: the engine that answers
-        :param pool: engines of the same model, also such as have no room for more
-        :returns: their names; empty if the chosen one reads it all
+        :param pool: engines of the same model, including those without capacity for
+            another request
+        :returns: names of the helpers; empty if ``chosen`` prefills the whole prompt
         """
         return ()
 
     def list_preferred(self, request: Request) -> tuple[str, ...]:
-        """:returns: upstreams that must be among the candidates if they may be"""
+        """:returns: upstreams that sampling a large pool must not leave out"""
         return ()
 
     def note_answer(  # noqa: B027 - most policies learn nothing
         self, request: Request, state: UpstreamState
     ) -> None:
-        """Learn from the first token of an answer which prefixes are cached.
+        """Record cached prefixes, at the first token of an answer.
 
-        :param state: the upstream that gave it
+        :param state: the upstream that sent the first token
         """
 
     def note_cache_events(  # noqa: B027 - most policies learn nothing
         self, events: CacheEvents
     ) -> None:
-        """Take cache events: perhaps late, with gaps, or of a life that ended."""
+        """Process cache events; may be late, incomplete or of an old incarnation."""
 
 
 placement_policies: Registry[PlacementPolicy] = Registry("placement policy")
--- a/src/quetzaldeck/decisions/placement/cache_events.py
+++ b/src/quetzaldeck/decisions/placement/cache_events.py
@@ -1,4 +1,4 @@
-"""Changes of an engine's prefix cache, as the engine publishes them."""
+"""Changes to an engine's prefix cache, as published by the engine."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class CacheEvent(NamedTuple):
-    """One change.
+    """A prefix was added to or evicted from the cache.
 
-    :param sequence: number of the event within the incarnation, from 1
-    :param is_cached: whether the prefix entered the cache; else it left
+    :param sequence: number of the event within the incarnation, starting at 1
+    :param is_cached: whether the prefix was added; otherwise it was evicted
     """
 
     sequence: int
@@ -18,7 +18,7 @@
 
 
 class CacheEvents(NamedTuple):
-    """Events of one engine, oldest first: perhaps late, doubled or with gaps."""
+    """Events of one engine, oldest first; may be late, duplicated or incomplete."""
 
     upstream: str
     incarnation: str
@@ -26,13 +26,13 @@
 
 
 class CacheCursor(NamedTuple):
-    """What a reader has seen: the last event of an incarnation."""
+    """Position of a reader in the event stream: the last event it has seen."""
 
     incarnation: str = ""
     sequence: int = 0
 
     def after(self, events: CacheEvents) -> CacheCursor:
-        """:returns: the cursor once ``events`` are taken"""
+        """:returns: the cursor after processing ``events``"""
         if not events.events:
             return self
         sequence = events.events[-1].sequence
--- a/src/quetzaldeck/decisions/placement/candidates.py
+++ b/src/quetzaldeck/decisions/placement/candidates.py
@@ -1,4 +1,4 @@
-"""Which upstreams of a pool may take a request now."""
+"""Filters a pool for the upstreams that can accept a request now."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 N_SAMPLED = 32
-"""Upstreams looked at in a large pool before all of it is."""
+"""Sample size in a large pool; pools up to this size are searched whole."""
 
-N_WANTED = 8
-"""Usable ones among them that make the whole pool unnecessary."""
+N_SUFFICIENT = 8
+"""Candidates in the sample that suffice; with fewer the whole pool is searched."""
 
 PROBE_OVERDUE_MS = 5_000.0
-"""Wait after which a probe need no longer be a short request that may be repeated."""
+"""Time overdue after which a probe may be a repeatable request of any length."""
 
-PROBE_RISKY_MS = 60_000.0
-"""Wait after which even a call that may not be repeated probes whatever comes of it."""
+PROBE_ANY_REQUEST_MS = 60_000.0
+"""Time overdue after which even a request that must not be repeated may probe."""
 
 _PROBE_CLASSES = frozenset((LengthClass.SHORT, LengthClass.MEDIUM))
 
 
 class CandidateFilter:
-    """Filters a pool by state, room and health.
+    """Filters a pool by state, capacity and health.
 
-    A large pool is sampled first: looking at 780 upstreams for each request would
-    cost more than the choice is worth.
+    Large pools are sampled first: checking 780 upstreams for each request would cost
+    more than a better choice gains.
 
-    :param random_state: source of the sample
-    :param max_requests: requests at one upstream at a time
+    :param random_state: random source of the samples
+    :param max_requests: concurrent requests per upstream, unless its entry sets a limit
     """
 
     def __init__(self, *, random_state: random.Random, max_requests: int) -> None:
@@ -50,35 +50,36 @@
         avoided: Sequence[str],
         now_ms: float,
     ) -> UpstreamState | None:
-        """:returns: an ejected upstream that this request should try
+        """:returns: an ejected upstream that this request should probe
 
-        The one that probes may lose an attempt: it should be cheap to repeat. But
-        where only other requests come, they must do, or it would stay out for ever.
+        A probe may cost the request an attempt, so short requests that may be repeated
+        go first. If none arrive, other requests probe after a delay; otherwise the
+        upstream would stay ejected.
         """
         for state in admit_probes(pool, now_ms):
             is_new = state.spec.name not in avoided
-            if is_new and self.is_open(state, request, now_ms):
+            if is_new and self.can_accept(state, request, now_ms):
                 overdue_ms = now_ms - state.health.hold_until_ms
                 if overdue_ms >= _probe_delay_ms(request, state):
                     return state
         return None
 
-    def list_open(
+    def list_candidates(
         self,
         request: Request,
         pool: Sequence[UpstreamState],
         now_ms: float,
         preferred: Collection[str] = (),
     ) -> list[UpstreamState]:
-        """:returns: upstreams that may take a request, the preferred ones if they may
+        """:returns: upstreams that can accept the request
 
-        :param preferred: names that a sample must not leave out
+        :param preferred: names of upstreams that are added to the sample
         """
         if len(pool) > N_SAMPLED:
             candidates = self._sample(request, pool, now_ms, preferred)
-            if len(candidates) >= N_WANTED:
+            if len(candidates) >= N_SUFFICIENT:
                 return candidates
-        return [s for s in list_usable(pool) if self.is_open(s, request, now_ms)]
+        return [s for s in list_usable(pool) if self.can_accept(s, request, now_ms)]
 
     def _sample(
         self,
@@ -95,14 +96,16 @@
         return [
             state
             for state in sample
-            if not state.health.is_ejected and self.is_open(state, request, now_ms)
+            if not state.health.is_ejected and self.can_accept(state, request, now_ms)
         ]
 
-    def is_open(self, state: UpstreamState, request: Request, now_ms: float) -> bool:
-        """:returns: whether an upstream stays and has room for a request"""
-        return not state.is_leaving and self._has_room(state, request, now_ms)
+    def can_accept(self, state: UpstreamState, request: Request, now_ms: float) -> bool:
+        """:returns: whether an upstream stays and has capacity for a request"""
+        return not state.is_leaving and self._has_capacity(state, request, now_ms)
 
-    def _has_room(self, state: UpstreamState, request: Request, now_ms: float) -> bool:
+    def _has_capacity(
+        self, state: UpstreamState, request: Request, now_ms: float
+    ) -> bool:
         max_requests = state.spec.max_requests or self._max_requests
         if state.n_requests(now_ms) >= max_requests:
             return False
@@ -113,15 +116,16 @@
 
 
 def _probe_delay_ms(request: Request, state: UpstreamState) -> float:
-    """:returns: how long a probe waits for a request that is cheaper to lose
+    """:returns: how long overdue a probe must be before this request may make it
 
-    A call that may not be repeated is lost if the connection breaks after it was
-    sent. It is not if the connection is refused, so there it may find out.
+    A request that must not be repeated is lost if the connection breaks after it was
+    sent, but not if the connection is refused. It may therefore probe earlier where
+    the last fault was a refused connection.
     """
     if request.is_repeatable:
         is_cheap = request.length_class in _PROBE_CLASSES
         return 0.0 if is_cheap else PROBE_OVERDUE_MS
-    return PROBE_OVERDUE_MS if state.health.was_refused else PROBE_RISKY_MS
+    return PROBE_OVERDUE_MS if state.health.was_refused else PROBE_ANY_REQUEST_MS
 
 
 __all__ = ("CandidateFilter",)
--- a/src/quetzaldeck/decisions/placement/cost.py
+++ b/src/quetzaldeck/decisions/placement/cost.py
@@ -1,4 +1,4 @@
-"""What a placement costs, in prompt tokens that must be prefilled first."""
+"""Cost of a placement, in prompt tokens to prefill before the first token."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class CostWeights(NamedTuple):
-    """Prices of what else delays a request, as prompt tokens.
+    """Costs of other delays of a request, converted to prompt tokens.
 
-    :param per_request: one sequence in the batch lengthens each step of the others
+    :param per_request: each sequence in the batch lengthens the steps of the others
     :param other_zone: a round trip of 1-2 ms at 20,000 tokens/s
-    :param no_adapter: loading an adapter takes of the order of a second
-    :param full_memory: price of an engine whose memory is all taken; grows from
-        nothing at half full, since evictions and waiting begin before the end
-    :param half_life_ms: age at which a report counts half
+    :param no_adapter: loading an adapter takes about a second
+    :param full_memory: cost when all memory is in use. It grows from 0 at half full,
+        since evictions and queueing begin before the memory is full.
+    :param half_life_ms: age at which a load report has half its weight
     """
 
     per_request: float = 300.0
@@ -28,18 +28,19 @@
     half_life_ms: float = 2_000.0
 
 
-MEMORY_KNEE = 0.5
+MEMORY_PRESSURE_START = 0.5
+"""Share of memory in use above which a placement costs more."""
 
 
 def estimate_backlog(
     state: UpstreamState, now_ms: float, weights: CostWeights
 ) -> float:
-    """:returns: work before a new request at an upstream, as prompt tokens
+    """:returns: work queued ahead of a new request at an upstream, as prompt tokens
 
-    Reports lag and are the same for all VMs. Own attempts since the report are
-    added in full, or this VM would send all it has to one idle-looking engine. What
-    a report says counts less the older it is: the work it tells of gets done, and
-    an upstream must not stay unattractive because its reports stopped.
+    Load reports lag and are the same for all VMs. Attempts of this VM since the report
+    are added in full; otherwise it would send all its requests to an engine that was
+    reported idle. The weight of a report falls with its age: the reported work gets
+    done, and an upstream must not stay unattractive because its reports stopped.
     """
     ledger = state.ledger
     own = ledger.n_prefill_tokens + len(ledger) * weights.per_request
@@ -65,7 +66,7 @@
     availability_zone: str,
     weights: CostWeights,
 ) -> float:
-    """:returns: cost of a placement: the smaller, the sooner the first token"""
+    """:returns: cost of a placement; the lower, the sooner the first token"""
     cost = estimate_backlog(state, now_ms, weights)
     cost += weights.per_request
     cost += max(1.0, request.n_prompt_tokens - n_cached_tokens)
@@ -80,7 +81,7 @@
 
 
 def has_adapter(request: Request, state: UpstreamState) -> bool:
-    """:returns: whether the last report names the request's adapter as loaded"""
+    """:returns: whether the last report lists the request's adapter as loaded"""
     if state.report is None:
         return False
     return any(
@@ -93,8 +94,8 @@
     if not state.spec.kv_tokens:
         return 0.0
     n_used = state.n_kv_tokens_used() + request.n_kv_tokens
-    over_knee = n_used / state.spec.kv_tokens - MEMORY_KNEE
-    return weights.full_memory * max(0.0, over_knee) / (1.0 - MEMORY_KNEE)
+    pressure = n_used / state.spec.kv_tokens - MEMORY_PRESSURE_START
+    return weights.full_memory * max(0.0, pressure) / (1.0 - MEMORY_PRESSURE_START)
 
 
 __all__ = ("CostWeights", "estimate_backlog", "estimate_cost", "has_adapter")
--- a/src/quetzaldeck/decisions/placement/few_choices.py
+++ b/src/quetzaldeck/decisions/placement/few_choices.py
@@ -1,15 +1,15 @@
 """Power of few choices: the best of a few random candidates and cache holders.
 
-Load pattern: seven to hundreds of VMs place work on the same engines, each seeing
-the same load reports, late. Without the random choice all VMs send to the engine
-that looked idle, until the next report: a herd that moves from engine to engine.
-Without the bound on affinity a hot prefix melts the one engine that holds it.
-
-Grounds for the figures: two random candidates already turn the longest queue from
-about log n to log log n; the third covers a candidate that is faulty or full. The
-benefit of a cached prefix is what its prefill would cost, so the holder of a hot
-prefix is left as soon as its backlog is longer than that; the cap keeps a prefix of
-hundreds of thousands of tokens from justifying a wait of minutes.
+Load pattern: seven to hundreds of VMs place requests on the same engines, based on the
+same delayed load reports. Without random sampling, all VMs choose the engine reported
+idle until the next report, and the overload moves from engine to engine. Without a
+bound on cache affinity, a popular prefix overloads the one engine that holds it.
+
+Two random candidates already reduce the longest queue from about log n to log log n;
+the third covers a candidate that is faulty or full. A cached prefix is worth the cost
+of its prefill, so requests leave the holder of a popular prefix as soon as its backlog
+is longer than that. The cap keeps a prefix of hundreds of thousands of tokens from
+justifying a wait of minutes.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 from quetzaldeck.decisions.placement.api import PlacementPolicy, placement_policies
 from quetzaldeck.decisions.placement.cost import CostWeights, estimate_cost
-from quetzaldeck.decisions.placement.peers import peer_latency
+from quetzaldeck.decisions.placement.median_latency import median_ms_per_token
 from quetzaldeck.decisions.placement.prefix_index import PrefixIndex
 
 if TYPE_CHECKING:
@@ -30,16 +30,16 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 N_RANDOM = 3
-"""Candidates at random beside the preferred ones: two already avoid the worst, and many
-VMs that compare all of them would all choose the same."""
+"""Random candidates in addition to cache holders. Two already avoid the worst choices;
+many VMs that compared all candidates would all choose the same one."""
 MAX_AFFINITY_TOKENS = 32_768
-"""Most cached tokens that speak for an engine: a hot prefix must not draw all requests
-that share it to one."""
+"""Cached tokens that count in favor of an engine at most, so that a popular prefix does
+not draw all requests that share it to one engine."""
 
 
 @placement_policies.register("few_choices")
 class FewChoices(PlacementPolicy):
-    """Compares a few candidates by the work before the first token."""
+    """Chooses the cheapest of a few candidates by the work before the first token."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
     def choose(
         self, request: Request, candidates: Sequence[UpstreamState], now_ms: float
     ) -> str | None:
-        """:returns: the candidate of least cost among those looked at"""
+        """:returns: the sampled candidate of least cost"""
         sample = self._sample(request, candidates)
-        peers = peer_latency(candidates, self._random_state)
+        pool_ms_per_token = median_ms_per_token(candidates, self._random_state)
 
         def cost_of(state: UpstreamState) -> float:
             return estimate_cost(
@@ -65,7 +65,7 @@
                 state,
                 now_ms,
                 n_cached_tokens=self._n_cached(request, state),
-                peer_ms_per_token=peers,
+                peer_ms_per_token=pool_ms_per_token,
                 availability_zone=self._availability_zone,
                 weights=self._weights,
             )
@@ -77,13 +77,13 @@
         return self._index.list_holders(request.prefix_hashes)
 
     def note_answer(self, request: Request, state: UpstreamState) -> None:
-        """Learn which prefixes an engine holds; see the base class."""
+        """Record the prefixes that an upstream has cached; see the base class."""
         if request.prefix_hashes:
             name = state.spec.name
-            self._index.note_cached(name, state.incarnation, request.prefix_hashes)
+            self._index.add_cached(name, state.incarnation, request.prefix_hashes)
 
     def note_cache_events(self, events: CacheEvents) -> None:
-        """Take cache events; see the base class."""
+        """Process cache events; see the base class."""
         self._index.observe(events)
 
     def _sample(
--- a/src/quetzaldeck/decisions/placement/first_token.py
+++ b/src/quetzaldeck/decisions/placement/first_token.py
@@ -1,21 +1,21 @@
-"""Placement by the predicted time to the first token, long prompts read in parts.
+"""Placement by predicted time to first token, with long prompts prefilled in parts.
 
 Load pattern: prompts of 5,000 and of 500,000 tokens on the same engines. An engine
-reads prompts between the tokens of what it writes, up to ``stride`` chunks at a time:
-one prompt of 133,000 tokens keeps every other answer there waiting for up to a
-second or two, several times the pause that a caller of a short answer bears. Read by
-fourteen engines at once it keeps each of them for about a tenth of that.
-
-Without it short answers on the engine of a long prompt are late, and so is the long
-one, while the other engines are idle.
-
-How many parts: as many as bring one part down to the time for which the writers of an
-engine may be held up. That time is :data:`PART_SHARE` of the shortest pause that any
-route of the service bears, so the figure comes from the configuration. How long a part
-takes follows from the figures that the engines' operator states.
-
-Which engine: the one with the least work before the first token, in milliseconds of
-reading, among a sample of all engines, for many VMs see the same loads.
+interleaves prefill with decoding, up to ``stride`` chunks at a time: one prompt of
+133,000 tokens delays every other answer on its engine by up to one or two seconds,
+several times the gap between tokens that callers of short answers accept. Prefilled by
+fourteen engines in parallel, it delays each of them by about a tenth of that. Without
+the split, the short answers on that engine and the long one are late while other
+engines are idle.
+
+Number of parts: as many as make the prefill of one part fit into the time for which
+the running sequences of an engine may be delayed. That time is
+:data:`PART_SHARE_OF_GAP` of the shortest gap between tokens that any route of the
+service allows, so it follows from the configuration. The prefill time of a part follows
+from the engine figures that the operator states.
+
+Choice of engine: the one with the least work before the first token, in milliseconds
+of prefill, plus a random part, since many VMs see the same loads.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.decisions.placement.api import PlacementPolicy, placement_policies
-from quetzaldeck.decisions.placement.peers import peer_latency
+from quetzaldeck.decisions.placement.median_latency import median_ms_per_token
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -34,41 +34,41 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 MAX_HELPERS = 16
-"""Engines that one request may name besides the one that answers."""
+"""Most helpers of one request."""
 
-PART_SHARE = 0.125
-"""Part of the shortest pause between tokens for which one part may hold up writers.
-An engine may read parts of several prompts within one pass."""
+PART_SHARE_OF_GAP = 0.125
+"""Share of the shortest gap between tokens for which one prompt part may delay the
+running sequences. An engine may prefill parts of several prompts within one pass."""
 
 DEFAULT_PART_MS = 30.0
-"""Longest part where no request has stated the pause that its caller bears."""
+"""Longest prefill of a part as long as no request has stated a gap between tokens."""
 
 OTHER_ZONE_MS = 1.0
-"""A round trip to another availability zone; also what decides between equals, so that
-bytes stay in the zone."""
+"""Round trip to another availability zone; among engines with equal work it keeps the
+traffic within the zone."""
 
-RUNNING_READ_SHARE = 0.25
-"""Part of the usual prompt that a request which other VMs run there has still to read,
-on average: most of its time it writes."""
+RUNNING_PREFILL_SHARE = 0.25
+"""Share of the usual prompt that a running request of another VM still has to prefill,
+on average: it spends most of its time generating."""
 
 PLAIN_REQUEST_MS = 20.0
-"""What a request that runs at a plain service adds to the wait of the next one."""
+"""Delay that each request running on a plain service adds to the next one."""
 
 
 @placement_policies.register("first_token")
 class FirstToken(PlacementPolicy):
-    """Chooses the engine with the earliest first token, helpers for long prompts."""
+    """Chooses the engine with the earliest first token; spreads long prompts."""
 
     max_helpers = MAX_HELPERS
-    _least_gap_ms: float = math.inf
+    _min_gap_ms: float = math.inf
 
     def choose(
         self, request: Request, candidates: Sequence[UpstreamState], now_ms: float
     ) -> str | None:
-        """:returns: the candidate whose work before this request is least"""
+        """:returns: the candidate with the least work before this request"""
         if request.max_gap_ms:
-            self._least_gap_ms = min(self._least_gap_ms, request.max_gap_ms)
-        return self._order(candidates, now_ms)[0].spec.name
+            self._min_gap_ms = min(self._min_gap_ms, request.max_gap_ms)
+        return self._sort_by_cost(candidates, now_ms)[0].spec.name
 
     def choose_helpers(
         self,
@@ -77,7 +77,7 @@
         pool: Sequence[UpstreamState],
         now_ms: float,
     ) -> tuple[str, ...]:
-        """:returns: an engine for each further part of the prompt, least busy first"""
+        """:returns: an engine for each further part of the prompt, least work first"""
         n_parts = self._n_parts(request, pool)
         if n_parts <= 1:
             return ()
@@ -89,17 +89,17 @@
             and not state.health.is_ejected
             and state.may_help(now_ms)
         ]
-        ordered = self._order(others, now_ms)
-        n_helpers = self._n_useful(request, ordered[: n_parts - 1], now_ms)
+        ordered = self._sort_by_cost(others, now_ms)
+        n_helpers = self._n_useful_helpers(request, ordered[: n_parts - 1], now_ms)
         return tuple(state.spec.name for state in ordered[:n_helpers])
 
-    def _n_useful(
+    def _n_useful_helpers(
         self, request: Request, ordered: Sequence[UpstreamState], now_ms: float
     ) -> int:
-        """:returns: how many of the helpers make the first token come sooner
+        """:returns: the number of helpers that gives the earliest first token
 
-        The first token follows the last part: a helper that is busy for longer than
-        its part saves makes the prompt wait.
+        The first token follows the last part: a helper that stays busy for longer than
+        its part saves delays the prompt.
         """
         figures = ordered[0].spec.figures if ordered else None
         if figures is None:
@@ -107,9 +107,9 @@
         best_n, best_ms = 0, math.inf
         for n_helpers, state in enumerate(ordered, start=1):
             read_ms = figures.read_ms(request.n_prompt_tokens, n_parts=n_helpers + 1)
-            ready_ms = state.unread_ms(now_ms) + read_ms
-            if ready_ms < best_ms:
-                best_n, best_ms = n_helpers, ready_ms
+            done_ms = state.unread_ms(now_ms) + read_ms
+            if done_ms < best_ms:
+                best_n, best_ms = n_helpers, done_ms
         return best_n
 
     def _n_parts(self, request: Request, pool: Sequence[UpstreamState]) -> int:
@@ -117,24 +117,30 @@
         if figures is None or request.service:
             return 1
         part_ms = DEFAULT_PART_MS
-        if math.isfinite(self._least_gap_ms):
-            part_ms = self._least_gap_ms * PART_SHARE
+        if math.isfinite(self._min_gap_ms):
+            part_ms = self._min_gap_ms * PART_SHARE_OF_GAP
         whole_ms = figures.read_ms(request.n_prompt_tokens)
         return min(MAX_HELPERS + 1, math.ceil(whole_ms / part_ms))
 
-    def _order(
+    def _sort_by_cost(
         self, pool: Sequence[UpstreamState], now_ms: float
     ) -> list[UpstreamState]:
-        """:returns: the pool, the one with the least work first"""
-        peers = peer_latency(pool, self._random_state) if pool else None
-        return sorted(pool, key=lambda state: self._cost_ms(state, peers, now_ms))
+        """:returns: the pool, least work first"""
+        pool_ms_per_token = (
+            median_ms_per_token(pool, self._random_state) if pool else None
+        )
+        return sorted(
+            pool, key=lambda state: self._cost_ms(state, pool_ms_per_token, now_ms)
+        )
 
     def _cost_ms(
         self, state: UpstreamState, peer_ms_per_token: float | None, now_ms: float
     ) -> float:
-        """:returns: work before a new request, in milliseconds, with a random part
+        """:returns: work before a new request, in milliseconds, plus a random part
 
-        Own work is known; of what other VMs sent there only a count is.
+        What other VMs have sent is known only as sums, so each running request counts
+        with an average cost. The random part spreads requests over engines with equal
+        work.
         """
         jitter_ms = self._random_state.uniform(0.0, OTHER_ZONE_MS)
         cost_ms = jitter_ms
@@ -145,13 +151,13 @@
         if figures is None:
             return cost_ms + n_requests * PLAIN_REQUEST_MS
         cost_ms += state.unread_ms(now_ms)
-        cost_ms += n_requests * _running_ms(figures)
+        cost_ms += n_requests * _running_request_ms(figures)
         return cost_ms * state.slow_factor(peer_ms_per_token, now_ms)
 
 
-def _running_ms(figures: EngineFigures) -> float:
-    """:returns: what a request that runs at an engine costs a new one there"""
-    read_ms = figures.read_ms(figures.usual_prompt_tokens) * RUNNING_READ_SHARE
+def _running_request_ms(figures: EngineFigures) -> float:
+    """:returns: delay that each request running on an engine adds to a new one"""
+    read_ms = figures.read_ms(figures.usual_prompt_tokens) * RUNNING_PREFILL_SHARE
     return read_ms + figures.stride * figures.sequence_ms
 
 
--- a/src/quetzaldeck/decisions/placement/first_token_whole.py
+++ b/src/quetzaldeck/decisions/placement/first_token_whole.py
@@ -1,4 +1,4 @@
-"""Placement by the first token without helpers, to compare with."""
+"""Placement by time to first token without helpers, as a baseline."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @placement_policies.register("first_token_whole")
 class FirstTokenWhole(FirstToken):
-    """Has each prompt read by the engine that answers, or by its group."""
+    """Has each prompt prefilled by the engine that answers it, or by its group."""
 
     def choose_helpers(
         self,
--- a/src/quetzaldeck/decisions/placement/helper_choice.py
+++ b/src/quetzaldeck/decisions/placement/helper_selector.py
@@ -1,4 +1,4 @@
-"""Which engines read parts of a prompt for the one that answers it."""
+"""Selection of the engines that prefill parts of a prompt for the one that answers."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 
-class HelperChoice:
-    """Chooses helpers among the engines that long prompts may take.
+class HelperSelector:
+    """Selects helpers among the engines that long prompts may use.
 
-    :param policy: says how many help, and which first
-    :param head_of_line: keeps engines free of long prompts
+    :param policy: decides how many helpers to use and in which order
+    :param head_of_line: excludes engines reserved for short requests
     """
 
     def __init__(self, policy: PlacementPolicy, head_of_line: HeadOfLinePolicy) -> None:
         self._policy = policy
         self._head_of_line = head_of_line
 
-    def list_readers(
+    def list_prefill_engines(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> Sequence[UpstreamState]:
-        """:returns: engines that may read a part of the prompt"""
+        """:returns: engines that may prefill a part of the prompt"""
         fast = list_fast(pool, pool, now_ms)
         return self._head_of_line.restrict_helpers(request, fast, now_ms)
 
@@ -41,18 +41,18 @@
         avoided: Sequence[str],
         now_ms: float,
     ) -> tuple[str, ...]:
-        """:returns: names of the helpers, least busy first
+        """:returns: names of the helpers, least loaded first
 
-        One helper that fails fails the whole attempt, so that each failure of the
-        request halves the number that its next attempt may depend on.
+        A failure of one helper fails the whole attempt. Each failure of the request
+        therefore halves the number of helpers of its next attempt.
 
         :param chosen: the engine that answers
-        :param avoided: upstreams that failed the request, one for each failure
+        :param avoided: upstreams that failed the request, one per failure
         """
-        readers = self.list_readers(request, pool, now_ms)
-        fresh = [state for state in readers if state.spec.name not in avoided]
-        helpers = self._policy.choose_helpers(request, chosen, fresh, now_ms)
+        prefill_engines = self.list_prefill_engines(request, pool, now_ms)
+        untried = [state for state in prefill_engines if state.spec.name not in avoided]
+        helpers = self._policy.choose_helpers(request, chosen, untried, now_ms)
         return helpers[: self._policy.max_helpers >> len(avoided)]
 
 
-__all__ = ("HelperChoice",)
+__all__ = ("HelperSelector",)
--- a/src/quetzaldeck/decisions/placement/least_reported.py
+++ b/src/quetzaldeck/decisions/placement/least_reported.py
@@ -15,9 +15,9 @@
 
 @placement_policies.register("least_reported")
 class LeastReported(PlacementPolicy):
-    """Takes the candidate with the fewest requests in its last report.
+    """Chooses the candidate with the fewest requests in its last report.
 
-    Load pattern: steady load with fresh reports. With a lag, all VMs send to the
+    Load pattern: steady load with fresh reports. If reports lag, all VMs send to the
     same upstream until its next report. Baseline for measurements.
     """
 
--- a/src/quetzaldeck/decisions/placement/peers.py
+++ b/src/quetzaldeck/decisions/placement/median_latency.py
@@ -1,4 +1,4 @@
-"""What engines of one pool usually take, against which a slow one shows."""
+"""Median latency of a pool, the reference for detecting slow engines."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 N_MEDIAN_SAMPLE = 15
-"""Peers whose latency gives the median; all 780 would cost more than they tell."""
+"""Engines sampled for the median; all 780 would cost more and add little precision."""
 
 
-def peer_latency(
+def median_ms_per_token(
     pool: Sequence[UpstreamState], random_state: random.Random
 ) -> float | None:
-    """:returns: median first-token time a token; ``None`` if too few are known"""
+    """:returns: median time to first token per prompt token; ``None``: unknown"""
     sample = pool
     if len(sample) > N_MEDIAN_SAMPLE:
         sample = random_state.sample(pool, N_MEDIAN_SAMPLE)
@@ -30,4 +30,4 @@
     return median(known) if len(known) > 1 else None
 
 
-__all__ = ("peer_latency",)
+__all__ = ("median_ms_per_token",)
--- a/src/quetzaldeck/decisions/placement/placer.py
+++ b/src/quetzaldeck/decisions/placement/placer.py
@@ -1,8 +1,8 @@
-"""Finds the place for one request: who may take it, then who should.
+"""Places requests: filters the upstreams, then lets the policy choose.
 
-Load pattern: requests of all lengths before a pool in which some upstreams are
-leaving, faulty, full, or run a suspect. The filters stand here, once, in front of
-every placement policy, so that a policy compares only places that are allowed.
+Load pattern: requests of all lengths before a pool in which some upstreams are leaving,
+faulty, full, or run a suspect. These filters apply before every placement policy, so
+that a policy compares only permitted upstreams.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from quetzaldeck.decisions.health.pace import list_fast
 from quetzaldeck.decisions.health.partial import list_sound
 from quetzaldeck.decisions.memory import InFlightAttempt
-from quetzaldeck.decisions.placement.apart import SuspectPlaces
 from quetzaldeck.decisions.placement.candidates import CandidateFilter
 from quetzaldeck.decisions.placement.group_plans import GroupPlans
-from quetzaldeck.decisions.placement.help_account import HelpAccount
-from quetzaldeck.decisions.placement.helper_choice import HelperChoice
-from quetzaldeck.decisions.placement.place import Place
+from quetzaldeck.decisions.placement.helper_accounting import HelperAccounting
+from quetzaldeck.decisions.placement.helper_selector import HelperSelector
+from quetzaldeck.decisions.placement.placement import Placement
+from quetzaldeck.decisions.placement.suspect_placer import SuspectPlacer
 from quetzaldeck.decisions.poison import PoisonRegistry, Verdict
 from quetzaldeck.outcomes import Failure, Reason
 
@@ -34,16 +34,18 @@
     from quetzaldeck.decisions.upstream_table import UpstreamTable
 
 NO_UPSTREAM_RETRY_MS = 1_000.0
+"""Suggested retry delay for callers while no upstream serves the target."""
 
 
 class Placer:
-    """Places requests and accounts for what they hold until released.
+    """Places requests and accounts for the capacity they hold until it is released.
 
     :param table: all upstreams
-    :param policy: chooses among the upstreams allowed
-    :param poison: requests suspected of crashing engines
-    :param head_of_line: keeps long prompts away from short ones
-    :param max_requests: requests at one upstream at a time
+    :param policy: chooses among the permitted upstreams
+    :param poison: registry of requests suspected of crashing engines
+    :param head_of_line: keeps long prompts away from short requests
+    :param max_requests: concurrent requests per upstream, unless its entry sets a limit
+    :param planner: plans group reservations; by default one with the default bounds
     """
 
     def __init__(
@@ -64,41 +66,41 @@
         self._candidates = CandidateFilter(
             random_state=policy.random_state, max_requests=max_requests
         )
-        self._chosen: dict[str, Place] = {}
-        self._help = HelpAccount(table)
-        self._helper_choice = HelperChoice(policy, head_of_line)
-        self._suspects = SuspectPlaces(
+        self._unreserved: dict[str, Placement] = {}
+        self._helper_accounting = HelperAccounting(table)
+        self._helper_selector = HelperSelector(policy, head_of_line)
+        self._suspects = SuspectPlacer(
             poison=poison, candidates=self._candidates, plans=self._plans
         )
         self._n_double_releases = 0
 
     @property
     def policy(self) -> PlacementPolicy:
-        """:returns: what chooses among the upstreams allowed"""
+        """:returns: policy that chooses among the permitted upstreams"""
         return self._policy
 
     @property
     def n_double_releases(self) -> int:
-        """:returns: releases of memory that was not held; 0 unless there is a bug"""
+        """:returns: number of releases of memory that was not held; above 0 is a bug"""
         return self._n_double_releases
 
     def check(self, request: Request, now_ms: float) -> Failure | None:
-        """:returns: why a request cannot be placed now or later, if so"""
+        """:returns: the refusal of a request that cannot be placed now or later"""
         pool = self._table.list_serving(request)
-        staying = [state for state in pool if not state.is_leaving]
-        if not staying:
-            detail = f"{request.target}: {len(pool)} upstreams, all of them leave"
+        available = [state for state in pool if not state.is_leaving]
+        if not available:
+            detail = f"{request.target}: all {len(pool)} upstreams are leaving"
             return Failure(
                 Reason.NO_UPSTREAM,
                 retry_after_ms=NO_UPSTREAM_RETRY_MS,
                 detail=detail,
             )
-        if not request.service and not self._plans.planner.can_hold(request, staying):
+        if not request.service and not self._plans.planner.can_hold(request, available):
             return Failure(Reason.PROMPT_TOO_LARGE)
         return self.check_poison(request, now_ms)
 
     def check_poison(self, request: Request, now_ms: float) -> Failure | None:
-        """:returns: the refusal of a request that crashed too many engines"""
+        """:returns: the refusal of a request that is suspected of too many crashes"""
         fingerprint = request.fingerprint
         if not fingerprint or request.service:
             return None
@@ -108,9 +110,9 @@
         return Failure(Reason.POISON_SUSPECTED, retry_after_ms=retry_after_ms)
 
     def can_start(self, request: Request, now_ms: float) -> bool:
-        """:returns: whether a request would be dispatched if none were before it
+        """:returns: whether a request could be dispatched if no other were queued
 
-        The policy is not asked: round robin would lose a turn by each question.
+        The policy is not consulted: each call would advance round robin by one turn.
         """
         pool = self._table.list_serving(request)
         if self._suspects.is_suspect(request, now_ms):
@@ -125,9 +127,9 @@
         return bool(self._list_allowed(request, pool, (), now_ms))
 
     def has_alternative(self, request: Request, avoided: Sequence[str]) -> bool:
-        """:returns: whether there is another upstream for a request, now or later
+        """:returns: whether another upstream could run a request, now or later
 
-        :param avoided: the upstreams that others are sought for
+        :param avoided: upstreams that do not count
         """
         return any(
             state.spec.name not in avoided and not state.is_leaving
@@ -137,12 +139,12 @@
     def place(
         self, request: Request, avoided: Sequence[str], now_ms: float
     ) -> tuple[str, ...] | None:
-        """:returns: the upstreams for a request, ``None`` if it has to wait"""
-        place = self._find(request, avoided, now_ms)
-        if place is None:
+        """:returns: the upstreams for a request; ``None`` if it has to wait"""
+        placement = self._find_placement(request, avoided, now_ms)
+        if placement is None:
             return None
-        self._chosen[request.request_id] = place
-        return place.upstreams
+        self._unreserved[request.request_id] = placement
+        return placement.upstreams
 
     def reserve(
         self, request: Request, attempt_id: str, now_ms: float
@@ -151,52 +153,52 @@
 
         :returns: the reservation to make first, if one is needed
         """
-        place = self._chosen.pop(request.request_id)
+        placement = self._unreserved.pop(request.request_id)
         is_suspect = self._suspects.is_suspect(request, now_ms)
-        self._suspects.note_begin(request)
-        if place.plan is not None:
-            self._plans.note_waiting(attempt_id)
-        self._help.begin(request, attempt_id, place, now_ms)
-        for index, name in enumerate(place.upstreams):
+        self._suspects.note_start(request)
+        if placement.plan is not None:
+            self._plans.note_pending(attempt_id)
+        self._helper_accounting.reserve(request, attempt_id, placement, now_ms)
+        for index, name in enumerate(placement.upstreams):
             state = self._table.get(name)
             if state is None:
                 continue
-            n_prompt = place.n_read(request, state.spec, index)
-            n_reserved = place.n_reserved(request, index)
+            n_prompt = placement.n_member_tokens(request, state.spec, index)
+            n_reserved_tokens = placement.n_reserved_tokens(request, index)
             n_queued = state.n_prefill_tokens() + n_prompt
             state.add(
                 InFlightAttempt(
                     attempt_id,
                     request.request_id,
-                    n_reserved,
+                    n_reserved_tokens,
                     n_prompt,
                     now_ms,
                     n_queued,
                     request.fingerprint,
                     is_suspect,
-                    is_part=index < len(place.upstreams) - 1,
+                    is_part=index < len(placement.upstreams) - 1,
                 )
             )
-            if place.is_probe:
+            if placement.is_probe:
                 state.health.start_probe(attempt_id)
-        return place.plan
+        return placement.plan
 
     def list_helpers(self, attempt_id: str) -> tuple[str, ...]:
-        """:returns: engines that read parts of the prompt of an attempt"""
-        return self._help.list_helpers(attempt_id)
+        """:returns: helpers of an attempt"""
+        return self._helper_accounting.list_helpers(attempt_id)
 
     def release_helpers(self, attempt_id: str) -> None:
-        """Release what helpers hold: their parts are read, or will not be."""
-        self._help.end(attempt_id)
+        """Release the helpers of an attempt: their parts are prefilled or given up."""
+        self._helper_accounting.release(attempt_id)
 
     def note_reserved(self, attempt_id: str) -> None:
-        """Note that an attempt has its reservation and no longer waits for it."""
+        """Record that an attempt got its reservation."""
         self._plans.note_settled(attempt_id)
 
     def release(
         self, request: Request, attempt_id: str, upstreams: Iterable[str]
     ) -> None:
-        """Release what an attempt holds; must be called once for each attempt."""
+        """Release the capacity that an attempt holds; call it once per attempt."""
         self._plans.note_settled(attempt_id)
         self.release_helpers(attempt_id)
         self._suspects.note_end(request)
@@ -208,63 +210,65 @@
             if not state.discard(attempt_id):
                 self._n_double_releases += 1
 
-    def _find(
+    def _find_placement(
         self, request: Request, avoided: Sequence[str], now_ms: float
-    ) -> Place | None:
+    ) -> Placement | None:
         pool = self._table.list_serving(request)
         if request.service:
-            return self._choose(request, pool, avoided, now_ms)
+            return self._place_single(request, pool, avoided, now_ms)
         if self._suspects.is_suspect(request, now_ms):
             return self._suspects.find(request, pool, avoided, now_ms)
         if not self._head_of_line.may_start(request, pool, now_ms):
             return None
         if self._plans.is_needed(request, pool):
-            readers = self._helper_choice.list_readers(request, pool, now_ms)
-            plan = self._plans.plan(request, readers, now_ms, avoided)
+            prefill_engines = self._helper_selector.list_prefill_engines(
+                request, pool, now_ms
+            )
+            plan = self._plans.plan(request, prefill_engines, now_ms, avoided)
             plan = plan or self._plans.plan(request, pool, now_ms, avoided)
             if plan is not None:
-                return self._spread(request, pool, plan, avoided, now_ms)
+                return self._place_group(request, pool, plan, avoided, now_ms)
             if not any(request.n_kv_tokens <= s.spec.kv_tokens for s in pool):
                 return None
-        return self._choose(request, pool, avoided, now_ms)
+        return self._place_single(request, pool, avoided, now_ms)
 
-    def _spread(
+    def _place_group(
         self,
         request: Request,
         pool: Sequence[UpstreamState],
         plan: GroupPlan,
         avoided: Sequence[str],
         now_ms: float,
-    ) -> Place:
-        """:returns: the place of a group: others than its members may help to read"""
+    ) -> Placement:
+        """:returns: the placement on a group, with helpers besides its members"""
         chosen = plan.upstreams[-1]
-        helpers = self._helper_choice.choose(request, chosen, pool, avoided, now_ms)
+        helpers = self._helper_selector.choose(request, chosen, pool, avoided, now_ms)
         n_named = min(len(helpers) + 1, self._policy.max_helpers)
         n_others = max(0, n_named - len(plan.upstreams))
         others = [name for name in helpers if name not in plan.upstreams]
-        return Place(plan.upstreams, plan, helpers=tuple(others[:n_others]))
+        return Placement(plan.upstreams, plan, helpers=tuple(others[:n_others]))
 
-    def _choose(
+    def _place_single(
         self,
         request: Request,
         pool: Sequence[UpstreamState],
         avoided: Sequence[str],
         now_ms: float,
-    ) -> Place | None:
+    ) -> Placement | None:
         probe = self._candidates.find_probe(request, pool, avoided, now_ms)
         if probe is not None:
-            return Place((probe.spec.name,), is_probe=True)
+            return Placement((probe.spec.name,), is_probe=True)
         allowed = self._list_allowed(request, pool, avoided, now_ms)
         if allowed is None:
             plan = self._plans.plan_aged(request, pool, now_ms)
-            return None if plan is None else Place(plan.upstreams, plan)
+            return None if plan is None else Placement(plan.upstreams, plan)
         if not allowed:
             return None
         name = self._policy.choose(request, allowed, now_ms)
         if name is None:
             return None
-        helpers = self._helper_choice.choose(request, name, pool, avoided, now_ms)
-        return Place((name,), helpers=helpers)
+        helpers = self._helper_selector.choose(request, name, pool, avoided, now_ms)
+        return Placement((name,), helpers=helpers)
 
     def _list_allowed(
         self,
@@ -273,15 +277,15 @@
         avoided: Sequence[str],
         now_ms: float,
     ) -> Sequence[UpstreamState] | None:
-        """:returns: where a request may go; ``None`` if no upstream has room at all"""
+        """:returns: permitted upstreams; ``None`` if no upstream has capacity"""
         preferred = self._policy.list_preferred(request)
-        candidates = self._candidates.list_open(request, pool, now_ms, preferred)
+        candidates = self._candidates.list_candidates(request, pool, now_ms, preferred)
         if not candidates:
             return None
         candidates = list_sound(candidates, pool, now_ms)
         candidates = list_fast(candidates, pool, now_ms)
-        fresh = [state for state in candidates if state.spec.name not in avoided]
-        return self._head_of_line.restrict(request, fresh or candidates, now_ms)
+        untried = [state for state in candidates if state.spec.name not in avoided]
+        return self._head_of_line.restrict(request, untried or candidates, now_ms)
 
 
 __all__ = ("Placer",)
--- a/src/quetzaldeck/decisions/placement/prefix_index.py
+++ b/src/quetzaldeck/decisions/placement/prefix_index.py
@@ -1,15 +1,15 @@
-"""Index of which engines probably hold which prompt prefixes.
-
-Load pattern: many prompts that begin with the same text, such as one customer's
-instructions or a season history that is asked about again. Without an index each
-engine prefills the same prefix anew.
-
-It learns from two sources: first tokens of this VM's own answers, after which the
-engine holds the prompt, and cache events, which travel with answers so that no
-control traffic grows with VMs times engines. Events come
-late, with gaps, and from incarnations that are gone. The index is only a hint: a
-wrong entry costs one prefill, never a wrong answer. Entries of another incarnation
-count nothing, entries from before a gap count half.
+"""Index of the prompt prefixes that engines have probably cached.
+
+Load pattern: many prompts with the same beginning, such as one customer's instructions
+or a season history that is queried repeatedly. Without an index each engine prefills
+the same prefix again.
+
+The index learns from the first tokens of this VM's own answers, after which the engine
+has cached the prompt, and from cache events. Those travel with answers, so that control
+traffic does not grow with VMs times engines. Events may be late, incomplete or from an
+old incarnation. The index is only a hint: a wrong entry costs one prefill, never a
+wrong answer. Entries of another incarnation are ignored; entries from before a gap in
+the events count half.
 """
 
 from __future__ import annotations
@@ -25,101 +25,112 @@
 
 
 MAX_PREFIXES = 20_000
-"""Entries in all; at about 500 bytes each, 10 MB of a VM's memory."""
+"""Most entries; at about 500 bytes each, 10 MB of a VM's memory."""
 
 MAX_HOLDERS = 4
-"""Engines remembered for one prefix; more copies do not improve the choice."""
+"""Most engines recorded per prefix; more copies do not improve the choice."""
 
-UNCERTAIN_SHARE = 0.5
-"""What an entry from before a gap counts: the event lost may be its eviction."""
+UNCERTAIN_WEIGHT = 0.5
+"""Weight of an entry from before a gap: the lost event may be its eviction."""
 
 
-class _Life(NamedTuple):
-    """The incarnation of an engine that entries are valid for.
+class _Incarnation(NamedTuple):
+    """The current incarnation of an engine.
 
-    :param former: the incarnation before; what still comes of it is late
-    :param n_gaps: gaps seen in its events; older entries are uncertain
+    :param previous: the incarnation before; its events are late and ignored
+    :param sequence: number of the last event
+    :param n_gaps: gaps seen in its events; entries from before a gap are uncertain
     """
 
     incarnation: str
-    former: str = ""
+    previous: str = ""
     sequence: int = 0
     n_gaps: int = 0
 
 
 class _Entry(NamedTuple):
-    """A holder of a prefix, as of one life of the engine."""
+    """An engine that has cached a prefix, valid for one incarnation of it.
+
+    :param n_gaps: gaps in the events of the incarnation when the entry was made
+    """
 
     incarnation: str
     n_gaps: int
 
 
 class PrefixIndex:
-    """Holders of prefixes; least recently used prefixes go first.
+    """Maps prefixes to the engines that hold them; evicts the least recently used.
 
-    :param max_prefixes: bound of the memory
+    :param max_prefixes: most prefixes that are kept
     """
 
     def __init__(self, *, max_prefixes: int = MAX_PREFIXES) -> None:
         self._max_prefixes = max_prefixes
         self._holders: OrderedDict[int, dict[str, _Entry]] = OrderedDict()
-        self._lives: dict[str, _Life] = {}
+        self._incarnations: dict[str, _Incarnation] = {}
 
     def __len__(self) -> int:
         return len(self._holders)
 
-    def note_cached(
+    def add_cached(
         self, upstream: str, incarnation: str, prefixes: Iterable[int]
     ) -> None:
-        """Learn from an own answer that an engine now holds prefixes."""
-        life = self._live(upstream, incarnation)
-        if life is not None:
-            self._add(upstream, _Entry(incarnation, life.n_gaps), prefixes)
+        """Record prefixes that an engine cached by answering a request of this VM."""
+        current = self._track_incarnation(upstream, incarnation)
+        if current is not None:
+            self._add(upstream, _Entry(incarnation, current.n_gaps), prefixes)
 
     def observe(self, events: CacheEvents) -> None:
-        """Take cache events; what is old or doubled is ignored."""
-        life = self._live(events.upstream, events.incarnation)
-        if life is None:
+        """Process cache events; old and duplicate events are ignored."""
+        current = self._track_incarnation(events.upstream, events.incarnation)
+        if current is None:
             return
         for event in events.events:
-            if event.sequence <= life.sequence:
+            if event.sequence <= current.sequence:
                 continue
-            has_gap = life.sequence > 0 and event.sequence != life.sequence + 1
-            life = life._replace(sequence=event.sequence, n_gaps=life.n_gaps + has_gap)
-            self._lives[events.upstream] = life
+            has_gap = current.sequence > 0 and event.sequence != current.sequence + 1
+            current = current._replace(
+                sequence=event.sequence, n_gaps=current.n_gaps + has_gap
+            )
+            self._incarnations[events.upstream] = current
             if event.is_cached:
-                entry = _Entry(life.incarnation, life.n_gaps)
+                entry = _Entry(current.incarnation, current.n_gaps)
                 self._add(events.upstream, entry, (event.prefix_hash,))
             else:
                 self._discard(events.upstream, (event.prefix_hash,))
 
-    def _live(self, upstream: str, incarnation: str) -> _Life | None:
-        """:returns: the current life, begun if need be; ``None`` for the former one"""
-        life = self._lives.get(upstream)
-        if life is not None and life.incarnation == incarnation:
-            return life
-        if life is not None and life.former == incarnation:
+    def _track_incarnation(
+        self, upstream: str, incarnation: str
+    ) -> _Incarnation | None:
+        """:returns: the state of an incarnation; ``None`` if it is the previous one
+
+        An unknown incarnation replaces the current one.
+        """
+        current = self._incarnations.get(upstream)
+        if current is not None and current.incarnation == incarnation:
+            return current
+        if current is not None and current.previous == incarnation:
             return None
-        former = "" if life is None else life.incarnation
-        life = self._lives[upstream] = _Life(incarnation, former)
-        return life
+        previous = "" if current is None else current.incarnation
+        current = self._incarnations[upstream] = _Incarnation(incarnation, previous)
+        return current
 
     def n_cached_tokens(
         self, upstream: str, incarnation: str, prefix_hashes: Sequence[int]
     ) -> float:
-        """:returns: prompt tokens that the engine probably need not prefill"""
+        """:returns: prompt tokens that the engine has probably cached"""
         n_tokens = 0.0
         for prefix_hash, length in zip(prefix_hashes, PREFIX_TOKENS, strict=False):
             entry = self._holders.get(prefix_hash, {}).get(upstream)
             if entry is None or entry.incarnation != incarnation:
                 break
-            life = self._lives[upstream]
-            is_certain = entry.n_gaps == life.n_gaps
-            n_tokens = length if is_certain else length * UNCERTAIN_SHARE
+            current = self._incarnations[upstream]
+            is_certain = entry.n_gaps == current.n_gaps
+            n_tokens = length if is_certain else length * UNCERTAIN_WEIGHT
         return n_tokens
 
     def list_holders(self, prefix_hashes: Sequence[int]) -> tuple[str, ...]:
-        """:returns: engines that hold the longest known prefix"""
+        """:returns: engines that hold the longest known prefix of a prompt"""
         for prefix_hash in reversed(prefix_hashes):
             holders = self._holders.get(prefix_hash)
             if holders:
--- a/src/quetzaldeck/decisions/placement/round_robin.py
+++ b/src/quetzaldeck/decisions/placement/round_robin.py
@@ -17,7 +17,7 @@
 
 @placement_policies.register("round_robin")
 class RoundRobin(PlacementPolicy):
-    """Takes the candidates in turn, whatever they report.
+    """Chooses the candidates in turn, regardless of load.
 
     Load pattern: uniform requests on equal engines. Baseline for measurements.
     """
--- a/src/quetzaldeck/decisions/placement/apart.py
+++ b/src/quetzaldeck/decisions/placement/suspect_placer.py
@@ -1,4 +1,4 @@
-"""Places requests that are suspected of crashing engines."""
+"""Placement of requests that are suspected of crashing engines."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.decisions.health import list_usable
-from quetzaldeck.decisions.placement.place import Place
+from quetzaldeck.decisions.placement.placement import Placement
 from quetzaldeck.decisions.poison import Verdict
 
 if TYPE_CHECKING:
@@ -19,15 +19,15 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 
-class SuspectPlaces:
-    """Keeps suspects apart: one at an engine, and one copy of each in the fleet.
+class SuspectPlacer:
+    """Isolates suspected requests: one per engine, and one copy of each in the fleet.
 
-    Two suspects on one engine would both be on board of its next crash, and nobody
-    could say which of them was at fault.
+    If two suspects ran on an engine that crashes, the crash could be attributed to
+    neither of them.
 
-    :param poison: tells who is suspected
-    :param candidates: tells which upstreams have room
-    :param plans: reservations of several engines for one prompt
+    :param poison: registry of suspected requests
+    :param candidates: filters upstreams by capacity
+    :param plans: plans reservations on several engines
     """
 
     def __init__(
@@ -39,17 +39,17 @@
         self._running: Counter[int] = Counter()
 
     def is_suspect(self, request: Request, now_ms: float) -> bool:
-        """:returns: whether a request may be one that crashes engines"""
+        """:returns: whether a request is suspected of crashing engines"""
         if request.service or not request.fingerprint or not len(self._poison):
             return False
         return self._poison.verdict(request.fingerprint, now_ms) is not Verdict.CLEAR
 
-    def note_begin(self, request: Request) -> None:
-        """Count a copy of a request that runs."""
+    def note_start(self, request: Request) -> None:
+        """Count one more running copy of a request."""
         self._running[request.fingerprint] += 1
 
     def note_end(self, request: Request) -> None:
-        """Count a copy of a request that has ended."""
+        """Count one running copy of a request less."""
         self._running[request.fingerprint] -= 1
         if not self._running[request.fingerprint]:
             del self._running[request.fingerprint]
@@ -60,8 +60,8 @@
         pool: Sequence[UpstreamState],
         avoided: Sequence[str],
         now_ms: float,
-    ) -> Place | None:
-        """:returns: the place for a suspect, ``None`` if it has to wait"""
+    ) -> Placement | None:
+        """:returns: the placement of a suspect; ``None`` if it has to wait"""
         if self._running[request.fingerprint]:
             return None
         free = [state for state in pool if not state.ledger.n_suspects]
@@ -69,21 +69,21 @@
             return None
         if self._plans.is_needed(request, pool):
             plan = self._plans.plan(request, free, now_ms, avoided)
-            return None if plan is None else Place(plan.upstreams, plan)
+            return None if plan is None else Placement(plan.upstreams, plan)
         candidates = [
             state
             for state in list_usable(free)
-            if self._candidates.is_open(state, request, now_ms)
+            if self._candidates.can_accept(state, request, now_ms)
         ]
-        fresh = [state for state in candidates if state.spec.name not in avoided]
+        untried = [state for state in candidates if state.spec.name not in avoided]
         if not candidates:
             return None
-        quietest = min(fresh or candidates, key=_n_requests)
-        return Place((quietest.spec.name,))
+        least_loaded = min(untried or candidates, key=_n_requests)
+        return Placement((least_loaded.spec.name,))
 
 
 def _n_requests(state: UpstreamState) -> int:
     return state.n_requests()
 
 
-__all__ = ("SuspectPlaces",)
+__all__ = ("SuspectPlacer",)
--- a/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
+++ b/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
@@ -14,7 +14,7 @@
 from tests.support.builders import make_entry_scheduler, make_request, poll_dispatch
 
 from quetzaldeck.bundle.engine_figures import EngineFigures
-from quetzaldeck.decisions.head_of_line.reading_lane import MAX_READ_SHARE_OF_TARGET
+from quetzaldeck.decisions.head_of_line.reading_lane import MAX_PREFILL_SHARE_OF_TARGET
 from quetzaldeck.decisions.peer_load import UpstreamShare
 from quetzaldeck.decisions.placement.first_token import MAX_HELPERS
 
@@ -46,7 +46,7 @@
     return poll_dispatch(scheduler)
 
 
-def list_readers(dispatch: Dispatch) -> set[str]:
+def list_prefill_engines(dispatch: Dispatch) -> set[str]:
     return {*dispatch.upstreams, *dispatch.helpers}
 
 
@@ -55,15 +55,15 @@
     clock: ManualClock, n_tokens: int
 ) -> None:
     """Each long prompt makes fifty short answers late though four engines would do."""
-    n_readers = len(list_readers(send(clock, n_tokens)))
+    n_readers = len(list_prefill_engines(send(clock, n_tokens)))
     read_ms = FIGURES.read_ms(n_tokens, n_parts=n_readers)
-    assert read_ms <= TARGET_MS * MAX_READ_SHARE_OF_TARGET
+    assert read_ms <= TARGET_MS * MAX_PREFILL_SHARE_OF_TARGET
     assert n_readers <= (MAX_HELPERS + 1) / 3
 
 
 def test_prompt_whose_parts_hold_nobody_up_is_spread(clock: ManualClock) -> None:
     """A prompt of middle length is read on one engine, whose writers all stop."""
-    readers = list_readers(send(clock, 45_000))
+    readers = list_prefill_engines(send(clock, 45_000))
     assert len(readers) > 8
     part_ms = FIGURES.read_ms(45_000, n_parts=len(readers))
     assert part_ms < GAP_MS / 4
--- a/tests/decisions/head_of_line/test_reading_lane.py
+++ b/tests/decisions/head_of_line/test_reading_lane.py
@@ -9,7 +9,7 @@
 from quetzaldeck.bundle import Bundle, UpstreamSpec
 from quetzaldeck.bundle.engine_figures import EngineFigures
 from quetzaldeck.decisions.head_of_line import ReadingLane
-from quetzaldeck.decisions.head_of_line.reading_lane import MAX_READ_SHARE_OF_TARGET
+from quetzaldeck.decisions.head_of_line.reading_lane import MAX_PREFILL_SHARE_OF_TARGET
 from quetzaldeck.decisions.memory import InFlightAttempt
 from quetzaldeck.decisions.peer_load import UpstreamShare
 from quetzaldeck.decisions.tuning import tune
@@ -129,7 +129,7 @@
     after = len(lane.restrict(make(make_request, LONG), pool, 0.0))
     work_ms = FIGURES.read_ms(LONG) + 6 * 400_000 / FIGURES.tokens_per_ms
     assert before < after
-    assert work_ms / after <= 3_000.0 * MAX_READ_SHARE_OF_TARGET
+    assert work_ms / after <= 3_000.0 * MAX_PREFILL_SHARE_OF_TARGET
 
 
 def test_prompt_takes_as_many_engines_as_its_target_needs(
--- a/tests/decisions/placement/test_few_choices.py
+++ b/tests/decisions/placement/test_few_choices.py
@@ -181,7 +181,7 @@
 
 def test_index_is_bounded() -> None:
     index = PrefixIndex(max_prefixes=10)
-    index.note_cached("e0", "i1", range(100))
+    index.add_cached("e0", "i1", range(100))
     assert len(index) == 10
     assert index.list_holders((0,)) == ()
     assert index.list_holders((99,)) == ("e0",)
--- a/tests/decisions/placement/test_placer.py
+++ b/tests/decisions/placement/test_placer.py
@@ -52,7 +52,7 @@
     for holder in ("e0", "e319"):
         names = [
             state.spec.name
-            for state in filter_.list_open(make_request(), pool, 0.0, (holder,))
+            for state in filter_.list_candidates(make_request(), pool, 0.0, (holder,))
         ]
         assert holder in names
         assert len(names) <= N_SAMPLED + 1
@@ -65,4 +65,4 @@
         make_state(f"e{index}", kv_tokens=100 if index < n_full else 10_000)
         for index in range(320)
     ]
-    assert len(filter_.list_open(make_request(), pool, 0.0)) == 320 - n_full
+    assert len(filter_.list_candidates(make_request(), pool, 0.0)) == 320 - n_full
