--- a/tests/decisions/groups/test_groups.py
+++ b/tests/decisions/groups/test_groups.py
@@ -1,4 +1,4 @@
-"""Tests of group plans: all or nothing, in one order, with a floor."""
+"""Tests of group plans: all or nothing, canonical order, unreserved memory."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
     st.lists(st.integers(1_000, 100_000), min_size=1, max_size=8),
 )
 @settings(derandomize=True, deadline=None)
-def test_build_plan_holds_the_prompt_or_says_no(
+def test_build_plan_holds_the_prompt_or_returns_none(
     n_prompt: int, n_output: int, sizes: list[int]
 ) -> None:
     specs = [make_spec(f"e{i}", kv_tokens=size) for i, size in enumerate(sizes)]
     request = make_request(n_prompt_tokens=n_prompt, max_output_tokens=n_output)
     plan = build_plan(request, specs, BOUNDS)
-    rooms = [n_reservable_tokens(spec, BOUNDS) for spec in specs]
+    capacities = [n_reservable_tokens(spec, BOUNDS) for spec in specs]
     if plan is None:
-        is_tight = n_prompt * BOUNDS.margin + n_output > sum(rooms)
-        assert is_tight or n_output >= rooms[-1]
+        is_tight = n_prompt * BOUNDS.margin + n_output > sum(capacities)
+        assert is_tight or n_output >= capacities[-1]
         return
     assert plan.upstreams == tuple(sorted(plan.upstreams))
     assert sum(plan.prompt_tokens) == n_prompt
     assert min(plan.prompt_tokens) >= 0
-    for reserved, room in zip(plan.reserved_tokens, rooms, strict=True):
-        assert reserved <= room
+    for reserved, capacity in zip(plan.reserved_tokens, capacities, strict=True):
+        assert reserved <= capacity
 
 
-def test_build_plan_has_one_order_whatever_order_it_is_given() -> None:
-    """Two VMs see the same engines in unlike order of load.
+def test_build_plan_does_not_depend_on_the_order_of_members() -> None:
+    """Two VMs see the same engines in different orders of load.
 
     If each reserved in its own order, each could hold what the other waits for.
     """
@@ -71,8 +71,8 @@
     assert len(plan.upstreams) == 3
 
 
-def test_plan_single_gives_an_aged_request_its_turn() -> None:
-    """Short requests fill each gap before it is large enough for a long one."""
+def test_plan_single_reserves_for_a_long_request_that_has_aged() -> None:
+    """Short requests fill each gap in memory before it is large enough for others."""
     pool = [make_state("e0")]
     request = make_request(n_prompt_tokens=5_000, now_ms=0.0)
     planner = GroupPlanner()
--- a/tests/decisions/head_of_line/test_burst_of_long_prompts.py
+++ b/tests/decisions/head_of_line/test_burst_of_long_prompts.py
@@ -1,10 +1,10 @@
-"""Long prompts that come in a burst: who begins, who waits.
+"""A burst of long prompts: which start and which wait.
 
-Load pattern: eleven prompts of 70,000 to 500,000 tokens come through different VMs
-within a fifth of a second, together eight seconds of reading for each of fourteen
-engines. Begun all at once, each is read a little in every pass: all end last, short
-answers on these engines stand still, and the ones of 70,000 tokens, which would take a
-sixth of a second, are late with the others.
+Load pattern: eleven prompts of 70,000 to 500,000 tokens arrive at different VMs within
+a fifth of a second, together eight seconds of prefill for each of fourteen engines. If
+all start at once, the engines interleave their prefills: all finish last, short answers
+on these engines stop, and prompts of 70,000 tokens, which would take a sixth of a
+second, are late too.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 STEP_MS = 20.0
 
 
-class Begun(NamedTuple):
-    """A prompt that was begun, and when all of its parts are read."""
+class StartedPrompt(NamedTuple):
+    """A started prompt, and the time at which all of its parts are prefilled."""
 
     request: Request
-    began_ms: float
-    read_ms: float
+    started_ms: float
+    prefilled_ms: float
 
 
 @pytest.fixture
@@ -70,27 +70,27 @@
 
 
 class Burst:
-    """Engines that read what they were sent one after the other."""
+    """Simulates engines that prefill their prompt parts in order of arrival."""
 
     def __init__(self, lane: ReadingLane, pool: list[UpstreamState]) -> None:
         self._lane = lane
         self._pool = pool
         self._free_ms = dict.fromkeys((state.spec.name for state in pool), 0.0)
-        self.begun: list[Begun] = []
+        self.started: list[StartedPrompt] = []
 
     def run(self, requests: list[Request]) -> None:
-        """Look for room again and again until all have begun or are out of time."""
+        """Retry in steps until all prompts have started or the deadline has passed."""
         waiting = list(requests)
         now_ms = 0.0
         while waiting and now_ms < DEADLINE_MS:
-            self._note_read(now_ms)
+            self._mark_prefilled(now_ms)
             for request in list(waiting):
                 if self._lane.may_start(request, self._pool, now_ms):
                     waiting.remove(request)
-                    self._begin(request, now_ms)
+                    self._start(request, now_ms)
             now_ms += STEP_MS
 
-    def _begin(self, request: Request, now_ms: float) -> None:
+    def _start(self, request: Request, now_ms: float) -> None:
         readers = self._lane.restrict_helpers(request, self._pool, now_ms)
         part_ms = FIGURES.read_ms(request.n_prompt_tokens, n_parts=len(readers))
         n_part = round(part_ms * FIGURES.tokens_per_ms)
@@ -103,52 +103,56 @@
                 )
             )
         read_ms = max(self._free_ms[state.spec.name] for state in readers)
-        self.begun.append(Begun(request, now_ms, read_ms))
+        self.started.append(StartedPrompt(request, now_ms, read_ms))
 
-    def _note_read(self, now_ms: float) -> None:
-        for begun in self.begun:
-            if begun.read_ms <= now_ms:
+    def _mark_prefilled(self, now_ms: float) -> None:
+        for started in self.started:
+            if started.prefilled_ms <= now_ms:
                 for state in self._pool:
-                    state.mark_prefilled(begun.request.request_id)
+                    state.mark_prefilled(started.request.request_id)
 
 
-def test_long_prompts_begin_one_after_the_other_the_shorter_ones_first(
+def test_long_prompts_start_one_after_the_other_shorter_ones_first(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
     burst = Burst(lane, make_pool())
     requests = [make(make_request, n_tokens) for n_tokens in SIZES]
     burst.run(requests)
-    assert len(burst.begun) == len(SIZES)
-    read_ms = {b.request.n_prompt_tokens: b.read_ms for b in burst.begun}
+    assert len(burst.started) == len(SIZES)
+    read_ms = {
+        prompt.request.n_prompt_tokens: prompt.prefilled_ms for prompt in burst.started
+    }
     in_time = [n_tokens for n_tokens, ms in read_ms.items() if ms <= TARGET_MS]
     assert all(n_tokens in in_time for n_tokens in SIZES if n_tokens <= 120_000)
     assert all(ms <= DEADLINE_MS for ms in read_ms.values())
-    began = sorted(burst.begun, key=lambda b: b.began_ms)
-    assert began[-1].request.n_prompt_tokens >= 460_000
+    in_order = sorted(burst.started, key=lambda prompt: prompt.started_ms)
+    assert in_order[-1].request.n_prompt_tokens >= 460_000
 
 
-def test_long_prompts_do_not_all_begin_when_one_is_read(
+def test_long_prompts_do_not_all_start_when_one_is_prefilled(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Six long prompts begin in one instant and stop all engines for seconds.
+    """Six long prompts start at the same moment and stop all engines for seconds.
 
-    They waited at six VMs while a prompt of half a million tokens was read. Its first
-    token came, each VM saw idle engines, and none knew of the others.
+    They waited at six VMs for the prefill of a prompt of half a million tokens. At its
+    first token each VM saw idle engines, and none knew of the others.
     """
     pool = make_pool()
     burst = Burst(lane, pool)
     burst.run([make(make_request, 500_000)])
-    (huge,) = burst.begun
+    (huge,) = burst.started
     others = [make(make_request, 200_000) for _ in range(6)]
 
-    def list_willing(now_ms: float) -> list[Request]:
+    def list_startable(now_ms: float) -> list[Request]:
         return [r for r in others if lane.may_start(r, pool, now_ms)]
 
-    assert not list_willing(huge.began_ms + STEP_MS)
-    assert list_willing(huge.read_ms - 600.0), "before all of it is read"
+    assert not list_startable(huge.started_ms + STEP_MS)
+    assert list_startable(huge.prefilled_ms - 600.0), (
+        "before it is prefilled completely"
+    )
 
 
-def test_engine_that_reads_slower_than_stated_is_not_taken_for_idle(
+def test_engine_that_prefills_slower_than_stated_does_not_count_as_idle(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
     pool = make_pool()
@@ -160,12 +164,12 @@
     assert not lane.may_start(request, pool, late_ms)
 
 
-def test_prompt_that_waits_gets_its_turn_among_shorter_ones(
+def test_waiting_prompt_starts_despite_shorter_ones(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """A prompt of 400,000 tokens waits until its caller leaves.
+    """A prompt of 400,000 tokens waits until its caller disconnects.
 
-    Shorter ones come all the time, each finds room before it does.
+    Shorter prompts arrive constantly, and each fits into the lane before it does.
     """
     pool = make_pool()
     long = make(make_request, 400_000)
@@ -188,12 +192,13 @@
         assert lane.may_start(make(make_request, n_tokens), pool, 0.0)
 
 
-def test_parts_read_for_others_keep_no_engines_from_long_prompts(
+def test_prompt_parts_reserve_no_engines(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Long prompts get ever fewer engines, the more of them are read.
+    """Guards against counting prompt parts as running answers.
 
-    Each part was counted as an answer that is written, for which engines are kept.
+    Engines are reserved for running answers, so each long prompt would have left fewer
+    engines for the next one.
     """
     pool = make_pool()
     huge = make(make_request, 500_000)
@@ -204,12 +209,12 @@
     assert len(lane.restrict_helpers(huge, pool, 0.0)) == before
 
 
-def test_many_short_answers_keep_most_engines(
+def test_many_short_answers_reserve_most_engines(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Fifty short answers are written; half of the engines hold forty-two.
+    """Fifty short answers run; half of the engines hold forty-two.
 
-    The others would share their engines with a prompt that is read for seconds.
+    The others would share their engines with a prompt that is prefilled for seconds.
     """
     pool = make_pool()
     for number in range(54):
@@ -221,13 +226,13 @@
     assert not writing & {state.spec.name for state in readers}
 
 
-def test_long_prompt_is_read_where_fewest_answers_are_written(
+def test_long_prompt_is_prefilled_where_fewest_answers_run(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Twenty short answers stand still at the begin of a long prompt.
+    """Twenty short answers stop when a long prompt starts.
 
-    A burst of short requests is over. What is left of it is written on many engines,
-    also on those at which long prompts begin, while others write nothing.
+    A burst of short requests is over. Its last answers run on many engines, including
+    the first ones for long prompts, while other engines are idle.
     """
     pool = make_pool()
     request = make(make_request, 120_000)
@@ -240,14 +245,14 @@
     assert not {s.spec.name for s in readers} & {s.spec.name for s in first}
 
 
-def test_engines_that_write_are_left_to_it_while_the_others_read_in_time(
+def test_generating_engines_are_left_out_if_others_meet_the_target(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
     """A prompt of 330,000 tokens stops the answers of ten engines for a second.
 
-    Load: five engines are idle, nine write three short answers each. Read by ten, the
-    prompt has its first token after 1.1 s; read by the five it has it after 2.2 s of
-    the 4 s that its caller wants, and no other caller notices.
+    Load: five engines are idle, nine run three short answers each. Prefilled by ten
+    engines, the prompt has its first token after 1.1 s; by the five idle ones, after
+    2.2 s of its target of 4 s, without delaying other callers.
     """
     pool = make_pool()
     writing = pool[5:]
--- a/tests/decisions/head_of_line/test_lanes.py
+++ b/tests/decisions/head_of_line/test_lanes.py
@@ -1,4 +1,4 @@
-"""Where long prompts may go, and where short ones do then."""
+"""Tests of the lanes of long prompts and short requests."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     assert not lanes.restrict(make_request(100_000), states, 0.0)
 
 
-def test_restrict_sends_short_requests_where_no_long_prompt_is(
+def test_restrict_sends_short_requests_to_engines_without_a_long_prompt(
     make_request: MakeRequest, make_bundle: MakeBundle
 ) -> None:
     lanes, states = build(make_bundle())
@@ -58,10 +58,10 @@
         assert names(alone) == {state.spec.name}
 
 
-def test_restrict_leaves_idle_long_first_engines_to_long_prompts(
+def test_restrict_leaves_idle_engines_of_the_long_lane_to_long_prompts(
     make_request: MakeRequest, make_bundle: MakeBundle
 ) -> None:
-    """All is quiet; a check-in goes to an engine just before a season history.
+    """Guards against placing a short request on an engine just before a long prompt.
 
     Each token of its answer would take as long as a step of the long prefill.
     """
@@ -73,10 +73,10 @@
     assert not names(for_long) & names(for_short)
 
 
-def test_restrict_lets_long_prompts_yield_when_they_are_everywhere(
+def test_short_requests_outrank_long_prompts_that_run_everywhere(
     make_request: MakeRequest, make_bundle: MakeBundle
 ) -> None:
-    """Long prompts run on all engines; a check-in must still start at once."""
+    """Long prompts run on all engines; a short request must still start at once."""
     lanes, states = build(make_bundle())
     for state in states:
         report(state, 200_000)
@@ -89,33 +89,33 @@
     )
 
 
-def test_restrict_keeps_room_for_short_requests_while_they_come(
+def test_restrict_reserves_engines_while_short_requests_arrive(
     make_request: MakeRequest, make_bundle: MakeBundle
 ) -> None:
     lanes, states = build(make_bundle())
     lanes.note_arrival(make_request(10_000), 0.0)
     lanes.note_arrival(make_request(40_000), 0.0)
     at_once = lanes.restrict(make_request(100_000), states, 0.0)
-    lanes_left = len(states) - len(_short_first(lanes, states, make_request, 0.0))
+    lanes_left = len(states) - len(reserved_for_short(lanes, states, make_request, 0.0))
     assert len(at_once) <= lanes_left < len(states)
 
 
-def test_restrict_gives_the_room_back_when_no_short_request_comes(
+def test_restrict_releases_engines_when_no_short_requests_arrive(
     make_request: MakeRequest, make_bundle: MakeBundle
 ) -> None:
     lanes, states = build(make_bundle())
     lanes.note_arrival(make_request(1_000), 0.0)
     kept = [
-        len(_short_first(lanes, states, make_request, at_ms))
+        len(reserved_for_short(lanes, states, make_request, at_ms))
         for at_ms in (0.0, 60_000.0, 300_000.0)
     ]
     assert kept[0] > kept[1] >= kept[2]
 
 
-def _short_first(
+def reserved_for_short(
     lanes: Lanes, states: list[UpstreamState], make_request: MakeRequest, at_ms: float
 ) -> set[str]:
-    """:returns: engines that a long prompt may not have, one at a time"""
+    """:returns: engines that a long prompt may not use, each checked by itself"""
     return {
         state.spec.name
         for state in states
@@ -126,7 +126,7 @@
 def test_lanes_are_the_same_on_all_vms(
     make_request: MakeRequest, make_bundle: MakeBundle
 ) -> None:
-    """Two VMs see the upstreams in another order and share no message."""
+    """Two VMs list the upstreams in different orders and exchange no messages."""
     bundle = make_bundle()
     first, states = build(bundle)
     second, _ = build(bundle._replace(upstreams=bundle.upstreams[::-1]))
@@ -148,7 +148,7 @@
     assert max(ranks) <= 9
 
 
-def test_restrict_never_leaves_a_fleet_of_one_engine_without_a_place(
+def test_restrict_never_leaves_a_fleet_of_one_engine_without_candidates(
     make_request: MakeRequest, make_bundle: MakeBundle
 ) -> None:
     lanes, states = build(make_bundle(1))
--- a/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
+++ b/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
@@ -1,9 +1,9 @@
-"""A few long prompts a second before a hundred engines that all write.
+"""A few long prompts a second at a hundred engines that all run answers.
 
-One request names sixteen helpers at the most, so that a part of a prompt of 230,000
-tokens holds up the writers of an engine for a quarter of a second however many engines
-there are. Read by as many as may help, each such prompt makes the answers on all of
-these late; read by the few that are in time for it, those on the few.
+A request names at most sixteen helpers, so that a part of a prompt of 230,000 tokens
+delays the running answers of an engine for a quarter of a second, however many engines
+there are. Spread over as many engines as may help, each such prompt makes the answers
+on all of them late; on the few that meet its target, only the answers there.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
     5, 232_000, 206.0, pairs_ms_per_million=0.138, step_ms=1.02, stride=68
 )
 NAMES = tuple(f"engine-{n:03}" for n in range(112))
-N_WRITERS = 3
+N_RUNNING_ANSWERS = 3
 TARGET_MS = 3_055.0
 GAP_MS = 250.0
 
 
 def send(clock: ManualClock, n_tokens: int) -> Dispatch:
-    """:returns: how a prompt is sent while each engine writes a few answers"""
+    """:returns: the dispatch of a prompt while each engine runs a few answers"""
     scheduler = make_entry_scheduler(clock, NAMES, figures=FIGURES)
-    share = UpstreamShare(N_WRITERS, 0, 15_000)
+    share = UpstreamShare(N_RUNNING_ANSWERS, 0, 15_000)
     scheduler.fleet.observe_peer("other", [(name, share) for name in NAMES])
     request = make_request(
         n_prompt_tokens=n_tokens,
@@ -51,19 +51,19 @@
 
 
 @pytest.mark.parametrize("n_tokens", [150_000, 190_000, 230_000])
-def test_long_prompt_is_read_by_the_few_that_are_in_time(
+def test_long_prompt_is_prefilled_by_the_few_that_meet_the_target(
     clock: ManualClock, n_tokens: int
 ) -> None:
-    """Each long prompt makes fifty short answers late though four engines would do."""
-    n_readers = len(list_prefill_engines(send(clock, n_tokens)))
-    read_ms = FIGURES.read_ms(n_tokens, n_parts=n_readers)
+    """Guards against making fifty short answers late where four engines suffice."""
+    n_engines = len(list_prefill_engines(send(clock, n_tokens)))
+    read_ms = FIGURES.read_ms(n_tokens, n_parts=n_engines)
     assert read_ms <= TARGET_MS * MAX_PREFILL_SHARE_OF_TARGET
-    assert n_readers <= (MAX_HELPERS + 1) / 3
+    assert n_engines <= (MAX_HELPERS + 1) / 3
 
 
-def test_prompt_whose_parts_hold_nobody_up_is_spread(clock: ManualClock) -> None:
-    """A prompt of middle length is read on one engine, whose writers all stop."""
-    readers = list_prefill_engines(send(clock, 45_000))
-    assert len(readers) > 8
-    part_ms = FIGURES.read_ms(45_000, n_parts=len(readers))
+def test_prompt_whose_parts_delay_nobody_is_spread(clock: ManualClock) -> None:
+    """Guards against stopping all answers of one engine for a medium prompt."""
+    engines = list_prefill_engines(send(clock, 45_000))
+    assert len(engines) > 8
+    part_ms = FIGURES.read_ms(45_000, n_parts=len(engines))
     assert part_ms < GAP_MS / 4
--- a/tests/decisions/head_of_line/test_many_vms_at_once.py
+++ b/tests/decisions/head_of_line/test_many_vms_at_once.py
@@ -1,7 +1,7 @@
-"""Short requests that many VMs place within the same moment, by the same view.
+"""Short requests that many VMs place at the same time, with the same view of the load.
 
-Load: a hundred short requests a second at two hundred VMs before 56 engines with five
-slots; each VM hears of what the others placed 50 ms later.
+Load: a hundred short requests a second at two hundred VMs and 56 engines with five
+slots each; each VM learns what the others placed 50 ms later.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 N_SLOTS = 5
 N_ENGINES = 56
-NEWS_MS = 50.0
+VIEW_DELAY_MS = 50.0
 ANSWER_MS = 2_000.0
-PLAYED_MS = 20_000.0
+SIMULATED_MS = 20_000.0
 MAX_FULL_SHARE = 0.01
-"""Of the callers of short requests; ninety-nine in a hundred shall be in time."""
+"""Share of short requests placed on a full engine; 99 % must be in time."""
 SHORT = 5_000
 
 
 class Engines:
-    """Engines, and the view that all VMs have of them, somewhat later."""
+    """Simulates engines and the delayed view that all VMs have of them."""
 
     def __init__(self, n_engines: int, n_slots: int) -> None:
         figures = EngineFigures(
@@ -53,22 +53,22 @@
         self.n_running = dict.fromkeys((spec.name for spec in specs), 0)
         self._events: list[tuple[float, str, int, bool]] = []
 
-    def begin(self, name: str, now_ms: float, answer_ms: float) -> None:
-        """Begin an answer; its begin and its end are heard of later."""
+    def start(self, name: str, now_ms: float, answer_ms: float) -> None:
+        """Start an answer; its start and end become visible after a delay."""
         self.n_running[name] += 1
         end_ms = now_ms + answer_ms
         for event in (
-            (now_ms + NEWS_MS, name, 1, False),
+            (now_ms + VIEW_DELAY_MS, name, 1, False),
             (end_ms, name, -1, True),
-            (end_ms + NEWS_MS, name, -1, False),
+            (end_ms + VIEW_DELAY_MS, name, -1, False),
         ):
             heapq.heappush(self._events, event)
 
     def advance(self, now_ms: float) -> None:
-        """Let answers end, and news arrive."""
+        """Process the ends of answers and the updates of the view up to ``now_ms``."""
         while self._events and self._events[0][0] <= now_ms:
-            _, name, change, is_true = heapq.heappop(self._events)
-            if is_true:
+            _, name, change, is_actual = heapq.heappop(self._events)
+            if is_actual:
                 self.n_running[name] += change
                 continue
             state = next(state for state in self.pool if state.spec.name == name)
@@ -78,10 +78,10 @@
 
 
 @pytest.mark.parametrize("rate", [20.0, 40.0, 70.0])
-def test_few_requests_are_sent_to_an_engine_without_a_slot(
+def test_few_requests_are_placed_on_full_engines(
     make_request: Callable[..., Request], rate: float
 ) -> None:
-    """Guards against callers who wait behind full engines while others have room."""
+    """Guards against placing requests on full engines while others have slots."""
     random_state = random.Random(1)
     engines = Engines(N_ENGINES, N_SLOTS)
     lane = ReadingLane()
@@ -89,7 +89,7 @@
     policy = FirstToken(random_state=random_state)
     now_ms = 0.0
     n_full = n_placed = 0
-    while now_ms < PLAYED_MS:
+    while now_ms < SIMULATED_MS:
         now_ms += random_state.expovariate(rate) * 1_000.0
         engines.advance(now_ms)
         request = make_request(SHORT, max_gap_ms=250.0)._replace(
@@ -101,18 +101,18 @@
         assert name is not None
         n_placed += 1
         n_full += engines.n_running[name] >= N_SLOTS
-        engines.begin(name, now_ms, random_state.uniform(0.5, 1.5) * ANSWER_MS)
+        engines.start(name, now_ms, random_state.uniform(0.5, 1.5) * ANSWER_MS)
     assert n_full / n_placed <= MAX_FULL_SHARE
 
 
 def test_few_answers_are_kept_together(make_request: Callable[..., Request]) -> None:
-    """Guards against a small fleet whose engines all write, with none left to read."""
+    """Guards against spreading few answers over all engines of a small fleet."""
     engines = Engines(14, 8)
     lane = ReadingLane()
     lane.configure(engines.bundle, tune(engines.bundle))
     for state in engines.pool[:4]:
         state.peers.take("others", UpstreamShare(n_requests=2), 0.0)
-    looked_at = {
+    compared = {
         state.spec.name
         for number in range(50)
         for state in lane.restrict(
@@ -121,4 +121,4 @@
             0.0,
         )
     }
-    assert len(looked_at) == 3
+    assert len(compared) == 3
--- a/tests/decisions/head_of_line/test_reading_lane.py
+++ b/tests/decisions/head_of_line/test_reading_lane.py
@@ -1,4 +1,4 @@
-"""Long reads keep to a lane; short requests keep out of it."""
+"""Tests that long prefills keep to a lane and short requests keep out of it."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def make_busy_pool() -> list[UpstreamState]:
-    """:returns: engines that each write one answer"""
+    """:returns: engines that each run one answer"""
     pool = make_pool()
     for state in pool:
         state.add(InFlightAttempt("a", "r", SHORT, 0, 0.0))
@@ -62,7 +62,7 @@
     return {state.spec.name for state in pool}
 
 
-def test_long_and_short_begin_at_different_ends_and_all_vms_agree(
+def test_long_and_short_start_at_different_ends_and_all_vms_agree(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
     pool = make_busy_pool()
@@ -77,7 +77,7 @@
     assert names(other.restrict(make(make_request, LONG), pool, 0.0)) == long
 
 
-def test_prompt_that_holds_nobody_up_in_parts_is_not_long(
+def test_prompt_whose_parts_delay_nobody_is_not_long(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
     pool = make_busy_pool()
@@ -86,13 +86,13 @@
     assert len(lane.restrict_helpers(make(make_request, LONG), pool, 0.0)) < N_ENGINES
 
 
-def test_short_answers_fill_engines_before_they_take_another(
+def test_short_answers_fill_one_engine_before_the_next(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Each long read makes short answers late, though engines enough have none.
+    """Each long prefill makes short answers late although enough engines run none.
 
-    Load: twenty short answers at a time before sixteen engines. Spread evenly there is
-    one on every engine, and no place for a long read that nobody notices.
+    Load: twenty short answers at a time on sixteen engines. Spread evenly, each engine
+    runs at least one, and none is left for a long prefill that delays nobody.
     """
     pool = make_pool()
     for number in range(20):
@@ -106,7 +106,7 @@
     assert not long & names(used)
 
 
-def test_short_request_keeps_away_from_an_engine_that_reads(
+def test_short_request_avoids_a_prefilling_engine(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
     pool = make_pool()
@@ -115,12 +115,12 @@
     assert first not in lane.restrict(make(make_request, SHORT), pool, 0.0)
 
 
-def test_lane_grows_with_what_all_vms_have_sent_to_be_read(
+def test_lane_grows_with_the_prefill_backlog_of_all_vms(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Long prompts wait for each other while half of the engines read nothing.
+    """Long prompts wait for each other while half of the engines prefill nothing.
 
-    Load: a burst of long prompts that come through as many VMs; each sees one of them.
+    Load: a burst of long prompts through as many VMs, each of which sees one of them.
     """
     pool = make_busy_pool()
     before = len(lane.restrict(make(make_request, LONG), pool, 0.0))
@@ -132,24 +132,26 @@
     assert work_ms / after <= 3_000.0 * MAX_PREFILL_SHARE_OF_TARGET
 
 
-def test_prompt_takes_as_many_engines_as_its_target_needs(
+def test_prompt_uses_as_many_engines_as_its_target_needs(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
     pool = make_pool()
     huge = make(make_request, 600_000)
     n_readers = len(lane.restrict_helpers(huge, pool, 0.0))
-    assert n_readers == N_ENGINES * 3 / 4, "a quarter is for what arrives meanwhile"
+    assert n_readers == N_ENGINES * 3 / 4, (
+        "a quarter is reserved for requests that arrive meanwhile"
+    )
     assert FIGURES.read_ms(600_000, n_parts=n_readers) < 0.8 * huge.target_ms
 
 
-def test_huge_prompts_leave_engines_to_the_answers_that_are_written(
+def test_huge_prompts_leave_engines_to_running_answers(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Coaches between sets see their plans stand still while a history is read.
+    """Short answers stop while huge prompts are prefilled.
 
     Load: twenty short answers at a time, and two prompts of half a million tokens that
-    need more than all engines within their target. Given all, they hold every answer up
-    for over a second and are late themselves.
+    exceed the capacity of all engines within their target. Given all engines, they
+    delay every answer for over a second and are late themselves.
     """
     pool = make_pool()
     for number in range(20):
@@ -168,7 +170,7 @@
     assert names(short) <= busy
 
 
-def test_request_is_not_stopped_by_an_empty_lane(
+def test_request_does_not_wait_because_its_lane_is_empty(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
     pool = make_busy_pool()
--- a/tests/decisions/memory/test_ledger.py
+++ b/tests/decisions/memory/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the accounting of engine memory."""
+"""Tests of the memory ledger."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         ledger.reserve(make_attempt("a"))
 
 
-def test_release_twice_shows() -> None:
+def test_second_release_is_reported() -> None:
     ledger = MemoryLedger()
     ledger.reserve(make_attempt("a"))
     assert ledger.release("a")
@@ -30,11 +30,11 @@
     assert ledger.n_kv_tokens == 0
 
 
-def test_note_report_counts_later_attempts_twice_only_once() -> None:
-    """An engine's report of 100 ms ago cannot know what was sent since.
+def test_note_report_sums_only_later_attempts_as_unreported() -> None:
+    """A report from 100 ms ago cannot include attempts started since.
 
-    Counting only the report would fill the engine twice over; counting all own
-    attempts beside the report would leave half of it empty.
+    Counting only the report would fill the engine twice over; adding all own attempts
+    to the report would leave half of its memory unused.
     """
     ledger = MemoryLedger()
     ledger.reserve(make_attempt("old", 10, at_ms=0))
@@ -54,7 +54,9 @@
     )
 )
 @settings(derandomize=True, deadline=None)
-def test_sums_agree_with_the_attempts_held(steps: list[tuple[str, int, int]]) -> None:
+def test_sums_match_the_attempts_in_the_ledger(
+    steps: list[tuple[str, int, int]],
+) -> None:
     ledger = MemoryLedger()
     now_ms = 0.0
     reported_ms = 0.0
--- a/tests/decisions/placement/test_busy_helpers.py
+++ b/tests/decisions/placement/test_busy_helpers.py
@@ -1,9 +1,9 @@
-"""Huge prompts come faster than engines with few slots can help to read them.
+"""Helpers that refuse prompt parts because they are busy.
 
-An engine that helps as many others as it has slots refuses the next prompt that names
-it. Taken for dead, it got no work for a second, and the prompt's next attempt named
-another engine that was as busy: one prompt took five of fourteen engines out, and the
-answers of all others waited for the rest.
+An engine that prefills parts for as many prompts as it has slots refuses the next one.
+When this was taken for a dead engine, the engine got no work for a second, and the next
+attempt named another busy engine: one prompt ejected five of fourteen engines, and all
+other requests waited for the rest.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 def refuse(
     scheduler: Scheduler, clock: ManualClock, dispatch: Dispatch, faulty: str
 ) -> None:
-    """Let a helper refuse its part, and wait for the next attempt's turn."""
+    """Let a helper refuse its part, and advance the clock to the next attempt."""
     is_member = dispatch.plan is not None and faulty in dispatch.upstreams
     fault = AttemptFault.OVERLOADED if is_member else AttemptFault.HELPER
     end = AttemptEnd(dispatch.attempt_id, fault, has_reached=False, upstream=faulty)
@@ -45,10 +45,10 @@
     clock.advance(1_000)
 
 
-def test_engine_that_helps_others_on_all_its_slots_is_not_named(
+def test_engine_with_all_helper_slots_taken_is_not_a_helper(
     clock: ManualClock,
 ) -> None:
-    """Other VMs tell that all engines but three help four prompts each."""
+    """Other VMs report four prompt parts on each engine but three."""
     scheduler = make_entry_scheduler(clock, NAMES)
     full = NAMES[:11]
     share = UpstreamShare(4, 4_000, 0, n_parts=4)
@@ -58,7 +58,7 @@
     assert not set(dispatch.helpers) & set(full)
 
 
-def test_group_has_no_member_that_helps_others_on_all_its_slots(
+def test_engine_with_all_helper_slots_taken_is_not_a_group_member(
     clock: ManualClock,
 ) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
@@ -70,7 +70,7 @@
     assert not set(dispatch.plan.upstreams) & set(full)
 
 
-def test_own_parts_count_until_they_are_read(clock: ManualClock) -> None:
+def test_own_parts_count_until_the_first_token(clock: ManualClock) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
     dispatch = send(scheduler, clock, LONG)
     (helper, *_) = dispatch.helpers
@@ -81,10 +81,10 @@
     assert state.own_share(clock.now_ms()).n_parts == 0
 
 
-def test_prompt_refused_by_busy_helpers_takes_no_engine_out(
+def test_refusals_of_busy_helpers_eject_no_engine(
     clock: ManualClock,
 ) -> None:
-    """In each attempt another helper refuses; all engines go on taking work."""
+    """A different helper refuses in each attempt; no engine is ejected."""
     scheduler = make_entry_scheduler(clock, NAMES)
     dispatch = send(scheduler, clock, LONG)
     refused: list[str] = []
@@ -110,7 +110,7 @@
     assert not any(state.health.is_ejected for state in scheduler.upstreams)
 
 
-def test_helper_that_is_dead_is_taken_out_after_a_second_prompt() -> None:
+def test_dead_helper_is_ejected_after_a_second_prompt() -> None:
     health = UpstreamHealth()
     health.note_fault("a", AttemptFault.HELPER, 0.0)
     assert not health.is_ejected
@@ -118,7 +118,7 @@
     assert health.is_ejected
 
 
-def test_helper_that_answers_between_two_refusals_is_not_dead() -> None:
+def test_helper_that_answers_between_two_refusals_is_not_ejected() -> None:
     health = UpstreamHealth()
     health.note_fault("a", AttemptFault.HELPER, 0.0)
     health.note_success("c", 5.0)
--- a/tests/decisions/placement/test_few_choices.py
+++ b/tests/decisions/placement/test_few_choices.py
@@ -1,4 +1,4 @@
-"""Tests of the choice among upstreams and of what it believes of caches."""
+"""Tests of the power of few choices and of its prefix index."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
     return name
 
 
-def test_choose_makes_no_herd_of_one_stale_report() -> None:
-    """Seven VMs read the same report: one engine of fourteen is idle.
+def test_choose_spreads_requests_despite_one_stale_report() -> None:
+    """Seven VMs see the same load report, in which one engine of fourteen is idle.
 
-    Each sends it all it has until the next report, and the idle engine becomes the
-    busiest.
+    If each sends all its requests there until the next report, the idle engine becomes
+    the most loaded.
     """
     sent: Counter[str] = Counter()
     for vm in range(7):
@@ -59,8 +59,8 @@
     assert sent["e0"] <= 14
 
 
-def test_choose_spreads_a_hot_prefix_before_its_holder_melts() -> None:
-    """One engine holds the prefix that all prompts of a rush begin with."""
+def test_choose_spreads_a_popular_prefix_before_its_holder_is_overloaded() -> None:
+    """One engine has cached the prefix that all prompts of a burst share."""
     policy = make_policy()
     pool = [make_state(f"e{index}", kv_tokens=400_000) for index in range(8)]
     for state in pool:
@@ -78,7 +78,7 @@
     assert len(sent) == 8
 
 
-def test_choose_prefers_the_adapter_that_is_loaded() -> None:
+def test_choose_prefers_an_engine_with_the_adapter_loaded() -> None:
     pool = [make_state("e0"), make_state("e1")]
     pool[0].observe(make_report("e0"), 0.0)
     report = make_report("e1")._replace(models=("m:1", "m:1:lifting"))
@@ -87,7 +87,7 @@
     assert choose(make_policy(), request, pool) == "e1"
 
 
-def test_choose_prefers_its_own_zone_only_between_equals() -> None:
+def test_choose_prefers_its_own_zone_only_at_equal_cost() -> None:
     policy = FewChoices(random_state=random.Random(1), availability_zone="b")
     pool = [make_state("e0", zone="a"), make_state("e1", zone="b")]
     assert choose(policy, make_request(), pool) == "e1"
@@ -95,8 +95,8 @@
     assert choose(policy, make_request(), pool) == "e0"
 
 
-def test_choose_gives_a_returned_upstream_its_load_step_by_step() -> None:
-    """A restarted engine has an empty cache and reports no load at all."""
+def test_choose_ramps_up_the_load_of_a_restarted_upstream() -> None:
+    """A restarted engine has an empty cache and reports no load."""
     shares = []
     for now_ms in (0.0, 5_000.0, 10_000.0):
         pool = [make_state(f"e{index}", kv_tokens=400_000) for index in range(3)]
@@ -116,7 +116,7 @@
     assert shares[2] >= 20
 
 
-def test_choose_forgets_a_report_that_grows_old() -> None:
+def test_choose_discounts_old_reports() -> None:
     pool = [make_state("e0"), make_state("e1")]
     pool[0].observe(make_report("e0", n_prefill_tokens=5_000), 0.0)
     pool[1].observe(make_report("e1", n_running=2), 0.0)
@@ -143,8 +143,8 @@
     return index.n_cached_tokens("e0", incarnation, PREFIXES)
 
 
-def test_index_believes_less_after_a_gap() -> None:
-    """Event 4 is lost; it may have been an eviction."""
+def test_index_discounts_entries_from_before_a_gap() -> None:
+    """Event 4 is lost and may have been an eviction."""
     index = PrefixIndex()
     index.observe(make_events(1))
     assert count(index) == 4_096
@@ -154,8 +154,8 @@
     assert count(index) == 4_096
 
 
-def test_index_ignores_events_of_a_life_that_ended() -> None:
-    """The engine restarted with an empty cache; an answer of before arrives late."""
+def test_index_ignores_events_of_an_old_incarnation() -> None:
+    """The engine restarted with an empty cache; older events arrive late."""
     index = PrefixIndex()
     index.observe(make_events(1))
     index.observe(make_events(1, "i2", prefixes=(99,)))
@@ -164,7 +164,7 @@
     assert count(index, "i1") == 4_096
 
 
-def test_index_ignores_doubled_and_late_events() -> None:
+def test_index_ignores_duplicate_and_late_events() -> None:
     index = PrefixIndex()
     index.observe(make_events(1))
     index.observe(make_events(4, prefixes=PREFIXES[1:], is_cached=False))
@@ -172,7 +172,7 @@
     assert count(index) == 256
 
 
-def test_cursor_never_goes_back_within_a_life() -> None:
+def test_cursor_never_goes_back_within_an_incarnation() -> None:
     cursor = CacheCursor().after(make_events(1)).after(make_events(5))
     assert cursor == CacheCursor("i1", 7)
     assert cursor.after(make_events(1)) == cursor
--- a/tests/decisions/placement/test_first_token.py
+++ b/tests/decisions/placement/test_first_token.py
@@ -1,4 +1,4 @@
-"""Where the first token comes soonest, and who helps to read."""
+"""Tests of placement by time to first token and of the choice of helpers."""
 
 from __future__ import annotations
 
@@ -53,14 +53,14 @@
     return name, policy.choose_helpers(request, name, pool, 0.0)
 
 
-def test_short_prompt_is_read_by_one_engine(
+def test_short_prompt_is_prefilled_by_one_engine(
     policy: FirstToken, make_request: Callable[..., Request]
 ) -> None:
     request = make_request(5_000, max_gap_ms=250.0)
     assert choose(policy, request, make_pool())[1] == ()
 
 
-def test_part_holds_writers_up_for_a_part_of_their_pause(
+def test_part_delays_running_answers_for_a_share_of_their_gap(
     policy: FirstToken, make_request: Callable[..., Request]
 ) -> None:
     policy.choose(make_request(5_000, max_gap_ms=250.0), make_pool(), 0.0)
@@ -78,13 +78,13 @@
     assert len(helpers) == MAX_HELPERS == len(set(helpers))
 
 
-def test_engine_that_other_vms_are_busy_with_is_left_out(
+def test_engine_loaded_by_other_vms_is_left_out(
     policy: FirstToken, make_request: Callable[..., Request]
 ) -> None:
-    """A prompt of 45,000 tokens waits for three seconds though most engines are idle.
+    """A prompt of 45,000 tokens waits for three seconds although most engines are idle.
 
-    Some engines read long prompts that other VMs sent there. Named as helpers, they
-    would read their part last, and the first token follows the last part.
+    Some engines prefill long prompts of other VMs. As helpers they would prefill their
+    part last, and the first token follows the last part.
     """
     pool = make_pool()
     for state in pool[:8]:
@@ -108,7 +108,7 @@
 def test_burst_is_spread_and_stays_in_the_zone_while_it_is_idle(
     policy: FirstToken, make_request: Callable[..., Request]
 ) -> None:
-    """Load: sixteen short prompts at once before eight engines, half in the zone."""
+    """Sixteen short prompts arrive at once; four of eight engines are in the zone."""
     pool = [*make_pool(4, "a"), *make_pool(4, "b")]
     first = policy.choose(make_request(5_000), pool, 0.0)
     assert first is not None
@@ -123,7 +123,7 @@
     assert max(counts.values()) <= 3
 
 
-def test_slow_engine_gets_less(
+def test_slow_engine_gets_fewer_requests(
     policy: FirstToken, make_request: Callable[..., Request]
 ) -> None:
     pool = make_pool(4)
--- a/tests/decisions/placement/test_placer.py
+++ b/tests/decisions/placement/test_placer.py
@@ -1,4 +1,4 @@
-"""Tests of what stands before every placement policy."""
+"""Tests of the filters that apply before every placement policy."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from quetzaldeck.decisions.queueing import FifoQueue
 
 
-def test_admission_takes_no_turn_of_the_policy() -> None:
-    """Admission asked round robin whether a request could start.
+def test_admission_does_not_advance_round_robin() -> None:
+    """Guards against admission control that consults the placement policy.
 
-    Each question took a turn, so that with an even number of engines half of them
-    got nothing, and the baseline looked worse than it is.
+    Each check advanced round robin by one turn, so that with an even number of engines
+    half of them got no requests.
     """
     clock = ManualClock(1_000.0)
     policy = RoundRobin(random_state=random.Random(1))
@@ -39,14 +39,14 @@
     assert used == ["e0", "e1", "e2", "e3"]
 
 
-def test_place_avoids_what_failed_the_request_while_there_is_another() -> None:
+def test_place_avoids_upstreams_that_failed_the_request_if_others_exist() -> None:
     scheduler = make_scheduler(ManualClock(1_000.0), ("e0", "e1"))
     place = scheduler.placer.place
     assert place(make_request(), ("e0",), 0.0) == ("e1",)
     assert place(make_request(), ("e0", "e1"), 0.0) in {("e0",), ("e1",)}
 
 
-def test_large_pool_is_sampled_and_keeps_the_cache_holder() -> None:
+def test_sample_of_a_large_pool_includes_the_cache_holder() -> None:
     filter_ = CandidateFilter(random_state=random.Random(1), max_requests=64)
     pool = [make_state(f"e{index}") for index in range(10 * N_SAMPLED)]
     for holder in ("e0", "e319"):
@@ -59,7 +59,9 @@
 
 
 @pytest.mark.parametrize("n_full", [318, 320])
-def test_large_pool_is_searched_whole_if_the_sample_is_full(n_full: int) -> None:
+def test_large_pool_is_searched_whole_if_the_sample_has_too_few_candidates(
+    n_full: int,
+) -> None:
     filter_ = CandidateFilter(random_state=random.Random(1), max_requests=64)
     pool = [
         make_state(f"e{index}", kv_tokens=100 if index < n_full else 10_000)
--- a/tests/decisions/placement/test_refused_help.py
+++ b/tests/decisions/placement/test_refused_help.py
@@ -1,8 +1,8 @@
-"""A quarter of the engines leaves while nobody can learn of it.
+"""A quarter of the engines leaves, and the VMs cannot learn of it from the store.
 
-They answer what is sent to them, and refuse to read parts of prompts of others.
-Each attempt of a long prompt names sixteen helpers, some of them among these; it is
-refused as a whole, and its retries are spent before an attempt names none of them.
+These engines answer requests but refuse to prefill parts of other prompts. Each attempt
+of a long prompt names sixteen helpers, some of them leaving, and is refused as a whole;
+its retries are spent before an attempt names no leaving engine.
 """
 
 from __future__ import annotations
@@ -25,35 +25,35 @@
 LEAVING = frozenset(NAMES[::4])
 N_VMS = 20
 N_PROMPTS = 40
-PROMPT_MS = 110.0
-"""Pause between two long prompts: nine a second over all VMs."""
+PROMPT_INTERVAL_MS = 110.0
+"""Interval between two long prompts: nine a second over all VMs."""
 LONG = 45_000
 WAIT_MS = 50.0
 MAX_WAITS = 40
 
 
 class Fleet:
-    """VMs that send long prompts in turn, and tell each other of their loads or not."""
+    """VMs that send long prompts and optionally share their loads."""
 
-    def __init__(self, clock: ManualClock, *, tells: bool = True) -> None:
+    def __init__(self, clock: ManualClock, *, shares_loads: bool = True) -> None:
         self._clock = clock
-        self._tells = tells
+        self._shares_loads = shares_loads
         self._random = random.Random(7)
         self._vms = [make_entry_scheduler(clock, NAMES) for _ in range(N_VMS)]
         self.n_refused_attempts = 0
 
     def run(self) -> list[int]:
-        """:returns: attempts of each prompt that was answered"""
+        """:returns: number of attempts of each prompt that was answered"""
         n_attempts = []
         for number in range(N_PROMPTS):
             answered = self._send(self._random.choice(self._vms), f"r{number}")
             if answered:
                 n_attempts.append(answered)
-            self._clock.advance(PROMPT_MS)
+            self._clock.advance(PROMPT_INTERVAL_MS)
         return n_attempts
 
     def _send(self, vm: Scheduler, name: str) -> int:
-        """:returns: attempts until the answer; 0 if the request was refused"""
+        """:returns: number of attempts until the answer; 0 if the request failed"""
         now_ms = self._clock.now_ms()
         request = make_request(name, n_prompt_tokens=LONG, now_ms=now_ms)
         assert vm.submit(request) is None
@@ -71,7 +71,7 @@
         return 0
 
     def _end(self, vm: Scheduler, dispatch: Dispatch) -> bool | None:
-        """:returns: ``None``: answered; else whether there is to be another attempt"""
+        """:returns: ``None`` if answered; otherwise whether another attempt follows"""
         faulty = [name for name in dispatch.helpers if name in LEAVING]
         if not faulty:
             vm.end_attempt(AttemptEnd(dispatch.attempt_id))
@@ -84,36 +84,36 @@
             upstream=faulty[0],
         )
         failure = vm.end_attempt(end)
-        self._tell(vm)
+        self._share_loads(vm)
         return failure is None
 
-    def _tell(self, teller: Scheduler) -> None:
-        if not self._tells:
+    def _share_loads(self, sender: Scheduler) -> None:
+        if not self._shares_loads:
             return
         now_ms = self._clock.now_ms()
-        shares = [(s.spec.name, s.own_share(now_ms)) for s in teller.upstreams]
+        shares = [(s.spec.name, s.own_share(now_ms)) for s in sender.upstreams]
         for vm in self._vms:
-            if vm is not teller:
-                vm.fleet.observe_peer(str(id(teller)), shares)
+            if vm is not sender:
+                vm.fleet.observe_peer(str(id(sender)), shares)
 
 
-def test_long_prompts_are_answered_while_helpers_leave_unseen(
+def test_long_prompts_are_answered_while_leaving_helpers_are_unknown(
     clock: ManualClock,
 ) -> None:
-    """Long prompts are refused for seconds though three of four engines would read."""
+    """Guards against refusing long prompts while three of four engines would help."""
     fleet = Fleet(clock)
     n_attempts = fleet.run()
     assert len(n_attempts) == N_PROMPTS
-    # Half as many helpers after each failure: the sixth attempt has none to fail it.
+    # Each failure halves the helpers, so that the sixth attempt has none left.
     assert max(n_attempts) <= 6
     assert fleet.n_refused_attempts <= 2 * len(LEAVING)
 
 
-def test_vms_that_tell_each_other_find_the_leaving_engines_sooner(
+def test_shared_loads_reveal_leaving_engines_sooner(
     clock: ManualClock,
 ) -> None:
-    """Each VM finds each engine that leaves by a refusal of its own."""
-    alone = Fleet(clock, tells=False)
+    """Without sharing, each VM detects each leaving engine by its own refusal."""
+    alone = Fleet(clock, shares_loads=False)
     alone.run()
     together = Fleet(clock)
     together.run()
@@ -139,10 +139,10 @@
 
 
 @pytest.mark.parametrize(("n_parts", "is_refusing"), [(0, True), (4, False)])
-def test_refusal_that_its_work_explains_says_nothing(
+def test_refusal_by_a_busy_engine_is_ignored(
     *, n_parts: int, is_refusing: bool
 ) -> None:
-    """A busy engine is named no more though it has room a moment later."""
+    """Guards against excluding an engine that is only busy for a moment."""
     refusals = HelpRefusals()
     refusals.note(n_parts, max_parts=5, now_ms=0.0)
     assert refusals.is_refusing(REFUSED_HELP_MS - 1) is is_refusing
