--- a/tests/decisions/groups/test_groups.py
+++ b/tests/decisions/groups/test_groups.py
@@ -72,7 +72,7 @@
 
 
 def test_plan_single_reserves_for_a_long_request_that_has_aged() -> None:
-    """Short requests fill each gap in memory before it is large enough for others."""
+    """Short requests fill each gap in memory before a long one fits."""
     pool = [make_state("e0")]
     request = make_request(n_prompt_tokens=5_000, now_ms=0.0)
     planner = GroupPlanner()
