--- a/tests/decisions/placement/test_busy_helpers.py
+++ b/tests/decisions/placement/test_busy_helpers.py
@@ -14,7 +14,7 @@
 
 from quetzaldeck.decisions import AttemptEnd, AttemptFault, Dispatch
 from quetzaldeck.decisions.health import UpstreamHealth
-from quetzaldeck.decisions.peer_load import UpstreamShare
+from quetzaldeck.decisions.peer_load import VmLoad
 
 if TYPE_CHECKING:
     from quetzaldeck.clock import ManualClock
@@ -51,7 +51,7 @@
     """Other VMs report four prompt parts on each engine but three."""
     scheduler = make_entry_scheduler(clock, NAMES)
     full = NAMES[:11]
-    share = UpstreamShare(4, 4_000, 0, n_parts=4)
+    share = VmLoad(4, 4_000, 0, n_parts=4)
     scheduler.fleet.observe_peer("other", [(name, share) for name in full])
     dispatch = send(scheduler, clock, LONG)
     assert dispatch.helpers
@@ -63,7 +63,7 @@
 ) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
     full = NAMES[:7]
-    share = UpstreamShare(4, 4_000, 0, n_parts=4)
+    share = VmLoad(4, 4_000, 0, n_parts=4)
     scheduler.fleet.observe_peer("other", [(name, share) for name in full])
     dispatch = send(scheduler, clock, HUGE)
     assert dispatch.plan is not None
@@ -76,9 +76,9 @@
     (helper, *_) = dispatch.helpers
     state = scheduler.upstreams.get(helper)
     assert state is not None
-    assert state.own_share(clock.now_ms()).n_parts == 1
+    assert state.own_load(clock.now_ms()).n_parts == 1
     scheduler.note_first_token(dispatch.attempt_id)
-    assert state.own_share(clock.now_ms()).n_parts == 0
+    assert state.own_load(clock.now_ms()).n_parts == 0
 
 
 def test_refusals_of_busy_helpers_eject_no_engine(
