--- a/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
+++ b/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
@@ -34,8 +34,8 @@
 def send(clock: ManualClock, n_tokens: int) -> Dispatch:
     """:returns: the dispatch of a prompt while each engine runs a few answers"""
     scheduler = make_entry_scheduler(clock, NAMES, figures=FIGURES)
-    share = VmLoad(N_RUNNING_ANSWERS, 0, 15_000)
-    scheduler.fleet.observe_peer("other", [(name, share) for name in NAMES])
+    load = VmLoad(N_RUNNING_ANSWERS, 0, 15_000)
+    scheduler.fleet.observe_peer("other", [(name, load) for name in NAMES])
     request = make_request(
         n_prompt_tokens=n_tokens,
         max_output_tokens=700,
--- a/tests/decisions/head_of_line/test_many_vms_at_once.py
+++ b/tests/decisions/head_of_line/test_many_vms_at_once.py
@@ -73,8 +73,8 @@
                 continue
             state = next(state for state in self.pool if state.spec.name == name)
             n_before = state.peers.total(now_ms).n_requests
-            share = VmLoad(n_requests=n_before + change)
-            state.peers.take("others", share, now_ms)
+            load = VmLoad(n_requests=n_before + change)
+            state.peers.take("others", load, now_ms)
 
 
 @pytest.mark.parametrize("rate", [20.0, 40.0, 70.0])
--- a/tests/decisions/placement/test_busy_helpers.py
+++ b/tests/decisions/placement/test_busy_helpers.py
@@ -51,8 +51,8 @@
     """Other VMs report four prompt parts on each engine but three."""
     scheduler = make_entry_scheduler(clock, NAMES)
     full = NAMES[:11]
-    share = VmLoad(4, 4_000, 0, n_parts=4)
-    scheduler.fleet.observe_peer("other", [(name, share) for name in full])
+    load = VmLoad(4, 4_000, 0, n_parts=4)
+    scheduler.fleet.observe_peer("other", [(name, load) for name in full])
     dispatch = send(scheduler, clock, LONG)
     assert dispatch.helpers
     assert not set(dispatch.helpers) & set(full)
@@ -63,8 +63,8 @@
 ) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
     full = NAMES[:7]
-    share = VmLoad(4, 4_000, 0, n_parts=4)
-    scheduler.fleet.observe_peer("other", [(name, share) for name in full])
+    load = VmLoad(4, 4_000, 0, n_parts=4)
+    scheduler.fleet.observe_peer("other", [(name, load) for name in full])
     dispatch = send(scheduler, clock, HUGE)
     assert dispatch.plan is not None
     assert not set(dispatch.plan.upstreams) & set(full)
--- a/tests/decisions/placement/test_refused_help.py
+++ b/tests/decisions/placement/test_refused_help.py
@@ -94,10 +94,10 @@
         if not self._shares_loads:
             return
         now_ms = self._clock.now_ms()
-        shares = [(s.spec.name, s.own_load(now_ms)) for s in sender.upstreams]
+        loads = [(s.spec.name, s.own_load(now_ms)) for s in sender.upstreams]
         for vm in self._vms:
             if vm is not sender:
-                vm.fleet.observe_peer(str(id(sender)), shares)
+                vm.fleet.observe_peer(str(id(sender)), loads)
 
 
 def test_long_prompts_are_answered_while_leaving_helpers_are_unknown(
