--- a/tests/decisions/placement/test_few_choices.py
+++ b/tests/decisions/placement/test_few_choices.py
@@ -112,7 +112,7 @@
             state.add(InFlightAttempt(f"a{index}", f"r{index}", 1_010, 1_000, now_ms))
         shares.append(sent["e0"])
     assert shares[0] < 10
-    assert shares == sorted(loads)
+    assert shares == sorted(shares)
     assert shares[2] >= 20
 
 
