--- a/src/quetzaldeck/decisions/memory/__init__.py
+++ b/src/quetzaldeck/decisions/memory/__init__.py
@@ -1,8 +1,8 @@
-"""Accounting of engine memory."""
+"""Accounting of the engine memory that this VM's attempts hold."""
 
 from __future__ import annotations
 
-from quetzaldeck.decisions.memory.in_flight import InFlight
+from quetzaldeck.decisions.memory.in_flight import InFlightAttempt
 from quetzaldeck.decisions.memory.ledger import MemoryLedger
 
-__all__ = ("InFlight", "MemoryLedger")
+__all__ = ("InFlightAttempt", "MemoryLedger")
