--- a/src/quetzaldeck/entry/attempt.py
+++ b/src/quetzaldeck/entry/attempt.py
@@ -8,7 +8,10 @@
 import aiohttp
 
 from quetzaldeck.decisions import AttemptFault, LoadReport
-from quetzaldeck.decisions.retries.silence import first_byte_bound_ms, gap_bound_ms
+from quetzaldeck.decisions.retries.silence import (
+    first_byte_threshold_ms,
+    stream_gap_threshold_ms,
+)
 from quetzaldeck.entry.forwarding_parameters import ForwardingParameters, Helper
 from quetzaldeck.entry.memory_reservation import MemoryReservation
 from quetzaldeck.entry.response_head import ResponseHead
@@ -62,12 +65,12 @@
     def watch_first_byte(self, dispatch: Dispatch) -> SilenceWatch:
         """:returns: the watch on the time to the first byte of an attempt"""
         target_ms = self._call.admitted.route.target_latency_ms
-        return self._build_watch(dispatch, first_byte_bound_ms(target_ms))
+        return self._build_watch(dispatch, first_byte_threshold_ms(target_ms))
 
     def watch_gaps(self, dispatch: Dispatch) -> SilenceWatch:
         """:returns: the watch on the gaps within a stream"""
         return self._build_watch(
-            dispatch, gap_bound_ms(self._call.admitted.route.max_gap_ms)
+            dispatch, stream_gap_threshold_ms(self._call.admitted.route.max_gap_ms)
         )
 
     @asynccontextmanager
--- a/src/quetzaldeck/entry/silence_watch.py
+++ b/src/quetzaldeck/entry/silence_watch.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from quetzaldeck.clock.clock import MS_PER_SECOND
-from quetzaldeck.decisions.retries.silence import LOOK_AGAIN_MS, SilenceVerdict
+from quetzaldeck.decisions.retries.silence import SILENCE_RECHECK_MS, SilenceVerdict
 from quetzaldeck.telemetry import log_event
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
                     return task.result()
                 silent_ms = self._clock.now_ms() - started_ms
                 verdict = await self._ticket.judge_silence(self._attempt_id, silent_ms)
-                is_abandoned = verdict is SilenceVerdict.LEFT
+                is_abandoned = verdict is SilenceVerdict.ABANDON
                 if task.done():
                     # The result came while the scheduler was consulted. Dropping it
                     # would leave its connection open and the upstream working in vain.
@@ -70,7 +70,7 @@
                     self._log_verdict(silent_ms, verdict)
                 if is_abandoned:
                     raise TimeoutError
-                wait_ms = LOOK_AGAIN_MS
+                wait_ms = SILENCE_RECHECK_MS
         finally:
             if not task.done():
                 task.cancel()
