--- a/src/quetzaldeck/decisions/health/__init__.py
+++ b/src/quetzaldeck/decisions/health/__init__.py
@@ -1,4 +1,4 @@
-"""Health of upstreams: slow, silent, dead and crash-looping are told apart."""
+"""Health of upstreams: distinguishes slow, silent, dead and crash-looping ones."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/health/bounds.py
+++ b/src/quetzaldeck/decisions/health/bounds.py
@@ -1,4 +1,4 @@
-"""Figures of the health judgement and their grounds."""
+"""Thresholds and times for judging the health of an upstream."""
 
 from __future__ import annotations
 
@@ -6,26 +6,28 @@
 
 
 class HealthBounds(NamedTuple):
-    """Bounds of the health judgement.
-
-    :param n_silent: silent reads in a row, each on a replaced connection pool,
-        before the upstream itself is taken for silent. One silent read says more
-        about a path than about the upstream.
-    :param n_broken: broken attempts in a row, without one success between them,
-        before the upstream is taken for dead; a refused connection needs one.
-    :param first_hold_ms: time without work after the first ejection; of the order
-        of a connection timeout, so that a false judgement costs little
+    """Thresholds and times for judging the health of an upstream.
+
+    :param n_silent: consecutive silent reads, each on a new connection pool, after
+        which the upstream itself counts as silent. A single silent read is more likely
+        a fault of the network path.
+    :param n_broken: consecutive broken attempts, without a success in between, after
+        which the upstream counts as dead; one refused connection is enough
+    :param first_hold_ms: time without requests after the first ejection; of the order
+        of a connection timeout, so that a false ejection costs little
     :param max_hold_ms: longest time without a probe
     :param n_crashes: restarts within ``crash_window_ms`` that make a crash loop
-    :param crash_window_ms: time in which restarts are counted
-    :param stable_ms: uptime after which a crash-looping upstream is trusted again
-    :param warm_up_ms: time in which a new or returned upstream gets to full load
-    :param slow_ratio: first-token time against the upstream's peers at which an
-        upstream is called slow
-    :param n_latencies: answers before a latency is judged. A VM is one of many and
-        sees few answers of one upstream; it raises a cost, so an error is cheap.
-    :param slow_half_life_ms: time after which half of the judgement is forgotten: an
-        upstream that gets no work gives no latencies that could correct it
+    :param crash_window_ms: period over which restarts are counted
+    :param stable_ms: uptime after which a crash-looping upstream may be probed again
+    :param warm_up_ms: time in which a new or recovered upstream is ramped up to its
+        full load
+    :param slow_ratio: an upstream counts as slow if its time to first token is this
+        many times that of its peers
+    :param n_latencies: answers needed before latency is judged. A VM is one of many
+        and sees few answers of one upstream; slowness only raises the placement cost,
+        so an error is cheap.
+    :param slow_half_life_ms: half-life of a measured slowness; an upstream that gets
+        no requests yields no latencies that could correct it
     """
 
     n_silent: int = 2
--- a/src/quetzaldeck/decisions/health/monitor.py
+++ b/src/quetzaldeck/decisions/health/monitor.py
@@ -1,4 +1,4 @@
-"""Draws conclusions from the course of attempts: health, crashes, cached prefixes."""
+"""Updates health, crash suspects and cached prefixes from the events of attempts."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
         AttemptFault.BAD_ANSWER,
     )
 )
-"""Faults of an upstream that took a request. One that is gone, full or could not be
-reached failed none."""
+"""Faults that count as failures of an upstream. Only an upstream that accepted a
+request can fail it, not one that has left, is overloaded or cannot be reached."""
 
 
 class AttemptMonitor:
-    """Feeds what happens to attempts into the modules that learn from it.
+    """Passes the events of attempts to the modules that learn from them.
 
     :param table: all upstreams, with their health
     :param policy: learns where prefixes are cached
-    :param poison: learns which requests were on board of a crash
+    :param poison: learns which requests were running on an engine when it crashed
     """
 
     def __init__(
@@ -46,7 +46,7 @@
     def note_first_token(
         self, request: Request, attempt_id: str, upstreams: Sequence[str], now_ms: float
     ) -> None:
-        """Take the first token of an attempt: its prompt is prefilled."""
+        """Record the first token of an attempt: its prompt is prefilled."""
         for name in upstreams:
             state = self._table.get(name)
             if state is None:
@@ -68,12 +68,12 @@
         upstreams: Sequence[str],
         now_ms: float,
     ) -> HealthState | None:
-        """Take the end of an attempt.
+        """Record the end of an attempt.
 
-        :returns: the state that an upstream was ejected into by this, if any
+        :returns: the state of the upstream that was ejected for it, if any
         """
         if end.fault is None:
-            self._note_whole_answer(request, end, upstreams, now_ms)
+            self._note_answered(request, end, upstreams, now_ms)
             return None
         name = end.upstream or upstreams[0]
         state = self._table.get(name)
@@ -89,17 +89,17 @@
         return state.health.note_fault(end.attempt_id, end.fault, now_ms)
 
     def note_unanswered(self, upstreams: Sequence[str], now_ms: float) -> None:
-        """Take an attempt whose caller was told nothing for longer than it should be.
+        """Record a failure for an attempt that has been unanswered for too long.
 
-        A request that may not be sent again is not left for another upstream: it ends
-        with its deadline, or with its caller.
+        A request that must not be repeated is not retried on another upstream, so it
+        ends without a fault when its deadline passes or its caller disconnects.
         """
         state = self._table.get(upstreams[-1])
         if state is not None:
             state.outcomes.note(now_ms, is_answered=False)
 
     def note_alive(self) -> None:
-        """Let reports refute crashes: a process that reports has not crashed."""
+        """Discard crashes that later reports of the same incarnation refute."""
         if not len(self._poison):
             return
         for state in self._table:
@@ -108,7 +108,7 @@
                     state.spec.name, state.incarnation, state.reported_ms
                 )
 
-    def _note_whole_answer(
+    def _note_answered(
         self,
         request: Request,
         end: AttemptEnd,
@@ -127,14 +127,20 @@
 
 
 def _is_help_refused(end: AttemptEnd, upstreams: Sequence[str]) -> bool:
-    """:returns: whether an upstream refused to read a part, as helper or as a member"""
+    """:returns: whether an upstream refused to prefill a part of the prompt
+
+    It may have been asked as a helper, or as a member of a group of engines.
+    """
     if end.fault is AttemptFault.OVERLOADED:
         return end.upstream in upstreams[:-1]
     return end.fault is AttemptFault.HELPER
 
 
 def _is_tracked(request: Request) -> bool:
-    """:returns: whether a request can be told from others when an engine crashes"""
+    """:returns: whether engine crashes are attributed to this request
+
+    This needs a fingerprint, and does not apply to requests to services.
+    """
     return bool(request.fingerprint) and not request.service
 
 
--- a/src/quetzaldeck/decisions/health/outcomes.py
+++ b/src/quetzaldeck/decisions/health/outcomes.py
@@ -1,4 +1,4 @@
-"""How many of the requests that an upstream was sent lately it failed."""
+"""Exponentially decaying counts of an upstream's answered and failed requests."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 from typing import NamedTuple
 
 HALF_LIFE_MS = 10_000.0
-"""Age at which an outcome counts half. An upstream that is avoided gives no further
-ones: two faults are forgotten, and it is tried again, after about this time."""
+"""Age at which an outcome counts half. An avoided upstream yields no new outcomes;
+after about this time two failures are forgotten, and it is tried again."""
 
 
 class Outcomes(NamedTuple):
-    """Recent outcomes, older ones counting less.
+    """Weighted counts of recent outcomes; older ones weigh less.
 
-    :param n_answered: requests that it answered
-    :param n_failed: requests that it answered with a failure, broke off, or left silent
+    :param n_answered: requests that the upstream answered
+    :param n_failed: requests that ended in an error response, a broken connection or
+        silence
     """
 
     n_answered: float = 0.0
@@ -22,7 +23,7 @@
 
     @property
     def n_all(self) -> float:
-        """:returns: requests that say something of the upstream"""
+        """:returns: answered and failed requests together"""
         return self.n_answered + self.n_failed
 
     def add(self, other: Outcomes) -> Outcomes:
@@ -32,22 +33,22 @@
         )
 
     def subtract(self, other: Outcomes) -> Outcomes:
-        """:returns: what is left without ``other``"""
+        """:returns: the difference"""
         return Outcomes(
             self.n_answered - other.n_answered, self.n_failed - other.n_failed
         )
 
-    def age(self, elapsed_ms: float) -> Outcomes:
-        """:returns: what they count after some more time"""
+    def decay(self, elapsed_ms: float) -> Outcomes:
+        """:returns: the counts after decaying for ``elapsed_ms``"""
         factor = math.pow(0.5, max(0.0, elapsed_ms) / HALF_LIFE_MS)
         return Outcomes(self.n_answered * factor, self.n_failed * factor)
 
 
 class DecayingOutcomes:
-    """Outcomes as of the last one: a number that nothing happened to stays the same.
+    """Outcomes, stored with the time of the last one and decayed on read.
 
-    Were it aged by the clock it would be a new number at each look, and be told to the
-    other VMs without end.
+    The stored counts change only with a new outcome. If they decayed continuously, they
+    would differ at each read and be sent to the other VMs over and over.
     """
 
     def __init__(self) -> None:
@@ -56,23 +57,23 @@
 
     @property
     def last(self) -> Outcomes:
-        """:returns: the outcomes as of the last one"""
+        """:returns: the counts at the time of the last outcome, not decayed since"""
         return self._outcomes
 
     def note(self, now_ms: float, *, is_answered: bool) -> None:
-        """Count an outcome."""
+        """Add an outcome."""
         one = Outcomes(1.0, 0.0) if is_answered else Outcomes(0.0, 1.0)
         self.replace(self.at(now_ms).add(one), now_ms)
 
     def replace(self, outcomes: Outcomes, now_ms: float) -> None:
-        """Take other outcomes as of now; the same as before are as old as before."""
+        """Replace the counts; equal counts are a repetition and keep their age."""
         if outcomes != self._outcomes:
             self._outcomes = outcomes
             self._at_ms = now_ms
 
     def at(self, now_ms: float) -> Outcomes:
-        """:returns: the outcomes as of now"""
-        return self._outcomes.age(now_ms - self._at_ms)
+        """:returns: the counts, decayed until ``now_ms``"""
+        return self._outcomes.decay(now_ms - self._at_ms)
 
 
 __all__ = ("HALF_LIFE_MS", "DecayingOutcomes", "Outcomes")
--- a/src/quetzaldeck/decisions/health/pace.py
+++ b/src/quetzaldeck/decisions/health/pace.py
@@ -1,13 +1,13 @@
-"""Engines that say of themselves that they are slow.
+"""Avoids engines that report a slow pace, i.e. a slowdown against their nominal speed.
 
-Load pattern: one engine of fourteen works at a fifth of its speed for some seconds,
-and answers. A prompt of 130,000 tokens is read in parts by up to seventeen engines, and
-its first token follows the last part, so that one slow reader makes each of them late.
-How long a prompt took does not tell which of its readers was slow, and an engine that
-reads parts for others gives no answers by which it could be judged.
+Failure scenario: one of fourteen engines runs at a fifth of its speed for some seconds
+but still answers. A prompt of 130,000 tokens is prefilled in parts by up to seventeen
+engines, and its first token has to wait for the last part, so one slow engine delays
+every such prompt. The time of a prompt does not show which of its engines was slow, and
+an engine that prefills parts for others yields no answers by which it could be judged.
 
-So each engine is asked for its pace about once a second by one VM, which tells the
-others. What is old is forgotten: an engine of which nothing is known is not slow.
+Therefore one VM polls each engine for its pace about once a second and sends it to the
+other VMs. Old reports expire: an engine without a recent report counts as not slow.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 NOMINAL_PACE = 1.0
-"""What an engine reports that works at its stated speed; twice as much is half as
-fast."""
+"""Pace of an engine at its configured speed; 2.0 means half that speed."""
 
 SLOW_PACE = 1.5
-"""Pace from which an engine is avoided. A prompt in parts waits for its slowest reader,
-so one that takes half as long again costs more than the part that it would read."""
+"""Pace from which an engine is avoided. A prompt that is prefilled in parts waits for
+its slowest engine, so an engine that takes 1.5 times as long delays the prompt by more
+than its share of the work saves."""
 
 MAX_PACE_AGE_MS = 3_500.0
-"""Age at which a pace is forgotten: three reports, a second apart, may be lost."""
+"""Age at which a reported pace expires: three reports, a second apart, may be lost."""
 
 
 class Pace:
-    """What is known of the pace of one engine."""
+    """The last reported pace of one engine."""
 
     def __init__(self) -> None:
         self._pace = NOMINAL_PACE
         self._noted_ms = -math.inf
 
     def note(self, pace: float, now_ms: float) -> None:
-        """Take what the engine said."""
+        """Record a reported pace."""
         self._pace = pace
         self._noted_ms = now_ms
 
     def at(self, now_ms: float) -> float:
-        """:returns: the pace, the usual one if nothing was heard lately"""
+        """:returns: the reported pace; the nominal one if there is no recent report"""
         is_known = now_ms - self._noted_ms <= MAX_PACE_AGE_MS
         return self._pace if is_known else NOMINAL_PACE
 
@@ -61,7 +61,8 @@
 ) -> list[UpstreamState]:
     """:returns: the candidates without the slowest engines of the pool
 
-    At most a third of a pool is avoided: if all are slow, the load is.
+    At most a third of a pool is avoided: if all engines are slow, the load is the
+    cause. All candidates are returned if none would be left.
 
     :param pool: all engines that serve the same requests
     """
--- a/src/quetzaldeck/decisions/health/partial_failures.py
+++ b/src/quetzaldeck/decisions/health/partial_failures.py
@@ -1,15 +1,15 @@
-"""Upstreams that fail a part of their requests while they look healthy.
-
-Load pattern: one of three desks fails four bookings in ten; its health check passes,
-and most of its answers are good. Fifty-eight VMs send it one booking in twelve seconds
-each: no VM ever sees two failures in a row, so none takes it out, and every eighth
-booking of the fleet fails for as long as the fault lasts.
-
-So VMs tell each other what came of their requests, and all judge by the sum. An
-upstream counts as failing if it failed several requests lately and a much larger part
-than the others of its pool: a kind of request that fails everywhere says nothing of one
-upstream. At most a third of a pool is avoided, as with other faults that are no proof.
-What was seen counts less with time, so that an avoided upstream is tried again.
+"""Avoids upstreams that fail part of their requests but look healthy otherwise.
+
+Failure scenario: one of three replicas of a service fails four requests in ten; its
+health check passes, and most of its answers are good. Fifty-eight VMs send it one
+request every twelve seconds each: no VM ever sees two failures in a row, so none ejects
+it, and every eighth request of the fleet fails for as long as the fault lasts.
+
+Therefore the VMs exchange the outcomes of their requests, and each judges by the sum.
+An upstream counts as failing if it recently failed several requests, and a much larger
+share than the other upstreams of its pool: requests that fail everywhere do not
+indicate a fault of one upstream. At most a third of a pool is avoided, as with other
+inconclusive evidence. Outcomes decay, so that an avoided upstream is tried again.
 """
 
 from __future__ import annotations
@@ -26,24 +26,24 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 MIN_FAILED = 2.0
-"""Failures that make a suspicion; one may be the request's own fault."""
+"""Failures needed to suspect an upstream; a single one may be caused by the request."""
 
 BASE_FACTOR = 2.0
-"""An upstream that fails less than this many times as large a part as the others is as
-they are."""
+"""An upstream counts as failing only if its share of failures is more than this many
+times that of the other upstreams."""
 
 MIN_EXCESS = 0.15
-"""Part of its requests that an upstream fails beyond that, before avoiding it is worth
-the load that it puts on the others."""
+"""Share of failures beyond that multiple from which avoiding the upstream is worth the
+additional load on the others."""
 
 
 def exclude_failing(
     candidates: Sequence[UpstreamState], pool: Sequence[UpstreamState], now_ms: float
 ) -> list[UpstreamState]:
-    """:returns: the candidates without the worst of those that fail in part
+    """:returns: the candidates without those that fail most; all if none would be left
 
-    :param candidates: upstreams that may take a request
-    :param pool: all upstreams that serve it, which they are compared with
+    :param candidates: upstreams that may run a request
+    :param pool: all upstreams that serve the request, used for comparison
     """
     avoided = find_failing(pool, now_ms)
     sound = [state for state in candidates if state.spec.name not in avoided]
@@ -51,7 +51,7 @@
 
 
 def find_failing(pool: Sequence[UpstreamState], now_ms: float) -> dict[str, Outcomes]:
-    """:returns: the upstreams of a pool that are avoided, and why"""
+    """:returns: the outcomes of the upstreams of a pool to avoid, by name"""
     outcomes = {state.spec.name: state.outcomes_at(now_ms) for state in pool}
     if all(one.n_failed < MIN_FAILED for one in outcomes.values()):
         return {}
--- a/src/quetzaldeck/decisions/health/peer_outcomes.py
+++ b/src/quetzaldeck/decisions/health/peer_outcomes.py
@@ -1,9 +1,9 @@
-"""What came of the requests of all other VMs at one upstream.
+"""Outcomes that other VMs report about one upstream, and their sum.
 
-Load pattern: hundreds of VMs tell of a hundred upstreams, and each VM compares all
-upstreams of a pool for each request that it places. All outcomes lose weight at one
-rate, so that their sum does too: it is kept, and a VM's news change it by what they say
-beyond the VM's last ones.
+Load pattern: hundreds of VMs report outcomes of a hundred upstreams, and each VM
+compares all upstreams of a pool for every request that it places. Summing the reports
+each time would be too slow. All outcomes decay at the same rate, and so does their sum:
+it is stored, and an update from a VM changes it by the difference from that VM's last.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from quetzaldeck.decisions.health.outcomes import DecayingOutcomes, Outcomes
 
 MIN_OUTCOME_WEIGHT = 0.05
-"""Requests that count for less than this are forgotten, with the VM that told them."""
+"""A VM whose outcomes have decayed below this many requests is removed."""
 
 MIN_PRUNE_SIZE = 16
-"""VMs that are kept without a look at which of them may be forgotten."""
+"""Number of VMs up to which nothing is pruned."""
 
 
 class PeerOutcomes:
-    """The outcomes that each VM told, and their sum."""
+    """The outcomes reported by each VM, and their sum."""
 
     def __init__(self) -> None:
         self._counts: dict[str, DecayingOutcomes] = {}
@@ -30,7 +30,7 @@
         return len(self._counts)
 
     def take(self, vm: str, outcomes: Outcomes, now_ms: float) -> None:
-        """Take what a VM told; the same as before is as old as before."""
+        """Record outcomes reported by a VM; a repeated report keeps its age."""
         count = self._counts.setdefault(vm, DecayingOutcomes())
         if outcomes == count.last:
             return
@@ -38,14 +38,14 @@
         count.replace(outcomes, now_ms)
         self._set_sum(self.at(now_ms).add(outcomes).subtract(before), now_ms)
         if len(self._counts) > self._prune_size:
-            self._forget(now_ms)
+            self._prune(now_ms)
 
     def at(self, now_ms: float) -> Outcomes:
-        """:returns: the sum as of now"""
-        return self._sum.age(now_ms - self._sum_ms)
+        """:returns: the sum, decayed until ``now_ms``"""
+        return self._sum.decay(now_ms - self._sum_ms)
 
-    def _forget(self, now_ms: float) -> None:
-        """Forget VMs whose outcomes have lost their weight, and add up anew."""
+    def _prune(self, now_ms: float) -> None:
+        """Remove VMs whose outcomes have decayed, and compute the sum again."""
         total = Outcomes()
         for vm, count in list(self._counts.items()):
             outcomes = count.at(now_ms)
@@ -57,7 +57,7 @@
         self._prune_size = max(MIN_PRUNE_SIZE, 2 * len(self._counts))
 
     def _set_sum(self, outcomes: Outcomes, now_ms: float) -> None:
-        # Rounding may leave a little less than nothing.
+        # Rounding errors of the subtraction may leave a small negative number.
         n_answered, n_failed = outcomes
         self._sum = Outcomes(max(0.0, n_answered), max(0.0, n_failed))
         self._sum_ms = now_ms
--- a/src/quetzaldeck/decisions/health/pool.py
+++ b/src/quetzaldeck/decisions/health/pool.py
@@ -1,9 +1,9 @@
-"""Which upstreams of a pool may be used: bounded, so that none is left unusable.
+"""Limits how many upstreams of a pool are ejected, so that a pool never becomes empty.
 
-Load pattern: many upstreams of a pool are judged faulty at once, rightly (an
-availability zone is gone) or wrongly (this VM's own network is at fault).
-Without the bound a wrong judgement leaves a VM that refuses everything while all
-upstreams are well.
+Failure scenario: many upstreams of a pool are judged faulty at once, either rightly (an
+availability zone has failed) or wrongly (this VM's own network has failed). Without the
+limit, a VM with a wrong judgement would refuse every request while all upstreams are
+healthy.
 """
 
 from __future__ import annotations
@@ -19,34 +19,38 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 MAX_SOFT_EJECTED = 0.34
-"""Largest share of a pool taken out for silence: one of three availability zones.
+"""Largest share of a pool ejected for silence: one of three availability zones.
 
-A refused connection or a crash loop proves a fault of the upstream; silence may as
-well be a fault of the path or of this VM.
+A refused connection or a crash loop proves a fault of the upstream, whereas silence may
+also be a fault of the network path or of this VM.
 """
 
 
 def list_usable(pool: Sequence[UpstreamState]) -> list[UpstreamState]:
-    """:returns: the upstreams that get ordinary work, never none of a pool"""
+    """:returns: the upstreams that get ordinary requests; never empty for a pool
+
+    Ejected upstreams are among them where the limit on ejections requires it.
+    """
     usable = [state for state in pool if not state.health.is_ejected]
     soft = sorted(
         (state for state in pool if _is_soft(state)), key=_hold_until, reverse=True
     )
-    n_kept_out = math.floor(len(pool) * MAX_SOFT_EJECTED)
-    usable.extend(soft[n_kept_out:])
+    n_ejected = math.floor(len(pool) * MAX_SOFT_EJECTED)
+    usable.extend(soft[n_ejected:])
     return usable or _least_faulty(pool)
 
 
 def admit_probes(pool: Sequence[UpstreamState], now_ms: float) -> list[UpstreamState]:
-    """:returns: ejected upstreams whose turn for one real request has come"""
+    """:returns: ejected upstreams that may be probed with one request now"""
     return [state for state in pool if state.health.may_probe(now_ms)]
 
 
 def _least_faulty(pool: Sequence[UpstreamState]) -> list[UpstreamState]:
-    """:returns: the half with the oldest evidence; one request each at a time
+    """:returns: idle upstreams with the oldest evidence, up to half of the pool
 
-    With everything out, a wrong judgement and a dead pool look the same. Refused
-    connections cost next to nothing, so trying is cheaper than refusing.
+    Only idle ones are returned, so that each gets one request at a time. With the whole
+    pool ejected, a wrong judgement cannot be told from a dead pool. Refused connections
+    cost next to nothing, so trying is cheaper than refusing the request.
     """
     idle = [state for state in pool if state.n_in_flight == 0]
     idle.sort(key=_hold_until)
--- a/src/quetzaldeck/decisions/health/state.py
+++ b/src/quetzaldeck/decisions/health/state.py
@@ -6,10 +6,10 @@
 
 
 class HealthState(StrEnum):
-    """What this VM concludes from its own work at an upstream.
+    """The health of an upstream, judged by this VM from its own requests there.
 
-    ``SLOW`` and ``WARMING`` only raise the cost of a placement; the other states
-    but ``HEALTHY`` take the upstream out of the choice until a probe.
+    ``SLOW`` and ``WARMING`` only raise the cost of a placement. ``SILENT``, ``DEAD``
+    and ``CRASH_LOOPING`` eject the upstream: it gets no requests but probes.
     """
 
     HEALTHY = "healthy"
@@ -21,7 +21,7 @@
 
     @property
     def is_ejected(self) -> bool:
-        """:returns: whether it gets no work except probes"""
+        """:returns: whether the upstream gets no requests except probes"""
         return self in _EJECTED
 
 
--- a/src/quetzaldeck/decisions/health/upstream_health.py
+++ b/src/quetzaldeck/decisions/health/upstream_health.py
@@ -1,25 +1,25 @@
-"""Health of one upstream, judged by one VM from its own work there.
+"""Health of one upstream, judged by one VM from its own requests there.
 
-Load pattern: some engines of a pool are dead, restart over and over, hang behind a
-lost flow, or run at a fraction of their speed, while requests keep arriving.
-Without it every request goes on being tried at the faulty upstream first: a dead
-one looks idle and attracts work, a silent one costs each request its idle bound,
-and one slow engine sets the tail of the whole pool.
+Failure scenario: some engines of a pool are dead, restart over and over, hang because
+the network lost a flow, or run at a fraction of their speed, while requests keep
+arriving. Without this module requests would still be sent to the faulty upstreams
+first: a dead one looks idle and attracts requests, a silent one costs each request its
+idle timeout, and one slow engine determines the tail latency of the whole pool.
 
 Each state has its own evidence and reaction:
 
-========== ================================================ =======================
+========== ================================================ =========================
 state      evidence                                         reaction
-========== ================================================ =======================
-warming    new, restarted or returned                       cost raised, falling
-slow       first-token time over 1.5 times its peers'        cost raised in ratio
-silent     reads without a byte, again on a fresh pool      no work until a probe
-dead       refused connection, or broken answers in a row   no work until a probe
-crash loop restarts in a short time                         no work until it stays up
-========== ================================================ =======================
-
-A probe is one real request, so nothing is sent that nobody asked for, and an
-upstream that answers probes but not work is never trusted.
+========== ================================================ =========================
+warming    new, restarted or recovered                      cost raised, falling
+slow       first-token time over 1.5 times its peers'       cost raised in proportion
+silent     reads without a byte, also on a new pool         ejected until a probe
+dead       refused connection, or broken answers in a row   ejected until a probe
+crash loop restarts in a short time                         ejected until it stays up
+========== ================================================ =========================
+
+A probe is one of the callers' requests: no artificial load is sent, and an upstream
+that answers only health checks is never trusted.
 """
 
 from __future__ import annotations
@@ -32,22 +32,22 @@
 from quetzaldeck.decisions.health.state import HealthState
 
 LATENCY_WEIGHT = 0.2
-"""Weight of a new latency in the moving average: about the last ten answers."""
+"""Weight of a new latency in the moving average, which spans about ten answers."""
 
 MIN_WARM_UP_SHARE = 0.1
-"""Share of the usual work for an upstream that has just come back; less would leave it
-without the answers that show that it is well."""
+"""Share of the usual load of an upstream that has just recovered. With less it would
+hardly get the requests whose answers show that it is healthy."""
 MAX_SLOW_FACTOR = 8.0
-"""An upstream slower than that is avoided by other evidence; beyond it the factor would
-only keep it from being seen again."""
+"""Upper limit of the slow factor. A larger one would keep the upstream from ever being
+measured again; an upstream that is even slower is avoided for other reasons."""
 N_TOKENS_BASE = 500
 """Added to a prompt's length so that fixed costs do not make short ones look slow."""
 
 
 class UpstreamHealth:
-    """Evidence about one upstream and what follows from it.
+    """Collects evidence about one upstream and judges its health.
 
-    :param bounds: figures of the judgement
+    :param bounds: thresholds and times
     """
 
     def __init__(self, bounds: HealthBounds | None = None) -> None:
@@ -67,38 +67,38 @@
 
     @property
     def ms_per_token(self) -> float | None:
-        """:returns: first-token time per prompt token; ``None`` if too few answers"""
+        """:returns: first-token time per prompt token; ``None``: too few answers"""
         if self._n_latencies < self._bounds.n_latencies:
             return None
         return self._ms_per_token
 
     @property
     def is_ejected(self) -> bool:
-        """:returns: whether it gets no work except probes"""
+        """:returns: whether the upstream gets no requests except probes"""
         return self._ejected is not None
 
     @property
     def ejected_state(self) -> HealthState | None:
-        """:returns: the state that it is ejected in, if it is"""
+        """:returns: the state for which the upstream is ejected, if it is"""
         return self._ejected
 
     @property
     def is_probing(self) -> bool:
-        """:returns: whether a probe runs"""
+        """:returns: whether a probe is running"""
         return bool(self._probe_id)
 
     @property
     def was_refused(self) -> bool:
-        """:returns: whether its last fault was a connection that it did not take"""
+        """:returns: whether its last fault was a failure to connect"""
         return self._last_fault is AttemptFault.CONNECT
 
     @property
     def hold_until_ms(self) -> float:
-        """:returns: monotonic time of the next probe"""
+        """:returns: monotonic time from which the upstream may be probed"""
         return self._hold_until_ms
 
     def state(self, now_ms: float, peer_ms_per_token: float | None) -> HealthState:
-        """:returns: the state; latencies are judged against the peers' median"""
+        """:returns: the state; latency is compared with the peers' median"""
         if self._ejected is not None:
             return self._ejected
         if self.warm_up_share(now_ms) < 1.0:
@@ -108,7 +108,7 @@
         return HealthState.HEALTHY
 
     def warm_up_share(self, now_ms: float) -> float:
-        """:returns: share of full load that it should get, up to 1"""
+        """:returns: share of its full load that the upstream should get, up to 1"""
         if self._warm_since_ms is None:
             return 1.0
         elapsed_ms = now_ms - self._warm_since_ms
@@ -120,34 +120,35 @@
         now_ms: float,
         pending_ms_per_token: float = 0.0,
     ) -> float:
-        """Compare with the peers.
+        """Compare the first-token latency with the peers'.
 
-        :param pending_ms_per_token: as :meth:`note_first_token` would compute it if
-            the oldest attempt got its first token now; without it an upstream ten
-            times too slow would look well until its first answers arrive
+        :param pending_ms_per_token: the value that :meth:`note_first_token` would
+            compute if the oldest attempt got its first token now; without it an
+            upstream that is ten times too slow would look healthy until its first
+            answers arrive
         :returns: 1 unless slow, else how many times slower than its peers
         """
         if not peer_ms_per_token:
             return 1.0
-        remembered = (self.ms_per_token or 0.0) / peer_ms_per_token
+        measured = (self.ms_per_token or 0.0) / peer_ms_per_token
         elapsed_ms = max(0.0, now_ms - self._latency_ms)
-        memory = math.pow(0.5, elapsed_ms / self._bounds.slow_half_life_ms)
+        weight = math.pow(0.5, elapsed_ms / self._bounds.slow_half_life_ms)
         ratio = max(
-            1.0 + (remembered - 1.0) * memory, pending_ms_per_token / peer_ms_per_token
+            1.0 + (measured - 1.0) * weight, pending_ms_per_token / peer_ms_per_token
         )
         if ratio < self._bounds.slow_ratio:
             return 1.0
         return min(ratio, MAX_SLOW_FACTOR)
 
     def start_warm_up(self, now_ms: float) -> None:
-        """Give a new or returned upstream its load step by step."""
+        """Ramp up the load of a new or recovered upstream from now on."""
         self._warm_since_ms = now_ms
 
     def note_restart(self, now_ms: float) -> None:
-        """Take a report of a new incarnation.
+        """Record a report of a new incarnation.
 
-        The process answers again, so a dead upstream may be probed at once; one
-        that restarts over and over is held until it stays up.
+        The process answers again, so an ejected upstream may be probed at once; one
+        that restarts over and over stays ejected until it stays up.
         """
         self._restarts.append(now_ms)
         self.start_warm_up(now_ms)
@@ -162,7 +163,7 @@
             self._hold_until_ms = now_ms
 
     def reset_after_restart(self, now_ms: float) -> None:
-        """Forget what was seen of an earlier start, but for how often it started."""
+        """Drop the evidence on earlier incarnations, except the number of restarts."""
         self._n_silent = 0
         self._n_broken = 0
         self._n_holds = 0
@@ -176,11 +177,11 @@
     def note_fault(
         self, attempt_id: str, fault: AttemptFault, now_ms: float
     ) -> HealthState | None:
-        """Take the failed end of an attempt.
+        """Record an attempt that ended with a fault.
 
-        :returns: the state that it was ejected into by this, if any
+        :returns: the state for which the upstream was ejected by it, if any
         """
-        if fault in _SIGNS_OF_LIFE:
+        if fault in _LIVENESS_FAULTS:
             self.note_success(attempt_id, now_ms)
             return None
         self._last_fault = fault
@@ -188,7 +189,7 @@
         if was_probe:
             self._probe_id = ""
         state = self._judge(fault)
-        if state is None and not (was_probe and fault in _EVIDENCE):
+        if state is None and not (was_probe and fault in _PROBE_FAILURES):
             return None
         state = state or self._ejected or HealthState.DEAD
         is_held = self._ejected is not None and not was_probe
@@ -199,7 +200,7 @@
         return state
 
     def note_success(self, attempt_id: str, now_ms: float) -> None:
-        """Take the first token or the whole answer of an attempt."""
+        """Record the first token or the complete answer of an attempt."""
         if attempt_id == self._probe_id:
             self._probe_id = ""
         self._n_silent = 0
@@ -215,31 +216,31 @@
     def note_first_token(
         self, n_tokens: int, duration_ms: float, now_ms: float
     ) -> None:
-        """Take a first-token time for the judgement of slowness.
+        """Record a first-token time, from which slowness is judged.
 
-        :param n_tokens: prompt tokens queued before and with it at dispatch
+        :param n_tokens: prompt tokens queued at dispatch, including the attempt's own
         """
         self._latency_ms = now_ms
         sample = compute_ms_per_token(n_tokens, duration_ms)
-        held = self._ms_per_token
+        average = self._ms_per_token
         self._n_latencies += 1
-        if held is None:
+        if average is None:
             self._ms_per_token = sample
         else:
-            self._ms_per_token = held + LATENCY_WEIGHT * (sample - held)
+            self._ms_per_token = average + LATENCY_WEIGHT * (sample - average)
 
     def may_probe(self, now_ms: float) -> bool:
-        """:returns: whether one real request may be sent to find out"""
+        """:returns: whether one request may be sent as a probe"""
         return self.is_ejected and not self.is_probing and now_ms >= self._hold_until_ms
 
     def start_probe(self, attempt_id: str) -> None:
-        """Note that an attempt is the probe of an ejected upstream."""
+        """Record that an attempt is the probe of an ejected upstream."""
         self._probe_id = attempt_id
 
     def release_probe(self, attempt_id: str) -> None:
-        """Forget an attempt that ended without evidence, e.g. its caller left.
+        """End a probe that yielded no evidence, e.g. because its caller disconnected.
 
-        Otherwise the probe would count as running for ever and the upstream would
+        Otherwise the probe would count as running for ever, and the upstream would
         never be probed again.
         """
         if attempt_id == self._probe_id:
@@ -249,7 +250,7 @@
         if fault is AttemptFault.CONNECT:
             self._n_broken = self._bounds.n_broken
             return HealthState.DEAD
-        if fault in _COUNTED:
+        if fault in _COUNTED_FAULTS:
             self._n_broken += 1
             return HealthState.DEAD if self._n_broken >= self._bounds.n_broken else None
         if fault is AttemptFault.SILENT:
@@ -266,17 +267,23 @@
 
 
 def compute_ms_per_token(n_tokens: int, duration_ms: float) -> float:
-    """:returns: first-token time per token, comparable between prompts"""
+    """:returns: first-token time per token, comparable between prompt lengths"""
     return duration_ms / (n_tokens + N_TOKENS_BASE)
 
 
-_COUNTED = frozenset((AttemptFault.BROKEN, AttemptFault.FAILED, AttemptFault.HELPER))
-"""Faults of which several in a row, without a success between them, say that it is
-dead. One may have another cause: a request that breaks what runs it, a full helper."""
+_COUNTED_FAULTS = frozenset(
+    (AttemptFault.BROKEN, AttemptFault.FAILED, AttemptFault.HELPER)
+)
+"""Faults that show a dead upstream if several occur without a success in between. A
+single one may have another cause, such as a request that crashes engines, or a helper
+at capacity."""
+
+_PROBE_FAILURES = _COUNTED_FAULTS | {AttemptFault.CONNECT, AttemptFault.SILENT}
+"""Faults after which a failed probe keeps an upstream ejected."""
 
-_EVIDENCE = _COUNTED | {AttemptFault.CONNECT, AttemptFault.SILENT}
-_SIGNS_OF_LIFE = frozenset(
+_LIVENESS_FAULTS = frozenset(
     (AttemptFault.OVERLOADED, AttemptFault.REFUSED, AttemptFault.TOO_LONG)
 )
+"""Faults with which an upstream answers, and so proves that it is alive."""
 
 __all__ = ("UpstreamHealth", "compute_ms_per_token")
--- a/tests/decisions/health/test_pace.py
+++ b/tests/decisions/health/test_pace.py
@@ -1,8 +1,9 @@
-"""One engine works at a fifth of its speed, and answers.
+"""Engines that report a slow pace are avoided.
 
-A coach waits for a season history that fourteen engines read in parts: thirteen are
-done in a tenth of a second, the last one in half a second, and the next history is
-placed on the same engines, as nothing tells which of them was slow.
+Failure guarded against: fourteen engines prefill a long prompt in parts. Thirteen take
+a tenth of a second, but one runs at a fifth of its speed and takes half a second, so
+the first token is late. The next long prompt is placed on the same engines, since the
+latency does not show which of them was slow.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
     assert not engines_of(send(scheduler, clock, n_tokens)) & set(slow)
 
 
-def test_pace_that_was_not_told_again_is_forgotten(clock: ManualClock) -> None:
+def test_pace_expires_without_a_new_report(clock: ManualClock) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
     scheduler.fleet.observe_paces([(NAMES[0], 5.0)])
     assert set(scheduler.upstreams.find_slow(clock.now_ms())) == {NAMES[0]}
@@ -60,7 +61,7 @@
     assert not scheduler.upstreams.find_slow(clock.now_ms())
 
 
-def test_engine_that_is_at_speed_again_gets_work_at_once() -> None:
+def test_engine_back_at_normal_pace_is_used_at_once() -> None:
     pace = Pace()
     pace.note(SLOW_PACE, 0.0)
     assert pace.is_slow(10.0)
@@ -68,10 +69,10 @@
     assert not pace.is_slow(20.0)
 
 
-def test_engines_that_are_all_slow_are_used_and_the_slowest_avoided(
+def test_only_the_slowest_are_avoided_if_all_engines_are_slow(
     clock: ManualClock,
 ) -> None:
-    """A load that makes all engines slow must not leave a VM without any."""
+    """Guards against a load that slows all engines and leaves a VM with none to use."""
     scheduler = make_entry_scheduler(clock, NAMES)
     paces = [(name, 2.0 + number) for number, name in enumerate(NAMES)]
     scheduler.fleet.observe_paces(paces)
@@ -80,16 +81,16 @@
     assert not used & set(NAMES[-4:])
 
 
-def test_engine_that_is_unknown_is_not_noted(clock: ManualClock) -> None:
+def test_pace_of_an_unknown_engine_is_ignored(clock: ManualClock) -> None:
     scheduler = make_entry_scheduler(clock, NAMES)
     scheduler.fleet.observe_paces([("gone", 5.0)])
     assert not scheduler.upstreams.find_slow(clock.now_ms())
 
 
-def test_slow_engine_makes_no_history_late() -> None:
-    """The load of the bench: 34 histories, one engine of fourteen five times slower.
+def test_slow_engine_delays_no_long_prompt() -> None:
+    """Runs the bench's load of 34 long prompts with one of 14 engines 5 times slower.
 
-    Five of them were late when no VM knew the paces.
+    Without knowledge of the paces, five of the prompts were late.
     """
     fleet = FLEETS[0]
     scenarios = {scenario.name: scenario for scenario in list_scenarios(fleet, 1)}
--- a/tests/decisions/health/test_partial_failures.py
+++ b/tests/decisions/health/test_partial_failures.py
@@ -1,8 +1,8 @@
-"""One desk fails a part of its bookings, and looks healthy to each VM.
+"""Replicas that fail part of their requests are avoided.
 
-A member books a rack and is told of a failure, again and again: the desk answers its
-health check and most requests, and every VM of a large fleet sends it too few to see
-two failures in a row.
+Failure guarded against: callers of a service get errors again and again, because one
+replica fails part of its requests. It answers its health check and most requests, and
+each VM of a large fleet sends it too few requests to see two failures in a row.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 FAULTY = "desk-b"
 FAILED_SHARE = 0.4
 N_VMS = 20
-N_BOOKINGS = 600
-BOOKING_MS = 200.0
-"""Five bookings a second over all VMs."""
+N_REQUESTS = 600
+REQUEST_INTERVAL_MS = 200.0
+"""Interval between requests, over all VMs: five requests a second."""
 
 
 def make_states(*outcomes: tuple[int, int]) -> list[UpstreamState]:
-    """:returns: desks that answered and failed so many requests just now"""
+    """:returns: replicas with these counts of answered and failed requests"""
     states = []
     for number, (n_answered, n_failed) in enumerate(outcomes):
         spec = UpstreamSpec(f"d{number}", "http://h:1", kind="service", service="desk")
@@ -49,17 +49,17 @@
     return [state.spec.name for state in states]
 
 
-def test_desk_that_fails_a_part_is_avoided() -> None:
+def test_replica_that_fails_part_of_its_requests_is_avoided() -> None:
     states = make_states((20, 0), (6, 4), (20, 0))
     assert names_of(exclude_failing(states, states, 0.0)) == ["d0", "d2"]
 
 
-def test_request_that_fails_everywhere_is_no_ones_fault() -> None:
+def test_failures_of_all_replicas_exclude_none() -> None:
     states = make_states((12, 4), (12, 5), (12, 3))
     assert exclude_failing(states, states, 0.0) == states
 
 
-def test_one_failure_is_no_suspicion() -> None:
+def test_single_failure_excludes_no_replica() -> None:
     states = make_states((20, 0), (0, 1), (20, 0))
     assert exclude_failing(states, states, 0.0) == states
 
@@ -69,17 +69,17 @@
     assert names_of(exclude_failing(states, states, 0.0)) == ["d0", "d1"]
 
 
-def test_failing_desk_is_used_where_no_other_has_room() -> None:
+def test_failing_replica_is_used_if_it_is_the_only_candidate() -> None:
     states = make_states((20, 0), (6, 4), (20, 0))
     assert names_of(exclude_failing(states[1:2], states, 0.0)) == ["d1"]
 
 
-def test_avoided_desk_is_tried_again() -> None:
+def test_avoided_replica_is_tried_again() -> None:
     states = make_states((20, 0), (6, 4), (20, 0))
     assert exclude_failing(states, states, 1.5 * HALF_LIFE_MS) == states
 
 
-def test_outcomes_told_again_are_not_counted_as_new() -> None:
+def test_repeated_outcomes_are_not_counted_as_new() -> None:
     count = DecayingOutcomes()
     count.replace(Outcomes(4.0, 2.0), 0.0)
     count.replace(Outcomes(4.0, 2.0), HALF_LIFE_MS)
@@ -87,11 +87,11 @@
 
 
 class Fleet:
-    """VMs that send bookings in turn, and tell each other what came of them or not."""
+    """VMs that send requests to a service, with or without exchanging outcomes."""
 
-    def __init__(self, clock: ManualClock, *, tells: bool) -> None:
+    def __init__(self, clock: ManualClock, *, is_sharing: bool) -> None:
         self.clock = clock
-        self.tells = tells
+        self.is_sharing = is_sharing
         self.random = random.Random(5)
         specs = tuple(
             UpstreamSpec(name, "http://127.0.0.1:1", kind="service", service="desk")
@@ -105,8 +105,8 @@
             vm.apply_bundle(Bundle(1, 1 << 53, upstreams=specs))
             self.vms.append(vm)
 
-    def book(self, number: int) -> bool:
-        """:returns: whether the booking failed"""
+    def send(self, number: int) -> bool:
+        """:returns: whether the request failed"""
         vm = self.random.choice(self.vms)
         request = make_request(f"r{number}", now_ms=self.clock.now_ms())._replace(
             model="", service="desk", is_repeatable=False, n_prompt_tokens=1
@@ -118,39 +118,46 @@
         has_failed = is_faulty and self.random.random() < FAILED_SHARE
         fault = AttemptFault.FAILED if has_failed else None
         vm.end_attempt(AttemptEnd(dispatch.attempt_id, fault))
-        if self.tells:
-            self.tell(vm)
+        if self.is_sharing:
+            self.share_outcomes(vm)
         return has_failed
 
-    def tell(self, teller: Scheduler) -> None:
+    def share_outcomes(self, sender: Scheduler) -> None:
         now_ms = self.clock.now_ms()
-        shares = [(s.spec.name, s.own_share(now_ms)) for s in teller.upstreams]
+        shares = [(s.spec.name, s.own_share(now_ms)) for s in sender.upstreams]
         for vm in self.vms:
-            if vm is not teller:
-                vm.fleet.observe_peer(str(id(teller)), shares)
+            if vm is not sender:
+                vm.fleet.observe_peer(str(id(sender)), shares)
 
     def run(self) -> int:
-        """:returns: how many bookings failed"""
+        """:returns: how many requests failed"""
         n_failed = 0
-        for number in range(N_BOOKINGS):
-            self.clock.advance(BOOKING_MS)
-            n_failed += self.book(number)
+        for number in range(N_REQUESTS):
+            self.clock.advance(REQUEST_INTERVAL_MS)
+            n_failed += self.send(number)
         return n_failed
 
 
-def test_fleet_of_many_vms_avoids_a_desk_that_fails_a_part() -> None:
-    """Two minutes of bookings; what is left are those that try the desk again."""
-    alone = Fleet(ManualClock(0.0), tells=False).run()
-    together = Fleet(ManualClock(0.0), tells=True).run()
-    assert alone > 0.08 * N_BOOKINGS
-    assert together < 0.5 * alone
+def test_fleet_that_shares_outcomes_avoids_a_replica_that_fails_partly() -> None:
+    """Guards against failures that go on because no VM sees enough of them.
+
+    Runs two minutes of requests. The failures that remain with shared outcomes are
+    those of requests that try the avoided replica again.
+    """
+    isolated = Fleet(ManualClock(0.0), is_sharing=False).run()
+    sharing = Fleet(ManualClock(0.0), is_sharing=True).run()
+    assert isolated > 0.08 * N_REQUESTS
+    assert sharing < 0.5 * isolated
 
 
 @pytest.mark.parametrize(("elapsed_ms", "n_failed"), [(100.0, 0.0), (600.0, 1.0)])
-def test_booking_that_was_never_answered_counts_against_its_desk(
+def test_unanswered_request_counts_as_a_failure_of_its_replica(
     clock: ManualClock, elapsed_ms: float, n_failed: float
 ) -> None:
-    """It may not be sent again, so it ends with its caller, not with a fault."""
+    """Guards against missing a failure: a request that must not be repeated is not retried.
+
+    It ends without a fault when its caller disconnects.
+    """
     vm = build_scheduler(POLICIES, clock=clock, random_state=random.Random(1))
     spec = UpstreamSpec("d0", "http://127.0.0.1:1", kind="service", service="desk")
     vm.apply_bundle(Bundle(1, 1 << 53, upstreams=(spec,)))
--- a/tests/decisions/health/test_upstream_health.py
+++ b/tests/decisions/health/test_upstream_health.py
@@ -1,4 +1,4 @@
-"""Tests of the judgement on upstreams, from evidence to reaction."""
+"""Judging the health of upstreams, from evidence to reaction."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
     assert health.state(0.0, None) is state
 
 
-def test_one_silent_read_is_no_death() -> None:
-    """Something on the path forgot the flows to a healthy engine.
+def test_single_silent_reads_do_not_eject() -> None:
+    """Guards against ejecting a healthy engine whose flows the network lost.
 
-    Taking it for dead would move its load to the others for nothing.
+    That would needlessly move its load to the other engines.
     """
     health = UpstreamHealth()
     health.note_fault("a", AttemptFault.SILENT, 0.0)
@@ -53,7 +53,7 @@
     assert not health.is_ejected
 
 
-def test_hold_doubles_until_real_work_succeeds() -> None:
+def test_hold_doubles_until_a_probe_succeeds() -> None:
     health = UpstreamHealth()
     health.note_fault("a", AttemptFault.CONNECT, 0.0)
     holds = []
@@ -72,10 +72,10 @@
     assert health.state(now_ms + BOUNDS.warm_up_ms, None) is HealthState.HEALTHY
 
 
-def test_probe_that_ends_without_evidence_lets_the_next_one_go() -> None:
-    """The caller of the probe leaves before an answer.
+def test_probe_without_evidence_allows_the_next_one() -> None:
+    """Guards against a probe that counts as running for ever and blocks all others.
 
-    A probe that counts as running for ever would keep the upstream out for ever.
+    Its caller disconnects before there is an answer, so it ends without evidence.
     """
     health = UpstreamHealth()
     health.note_fault("a", AttemptFault.CONNECT, 0.0)
@@ -85,9 +85,9 @@
 
 
 def test_restarts_in_a_row_are_a_crash_loop() -> None:
-    """An engine crashes while loading, starts, answers, crashes, starts again.
+    """Guards against an engine that restarts and crashes over and over.
 
-    Each start looks like a recovery; work sent then is lost again.
+    Each restart looks like a recovery, and the requests sent after it are lost again.
     """
     health = UpstreamHealth()
     for index in range(3):
@@ -110,10 +110,10 @@
     assert health.slow_factor(0.3, 0.0) == 1.0
 
 
-def test_slowness_is_forgotten_with_time() -> None:
-    """An engine was slow for a while and got no work since.
+def test_slowness_decays_with_time() -> None:
+    """Guards against an engine that was slow for a while and never gets requests again.
 
-    Nothing could ever correct the judgement, and it would stay without work.
+    Without requests there are no new latencies that could correct the judgement.
     """
     health = UpstreamHealth()
     for _ in range(BOUNDS.n_latencies):
@@ -123,12 +123,12 @@
     assert health.slow_factor(0.1, 5 * later_ms) == 1.0
 
 
-def test_first_token_that_does_not_come_is_slow_already() -> None:
+def test_overdue_first_token_counts_as_slow() -> None:
     health = UpstreamHealth()
     assert health.slow_factor(0.1, 0.0, pending_ms_per_token=0.3) == pytest.approx(3.0)
 
 
-def test_answer_that_says_overloaded_is_a_sign_of_life() -> None:
+def test_overloaded_answer_ends_an_ejection() -> None:
     health = UpstreamHealth()
     health.note_fault("a", AttemptFault.CONNECT, 0.0)
     health.start_probe("p")
@@ -140,8 +140,8 @@
     return [make_state(f"e{index}") for index in range(n_upstreams)]
 
 
-def test_list_usable_bounds_what_silence_takes_out() -> None:
-    """The VM's own network drops packets: every upstream looks silent."""
+def test_list_usable_limits_ejections_for_silence() -> None:
+    """Guards against ejecting a whole pool when the VM's own network drops packets."""
     pool = make_pool(9)
     for now_ms, state in enumerate(pool):
         for _ in range(2):
@@ -157,7 +157,7 @@
     assert len(list_usable(pool)) == 2
 
 
-def test_scheduler_probes_with_real_work_and_returns_the_upstream() -> None:
+def test_scheduler_probes_with_a_request_and_readmits_the_upstream() -> None:
     clock = ManualClock(1_000.0)
     scheduler = make_scheduler(clock, ("e0", "e1"))
     state = scheduler.upstreams.get("e0")
@@ -181,11 +181,13 @@
     ("fault", "waits_ms"),
     [(AttemptFault.CONNECT, 5_000.0), (AttemptFault.BROKEN, 60_000.0)],
 )
-def test_booking_probes_last(fault: AttemptFault, waits_ms: float) -> None:
-    """A desk has nothing but bookings, and one of its replicas broke off twice.
+def test_non_repeatable_request_probes_only_when_overdue(
+    fault: AttemptFault, waits_ms: float
+) -> None:
+    """Guards against a replica that stays ejected for ever in a service without others.
 
-    A booking that finds out how it is now may be lost by it; but if none did, the
-    replica would stay out for ever.
+    A request that must not be repeated may be lost as a probe, so it is used only after
+    a longer wait. But a service may get no other requests to probe a replica with.
     """
     clock = ManualClock(1_000.0)
     scheduler = make_scheduler(clock, ("e0", "e1"))
@@ -193,16 +195,16 @@
     assert state is not None
     for _ in range(2):
         state.health.note_fault("x", fault, clock.now_ms())
-    booking = make_request(now_ms=1_000.0, timeout_ms=1e6)
-    booking = booking._replace(is_repeatable=False)
+    request = make_request(now_ms=1_000.0, timeout_ms=1e6)
+    request = request._replace(is_repeatable=False)
     places = []
     for at_ms in (waits_ms - 1, waits_ms):
         now_ms = state.health.hold_until_ms + at_ms
-        places.append(scheduler.placer.place(booking, (), now_ms))
+        places.append(scheduler.placer.place(request, (), now_ms))
     assert places == [("e1",), ("e0",)]
 
 
-def test_leaving_upstream_gets_nothing_new_not_even_retries() -> None:
+def test_leaving_upstream_gets_no_new_requests_or_retries() -> None:
     clock = ManualClock(1_000.0)
     scheduler = make_scheduler(clock, ("e0", "e1"))
     scheduler.fleet.observe([make_report("e0"), make_report("e1")], leaving=("e0",))
