--- a/src/quetzaldeck/decisions/poison/__init__.py
+++ b/src/quetzaldeck/decisions/poison/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash the engines which run them."""
+"""Detects requests that crash the engines that run them."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/poison/crash_record.py
+++ b/src/quetzaldeck/decisions/poison/crash_record.py
@@ -1,4 +1,4 @@
-"""Crash sightings as the value of a record that VMs spread."""
+"""Encodes crash sightings as the value of a record that VMs share."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from collections.abc import Iterable
 
 MAX_CRASHES_IN_RECORD = 8
-"""Crashes told of one request; more than the bound after which it is refused."""
+"""Crashes in the record of one request; more than the limit at which it is refused."""
 
 
 class CrashObservation(NamedTuple):
-    """One crash with a request on board.
+    """One engine crash while a request was running on the engine.
 
-    :param age_ms: time since it was seen when the record was made
+    :param age_ms: time from the crash until the record was made
     """
 
     upstream: str
@@ -27,9 +27,9 @@
 
 
 class CrashRecord(NamedTuple):
-    """What one VM knows of one request.
+    """What one VM knows about one request.
 
-    :param cleared_age_ms: time since an engine answered it; ``None``: it did not
+    :param cleared_age_ms: time since an engine answered it; ``None``: none has
     """
 
     crashes: tuple[CrashObservation, ...] = ()
@@ -37,7 +37,7 @@
 
 
 def encode_crash_record(sightings: Iterable[CrashSighting]) -> CrashRecord:
-    """:returns: the sightings of one fingerprint, newest first"""
+    """:returns: the record of one fingerprint's sightings, newest first"""
     ordered = sorted(sightings, key=_age)
     crashes = [
         CrashObservation(item.upstream, item.incarnation, item.age_ms)
@@ -53,23 +53,23 @@
 def decode_crash_record(
     fingerprint: int, value: object, travelled_ms: float
 ) -> tuple[CrashSighting, ...]:
-    """Read the value of a record.
+    """Decode the value of a record.
 
     :param travelled_ms: time since the record was made
-    :returns: its sightings; none if another release wrote it in another form
+    :returns: its sightings; none if another release wrote it in another format
     """
     try:
-        news = msgspec.convert(value, CrashRecord, strict=False)
+        record = msgspec.convert(value, CrashRecord, strict=False)
     except msgspec.ValidationError:
         return ()
     sightings = [
         CrashSighting(
-            fingerprint, seen.upstream, seen.incarnation, seen.age_ms + travelled_ms
+            fingerprint, crash.upstream, crash.incarnation, crash.age_ms + travelled_ms
         )
-        for seen in news.crashes
+        for crash in record.crashes
     ]
-    if news.cleared_age_ms is not None:
-        cleared_ms = news.cleared_age_ms + travelled_ms
+    if record.cleared_age_ms is not None:
+        cleared_ms = record.cleared_age_ms + travelled_ms
         sightings.append(CrashSighting(fingerprint, "", "", cleared_ms))
     return tuple(sightings)
 
--- a/src/quetzaldeck/decisions/poison/registry.py
+++ b/src/quetzaldeck/decisions/poison/registry.py
@@ -1,23 +1,25 @@
-"""Finds requests that crash engines, clears those that were only there.
-
-Load pattern: one request crashes each engine that runs it, and its caller sends it
-again, to whichever VM the balancer picks. Without this module it takes down an
-engine every few seconds, with all that runs there, until the pool is gone.
-
-A crash makes suspects of all requests on board. A suspect runs apart: at most one
-on an engine, and only one copy of it at a time on a VM, so that the next crash tells
-the guilty from the rest: a crash counts only against those on board that were in
-the most crashes. One complete answer clears a request. Refused is what ``n_crashes``
-crashes count against, unless about as many engines crashed without it at the time:
-in a wave that takes engine after engine, the requests that are tried again are on
-board of several crashes and caused none.
-
-The bound: with sightings shared between the VMs, a request that is sent again and
-again kills at most ``n_crashes`` engines over all VMs. Copies that run through ``c``
-VMs at the same time, or before the news arrive, can each kill one engine more: at
-most ``n_crashes - 1 + c`` in all. While engines crash without it as well,
-``max_crashes`` takes the place of ``n_crashes``. VMs that cannot exchange news keep
-the bound each for itself.
+"""Identifies requests that crash engines, and clears those that only ran alongside.
+
+Failure scenario: one request crashes each engine that runs it, and its caller retries
+it, each time through whichever VM the load balancer picks. Without this module it takes
+down an engine every few seconds, with all requests running there, until the pool is
+gone.
+
+A crash makes suspects of all requests that were running on the engine. Suspects are
+isolated: an engine runs at most one of them, and a VM runs only one copy of a suspect
+at a time. The next crash then separates the culprit from the bystanders, because a
+crash counts only against those of its requests that were in the most crashes. One
+complete answer clears a request. A request is refused once ``n_crashes`` crashes count
+against it, unless about as many engines crashed without it at the time: when engine
+after engine crashes for another reason, the requests that are retried are in several
+crashes and caused none.
+
+Guarantee: if the VMs share their sightings, a request that is resent over and over
+crashes at most ``n_crashes`` engines over all VMs. Copies that run through ``c`` VMs at
+the same time, or before the updates arrive, can each crash one more engine, at most
+``n_crashes - 1 + c`` in total. While other engines crash without it as well,
+``max_crashes`` takes the place of ``n_crashes``. VMs that cannot exchange updates keep
+the limit each on their own.
 """
 
 from __future__ import annotations
@@ -34,7 +36,7 @@
 
 
 class Verdict(StrEnum):
-    """What is known of a request."""
+    """How a request is treated, by the crashes that count against it."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -49,9 +51,9 @@
 
 
 class PoisonRegistry:
-    """Crash sightings by fingerprint; the oldest go first.
+    """Stores crash sightings by fingerprint; the oldest are dropped first.
 
-    :param bounds: figures
+    :param bounds: thresholds
     """
 
     def __init__(self, bounds: PoisonBounds | None = None) -> None:
@@ -61,21 +63,21 @@
         self._cleared: OrderedDict[int, float] = OrderedDict()
         self._seen_ms: OrderedDict[_Crash, float] = OrderedDict()
         self._changed: set[int] = set()
-        self._heard: set[int] = set()
+        self._updated: set[int] = set()
 
     def __len__(self) -> int:
         return len(self._crashes)
 
     @property
     def bounds(self) -> PoisonBounds:
-        """:returns: figures"""
+        """:returns: thresholds"""
         return self._bounds
 
     def n_crashes(self, fingerprint: int, now_ms: float) -> int:
         """:returns: crashes that count against a request
 
-        A bystander's crash does not count while another request on board was in
-        more crashes; it counts again if that one turns out to be harmless.
+        A crash does not count against a request while another request of that crash
+        was in more crashes; it counts again once the other one is cleared.
         """
         crashes = self._crashes.get(fingerprint)
         if crashes is None:
@@ -85,27 +87,28 @@
         return sum(len(crashes) >= self._max_crashes_on(crash) for crash in recent)
 
     def verdict(self, fingerprint: int, now_ms: float) -> Verdict:
-        """:returns: whether a request runs freely, apart, or not at all"""
+        """:returns: whether a request runs normally, isolated, or not at all"""
         n_crashes = self.n_crashes(fingerprint, now_ms)
         if n_crashes >= self._crash_limit(fingerprint, n_crashes):
             return Verdict.REFUSED
         return Verdict.SUSPECT if n_crashes else Verdict.CLEAR
 
     def count_verdicts(self, now_ms: float) -> Counter[Verdict]:
-        """:returns: requests that were on board of a crash, by verdict"""
+        """:returns: number of requests that were in a crash, by verdict"""
         return Counter(self.verdict(item, now_ms) for item in self._crashes)
 
     def pop_newly_refused(self, now_ms: float) -> list[int]:
-        """:returns: requests of which more was heard since last asked, now refused"""
-        heard = sorted(self._heard)
-        self._heard.clear()
-        return [f for f in heard if self.verdict(f, now_ms) is Verdict.REFUSED]
+        """:returns: refused requests of those with new sightings since the last call"""
+        updated = sorted(self._updated)
+        self._updated.clear()
+        return [f for f in updated if self.verdict(f, now_ms) is Verdict.REFUSED]
 
     def pause_ms(self, fingerprint: int, now_ms: float) -> float:
-        """:returns: pause before a suspect runs, 0 for any other request
+        """:returns: pause before a suspect runs; 0 for any other request
 
-        It is counted from the last crash that is known. A copy that arrives here
-        while another VM's runs would otherwise kill an engine before the news come.
+        It starts at the last known crash. Otherwise a copy that arrives at this VM
+        while another VM runs one could crash an engine before this VM learns of the
+        other crash.
         """
         if self.verdict(fingerprint, now_ms) is not Verdict.SUSPECT:
             return 0.0
@@ -113,7 +116,7 @@
         return max(0.0, last_ms + self._bounds.propagation_ms - now_ms)
 
     def retry_after_ms(self, fingerprint: int, now_ms: float) -> float:
-        """:returns: when a refused request would be let in again"""
+        """:returns: time until a refused request may be admitted again"""
         seen = sorted(self._crashes.get(fingerprint, {}).values(), reverse=True)
         if len(seen) < self._bounds.n_crashes:
             return 0.0
@@ -123,7 +126,7 @@
     def note_crash(
         self, fingerprint: int, upstream: str, incarnation: str, now_ms: float
     ) -> None:
-        """Take one request that was on board when an engine crashed."""
+        """Record a request that was running on an engine when it crashed."""
         self._changed.add(fingerprint)
         self._add(fingerprint, _Crash(upstream, incarnation), now_ms)
 
@@ -140,11 +143,11 @@
         return True
 
     def note_alive(self, upstream: str, incarnation: str, measured_ms: float) -> None:
-        """Take a report of an incarnation: it had not crashed when it measured.
+        """Drop sightings that a later report of the same incarnation refutes.
 
-        A connection that a device between the ends cut looks like a crash. The
-        report of the same incarnation from after that moment proves that there was
-        none, and the sighting is dropped.
+        A connection that a network device cut looks like a crash of the engine. A
+        report that the same incarnation measured after that moment proves that it did
+        not crash.
         """
         crash = _Crash(upstream, incarnation)
         certain_ms = measured_ms - self._bounds.alive_margin_ms
@@ -153,11 +156,14 @@
                 self._discard(fingerprint, crash)
 
     def pop_changed_sightings(self, now_ms: float) -> list[tuple[CrashSighting, ...]]:
-        """:returns: sightings by request, of those that changed since last asked"""
+        """:returns: sightings of the requests that this VM has to announce, by request
+
+        They are those of which it saw a crash or an answer since the last call.
+        """
         changed = sorted(self._changed)
         self._changed.clear()
-        news = [tuple(self._list_sightings(item, now_ms)) for item in changed]
-        return [sightings for sightings in news if sightings]
+        by_request = [tuple(self._list_sightings(item, now_ms)) for item in changed]
+        return [sightings for sightings in by_request if sightings]
 
     def _list_sightings(
         self, fingerprint: int, now_ms: float
@@ -169,7 +175,7 @@
             yield CrashSighting(fingerprint, "", "", age_ms)
 
     def observe(self, sightings: Iterable[CrashSighting], now_ms: float) -> None:
-        """Take what other VMs saw: perhaps late, twice, or known already."""
+        """Merge sightings of other VMs, which may be late, repeated or known."""
         for sighting in sightings:
             seen_ms = now_ms - sighting.age_ms
             if sighting.age_ms > self._bounds.forget_ms:
@@ -178,14 +184,14 @@
                 crash = _Crash(sighting.upstream, sighting.incarnation)
                 self._add(sighting.fingerprint, crash, seen_ms)
             else:
-                self._take_cleared(sighting.fingerprint, seen_ms)
+                self._merge_cleared(sighting.fingerprint, seen_ms)
 
     def _add(self, fingerprint: int, crash: _Crash, seen_ms: float) -> None:
-        # Another VM may go on telling of a crash from before the request was
-        # cleared; without this check the bystander would be suspected again.
+        # Another VM may still report a crash from before the request was cleared;
+        # without this check the request would become a suspect again.
         if seen_ms <= self._cleared.get(fingerprint, float("-inf")):
             return
-        self._heard.add(fingerprint)
+        self._updated.add(fingerprint)
         crashes = self._crashes.setdefault(fingerprint, {})
         crashes[crash] = min(seen_ms, crashes.get(crash, seen_ms))
         self._requests_by_crash.setdefault(crash, set()).add(fingerprint)
@@ -196,14 +202,14 @@
         while len(self._seen_ms) > self._bounds.max_crashes_held:
             self._seen_ms.popitem(last=False)
 
-    def _take_cleared(self, fingerprint: int, cleared_ms: float) -> None:
+    def _merge_cleared(self, fingerprint: int, cleared_ms: float) -> None:
         for crash, seen_ms in tuple(self._crashes.get(fingerprint, {}).items()):
             if seen_ms <= cleared_ms:
                 self._discard(fingerprint, crash)
         self._clear(fingerprint, cleared_ms)
 
     def _crash_limit(self, fingerprint: int, n_crashes: int) -> int:
-        """:returns: crashes after which a request is refused"""
+        """:returns: number of crashes at which a request is refused"""
         if n_crashes < self._bounds.n_crashes:
             return self._bounds.n_crashes
         own = self._crashes[fingerprint]
@@ -220,7 +226,10 @@
     def _is_own_crash(
         self, own: dict[_Crash, float], crash: _Crash, seen_ms: float
     ) -> bool:
-        """:returns: whether a crash is one of a request's, perhaps by another name"""
+        """:returns: whether a crash is one of a request's own crashes
+
+        It may be recorded under another incarnation, see ``same_crash_ms``.
+        """
         return crash in own or any(
             other.upstream == crash.upstream
             and abs(own_ms - seen_ms) <= self._bounds.same_crash_ms
--- a/src/quetzaldeck/decisions/poison/sighting.py
+++ b/src/quetzaldeck/decisions/poison/sighting.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other about requests and crashes."""
+"""One observation of a request in an engine crash, as VMs share it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class CrashSighting(NamedTuple):
-    """One request that was on board when an engine crashed, or was cleared.
+    """A request that was running on an engine when it crashed, or that was cleared.
 
-    :param fingerprint: hash of what the engine ran
+    :param fingerprint: hash of the input that the engine ran
     :param upstream: name of the engine; ``""`` if the request is cleared
-    :param incarnation: incarnation that crashed: the same crash, seen by several
-        VMs, is counted once
-    :param age_ms: time since it was seen
+    :param incarnation: incarnation that crashed; with it, a crash that several VMs see
+        is counted once
+    :param age_ms: time since the crash was seen or the request was cleared
     """
 
     fingerprint: int
--- a/src/quetzaldeck/decisions/relays/__init__.py
+++ b/src/quetzaldeck/decisions/relays/__init__.py
@@ -1,4 +1,4 @@
-"""How what VMs tell each other reaches all of a large fleet."""
+"""Relays that distribute updates between the VMs of a large fleet."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/relays/bounds.py
+++ b/src/quetzaldeck/decisions/relays/bounds.py
@@ -1,4 +1,4 @@
-"""Figures of relaying news between VMs."""
+"""Limits and times for relaying updates between VMs."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class RelayBounds(NamedTuple):
-    """Sizes and times.
-
-    :param n_peers_relayed: with more other VMs than this, a VM tells its news to a
-        relay only; with fewer, to each of them, which is faster
-    :param n_peers_joining: with more other VMs than this, a VM asks a relay for news;
-        less than ``n_peers_relayed``, since VMs may disagree on how many there are
-    :param n_members_per_core: members that a relay with a whole core takes
-    :param join_ms: pause between two requests of a VM to be told news
-    :param n_missed_joins: requests that may be lost before a VM is told nothing more
-    :param ack_timeout_ms: time in which a VM confirms that it was told something
-    :param n_sends: how often something is told to a VM that does not confirm it
-    :param suspect_ms: a VM that did not confirm is not chosen for so long, and for
-        twice as long after each further time
-    :param max_suspect_ms: longest time for that
-    :param tick_ms: shortest pause between two messages to the same VMs
-    :param send_ms: processor time for a datagram
-    :param send_share: part of a relay's processor that sending may take
+    """Limits and times for relaying updates between VMs.
+
+    :param n_peers_relayed: with more peers than this, a VM sends its updates only to a
+        relay; with fewer, directly to each of them, which is faster
+    :param n_peers_joining: with more peers than this, a VM subscribes to a relay; less
+        than ``n_peers_relayed``, since VMs may disagree on the number of peers
+    :param n_members_per_core: members that a relay with one core can serve
+    :param join_ms: interval at which a VM renews its subscription
+    :param n_missed_joins: renewals that may be lost before a subscription expires
+    :param ack_timeout_ms: time within which a VM must acknowledge a message
+    :param n_sends: how often a message is sent to a VM that does not acknowledge it
+    :param suspect_ms: time for which a VM is not selected after it missed an
+        acknowledgement; it doubles with each further miss
+    :param max_suspect_ms: upper limit of that time
+    :param tick_ms: shortest interval between two messages to the same VMs
+    :param send_ms: processor time needed to send a datagram
+    :param send_share: share of a relay's processor that sending may use
     """
 
     n_peers_relayed: int = 24
@@ -39,9 +39,9 @@
     send_share: float = 0.25
 
     def flush_ms(self, n_receivers: int, capacity: float) -> float:
-        """:returns: pause of a relay between two messages to all that it tells
+        """:returns: interval between two messages of a relay to all its receivers
 
-        :param capacity: its processor, in cores
+        :param capacity: the relay's processor capacity, in cores
         """
         return max(
             self.tick_ms, n_receivers * self.send_ms / (self.send_share * capacity)
--- a/src/quetzaldeck/decisions/relays/pending_acks.py
+++ b/src/quetzaldeck/decisions/relays/pending_acks.py
@@ -1,4 +1,4 @@
-"""What was told to one VM and has to be confirmed by it."""
+"""Messages that have been sent and not yet acknowledged."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class UnackedMessage(NamedTuple, Generic[M]):
-    """A message that may have been lost.
+    """A message that has not been acknowledged and may have been lost.
 
     :param n_sent: how often it was sent
     """
@@ -23,51 +23,51 @@
 
 
 class PendingAcks(Generic[M]):
-    """Numbers messages, and says which of them have to be sent again."""
+    """Numbers messages and tracks which of them have not been acknowledged in time."""
 
     def __init__(self, bounds: RelayBounds | None = None) -> None:
         self._bounds = RelayBounds() if bounds is None else bounds
         self._last_number = 0
-        self._open: dict[int, UnackedMessage[M]] = {}
+        self._pending: dict[int, UnackedMessage[M]] = {}
 
     def __len__(self) -> int:
-        return len(self._open)
+        return len(self._pending)
 
     def next_number(self) -> int:
-        """:returns: a number for the next message"""
+        """:returns: the number of the next message"""
         self._last_number += 1
         return self._last_number
 
     def expect(
         self, number: int, address: str, message: M, now_ms: float, n_sent: int = 1
     ) -> None:
-        """Expect that a message is confirmed."""
-        self._open[number] = UnackedMessage(number, address, message, now_ms, n_sent)
+        """Wait for the acknowledgement of a message."""
+        self._pending[number] = UnackedMessage(number, address, message, now_ms, n_sent)
 
     def acknowledge(self, number: int, address: str) -> None:
-        """Take a confirmation; one that nothing waits for changes nothing."""
-        held = self._open.get(number)
-        if held is not None and held.address == address:
-            del self._open[number]
+        """Record an acknowledgement; an unexpected one is ignored."""
+        pending = self._pending.get(number)
+        if pending is not None and pending.address == address:
+            del self._pending[number]
 
     def pop_overdue(self, now_ms: float) -> list[UnackedMessage[M]]:
-        """:returns: messages that were not confirmed in time; they are forgotten"""
-        late = []
+        """:returns: messages not acknowledged in time, which are then removed"""
+        overdue = []
         while self.next_ms() <= now_ms:
-            held = self._first()
-            del self._open[held.number]
-            late.append(held)
-        return late
+            pending = self._first()
+            del self._pending[pending.number]
+            overdue.append(pending)
+        return overdue
 
     def next_ms(self) -> float:
-        """:returns: when the next of them is late; infinite if none is expected"""
-        if not self._open:
+        """:returns: time at which the next message is overdue; infinite if none waits"""
+        if not self._pending:
             return float("inf")
         return self._first().sent_ms + self._bounds.ack_timeout_ms
 
     def _first(self) -> UnackedMessage[M]:
-        """:returns: the message that was sent first: all are waited for as long"""
-        return next(iter(self._open.values()))
+        """:returns: the message sent first, which is overdue first"""
+        return next(iter(self._pending.values()))
 
 
 __all__ = ("PendingAcks", "UnackedMessage")
--- a/src/quetzaldeck/decisions/relays/relay_selector.py
+++ b/src/quetzaldeck/decisions/relays/relay_selector.py
@@ -1,23 +1,25 @@
-"""Which VMs pass news on to the others.
-
-Load pattern: 195 VMs before 112 engines, each with half a request a second. What one VM
-tells each of the others costs the fleet the square of its size: 50,000 datagrams a
-second for a hundred requests, most of what all VMs do, and four fifths of them cross
-zones, where bytes are paid for. The VMs tell each other so much because placement rests
-on it: an engine that another VM has sent a long prompt looks idle without it.
-
-So a few VMs of each zone relay: the others tell one of them, which gathers what it is
-told for a moment and passes it on, to its own and to the other relays, who pass it to
-theirs. Who relays follows from what all VMs tell of themselves: those of each zone with
-the fastest processors, and the lowest hashes among equals. A relay on a tenth of a core
-falls seconds behind in a burst, and what it passes on is worth nothing by then. VMs
-whose views differ need no agreement, since a VM passes on whatever it is asked to, and
-one that is no relay by its own view has a relay itself. A VM chooses one that goes
-before it in this order, so that news travel in no circle.
-
-A relay that does not confirm what it was told is left for the next one. It may be out
-of reach for one VM only. If that VM is next in its zone and relays itself, the others
-of the zone still listen to the first; so it tells its news to one of them as well.
+"""Selects the VMs that relay updates to the others.
+
+Load pattern: 195 VMs in front of 112 engines, with half a request per second each. If
+every VM sends its updates to every other one, the cost grows with the square of the
+fleet: 50,000 datagrams a second for a hundred requests, which is most of the work of
+all VMs, and four fifths of them cross zones, where traffic is billed by the byte. The
+VMs need these updates to place requests: without them, an engine to which another VM
+has sent a long prompt looks idle.
+
+Therefore a few VMs of each zone act as relays. The other VMs send their updates to one
+relay, which batches them briefly and forwards them to its members and to the other
+relays, which forward them to theirs. Every VM derives the relays from what the VMs
+announce about themselves: in each zone those with the fastest processors, and among
+equals those with the lowest hashes. A relay with a tenth of a core would fall seconds
+behind in a burst, and its updates would arrive too late to be useful. VMs with
+different views need not agree: a VM relays for all that ask it to, and a VM that is not
+a relay in its own view has a relay itself. Each VM selects a relay that precedes it in
+this order, so updates never travel in a circle.
+
+A VM that gets no acknowledgement from its relay switches to the next one. The relay may
+be unreachable for that VM only. If that VM is then a relay itself, the others of its
+zone still use the first relay, so it sends its updates to one of them as well.
 """
 
 from __future__ import annotations
@@ -32,7 +34,7 @@
     from collections.abc import Collection, Mapping
 
 _RANK_SEED = 1
-"""Sets the order apart from the one in which VMs watch the source for others."""
+"""Seed of the hash; it makes the order differ from the one that selects watchers."""
 
 
 class _Suspicion(NamedTuple):
@@ -41,11 +43,11 @@
 
 
 class RelaySelector:
-    """Decides for one VM.
+    """Selects the relay of one VM, or the VMs that it relays to.
 
     :param own: this VM's address
     :param availability_zone: this VM's zone
-    :param capacity: this VM's processor, in cores
+    :param capacity: this VM's processor capacity, in cores
     """
 
     def __init__(
@@ -69,23 +71,23 @@
 
     @property
     def parent(self) -> str | None:
-        """:returns: the VM that is told this one's news; ``None``: this one relays"""
+        """:returns: the relay of this VM; ``None``: this VM is a relay itself"""
         return self._parent
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """:returns: the other relays, if this VM relays"""
+        """:returns: the other relays, if this VM is a relay"""
         return () if self._parent else self._peers
 
     @property
     def fallback(self) -> str | None:
-        """:returns: a VM that may reach the relay of this zone, if this one does not"""
+        """:returns: a VM that may reach a relay of this zone that this VM cannot"""
         return self._fallback
 
     def update(self, zones: Mapping[str, Mapping[str, float]], now_ms: float) -> None:
-        """Choose again.
+        """Select again.
 
-        :param zones: processors of the other VMs in cores, by zone and address
+        :param zones: processor capacity of the other VMs in cores, by zone and address
         """
         self._capacities = {
             address: capacity
@@ -110,7 +112,7 @@
         self._peers = (*(r for r in relays if r != self._own), *others)
 
     def note_missed_ack(self, address: str, now_ms: float) -> None:
-        """Note that a VM did not confirm what it was told."""
+        """Record that a VM did not acknowledge a message in time."""
         n_times = 1
         if address in self._suspicions:
             n_times += self._suspicions[address].n_times
@@ -119,7 +121,7 @@
         self._suspicions[address] = _Suspicion(until_ms, n_times)
 
     def note_ack(self, address: str) -> None:
-        """Note that a VM confirmed what it was told."""
+        """Record that a VM acknowledged a message."""
         self._suspicions.pop(address, None)
 
     def _list_relays(self, vms: Collection[str], now_ms: float) -> list[str]:
--- a/src/quetzaldeck/decisions/relays/subscribers.py
+++ b/src/quetzaldeck/decisions/relays/subscribers.py
@@ -1,4 +1,4 @@
-"""Which VMs have asked this one for news."""
+"""VMs that have subscribed to the updates of this one."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class Subscribers:
-    """VMs that are told news for as long as they go on asking.
+    """VMs that receive updates for as long as they renew their subscription.
 
-    Members are told everything, relays only what this VM and its members tell.
+    Members receive all updates, relays only those of this VM and its members.
     """
 
     def __init__(self, bounds: RelayBounds | None = None) -> None:
@@ -28,10 +28,10 @@
         return len(self._subscribers)
 
     def join(self, address: str, vm: str, *, is_relay: bool, now_ms: float) -> bool:
-        """Take a request to be told news.
+        """Add or renew a subscription.
 
-        :param vm: id of the VM's run
-        :returns: whether it has to be told what is known already
+        :param vm: id of the VM's incarnation
+        :returns: whether the VM must be sent all that is known already
         """
         before = self._subscribers.get(address)
         until_ms = now_ms + self._keep_ms
@@ -39,21 +39,21 @@
         return before is None or before.vm != vm or before.is_relay != is_relay
 
     def leave(self, address: str) -> None:
-        """Take a VM out that has another relay."""
+        """Remove a VM that has switched to another relay."""
         self._subscribers.pop(address, None)
 
     def expire(self, now_ms: float) -> None:
-        """Forget VMs that no longer ask."""
+        """Remove VMs that have not renewed their subscription in time."""
         for address, subscriber in tuple(self._subscribers.items()):
             if subscriber.until_ms < now_ms:
                 del self._subscribers[address]
 
     def list_members(self) -> tuple[str, ...]:
-        """:returns: addresses of the VMs that are told everything"""
+        """:returns: addresses of the VMs that receive all updates"""
         return tuple(a for a, s in self._subscribers.items() if not s.is_relay)
 
     def list_relays(self) -> tuple[str, ...]:
-        """:returns: addresses of the other relays"""
+        """:returns: addresses of the subscribed relays"""
         return tuple(a for a, s in self._subscribers.items() if s.is_relay)
 
 
--- a/tests/decisions/health/test_partial_failures.py
+++ b/tests/decisions/health/test_partial_failures.py
@@ -154,9 +154,10 @@
 def test_unanswered_request_counts_as_a_failure_of_its_replica(
     clock: ManualClock, elapsed_ms: float, n_failed: float
 ) -> None:
-    """Guards against missing a failure: a request that must not be repeated is not retried.
+    """Guards against ignoring requests that a replica never answers.
 
-    It ends without a fault when its caller disconnects.
+    A request that must not be repeated is not retried, so it ends without a fault when
+    its caller disconnects.
     """
     vm = build_scheduler(POLICIES, clock=clock, random_state=random.Random(1))
     spec = UpstreamSpec("d0", "http://127.0.0.1:1", kind="service", service="desk")
--- a/tests/decisions/poison/test_poison_registry.py
+++ b/tests/decisions/poison/test_poison_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the judgement on requests that crash engines."""
+"""Detecting requests that crash engines."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 )
 from quetzaldeck.outcomes import Ran, Reason
 
-POISON = 1
+CULPRIT = 1
 BYSTANDER = 2
 ENGINES = ("e0", "e1", "e2", "e3", "e4")
 
 
-def test_verdict_refuses_after_the_bound_and_not_before() -> None:
+def test_verdict_refuses_from_the_limit_on_and_not_before() -> None:
     registry = PoisonRegistry()
     for index in range(3):
-        assert registry.verdict(POISON, 0.0) is not Verdict.REFUSED
-        registry.note_crash(POISON, f"e{index}", "i", 0.0)
-    assert registry.verdict(POISON, 0.0) is Verdict.REFUSED
-    assert registry.retry_after_ms(POISON, 0.0) == PoisonBounds().forget_ms
+        assert registry.verdict(CULPRIT, 0.0) is not Verdict.REFUSED
+        registry.note_crash(CULPRIT, f"e{index}", "i", 0.0)
+    assert registry.verdict(CULPRIT, 0.0) is Verdict.REFUSED
+    assert registry.retry_after_ms(CULPRIT, 0.0) == PoisonBounds().forget_ms
 
 
-def test_verdict_refuses_nobody_for_a_wave_of_crashes() -> None:
-    """A bad driver takes engine after engine, and what ran there is tried again.
+def test_verdict_refuses_no_request_for_unrelated_crashes() -> None:
+    """Guards against refusing harmless requests when engine after engine crashes.
 
-    The same requests are on board of crash after crash; refusing them would turn a
-    passing fault into minutes of refusals.
+    With a faulty driver, for example, the requests are retried and are in one crash
+    after another. Refusing them would turn a passing fault into minutes of refusals.
     """
     registry = PoisonRegistry()
     for index in range(12):
@@ -44,76 +44,77 @@
     assert registry.verdict(1, 12_000.0) is Verdict.REFUSED
 
 
-def test_verdict_does_not_take_one_crash_of_others_for_a_wave() -> None:
+def test_single_unrelated_crash_does_not_raise_the_limit() -> None:
     registry = PoisonRegistry()
     registry.note_crash(BYSTANDER, "x", "i", 0.0)
     registry.note_answered(BYSTANDER, 1.0)
     for index in range(3):
-        registry.note_crash(POISON, f"e{index}", "i", 2.0)
-    assert registry.verdict(POISON, 2.0) is Verdict.REFUSED
+        registry.note_crash(CULPRIT, f"e{index}", "i", 2.0)
+    assert registry.verdict(CULPRIT, 2.0) is Verdict.REFUSED
 
 
-def test_verdict_takes_one_crash_by_two_names_for_one() -> None:
-    """Each crash also broke connections that had not heard the new incarnation yet.
+def test_verdict_counts_a_crash_under_two_incarnations_once() -> None:
+    """Guards against a culprit that may crash three more engines.
 
-    Counted as crashes without the guilty request they would look like a wave, and it
-    would be let kill three engines more.
+    Each crash also breaks attempts that still name the old incarnation. Counted as
+    crashes without the culprit, these would raise its limit to ``max_crashes``.
     """
     registry = PoisonRegistry()
     for index in range(3):
-        registry.note_crash(POISON, f"e{index}", "new", index * 1_000.0)
+        registry.note_crash(CULPRIT, f"e{index}", "new", index * 1_000.0)
         registry.note_crash(10 + index, f"e{index}", "old", index * 1_000.0 + 5)
-    assert registry.verdict(POISON, 3_000.0) is Verdict.REFUSED
+    assert registry.verdict(CULPRIT, 3_000.0) is Verdict.REFUSED
 
 
-def test_verdict_counts_a_crash_once_whoever_tells_of_it() -> None:
+def test_verdict_counts_a_crash_once_whoever_reports_it() -> None:
     registry = PoisonRegistry()
     other = PoisonRegistry()
     for each in (registry, other):
-        each.note_crash(POISON, "e0", "i", 0.0)
-    for news in other.pop_changed_sightings(10.0):
-        registry.observe(news, 10.0)
-        registry.observe(news, 10.0)
-    assert registry.n_crashes(POISON, 10.0) == 1
+        each.note_crash(CULPRIT, "e0", "i", 0.0)
+    for sightings in other.pop_changed_sightings(10.0):
+        registry.observe(sightings, 10.0)
+        registry.observe(sightings, 10.0)
+    assert registry.n_crashes(CULPRIT, 10.0) == 1
 
 
-def test_verdict_clears_bystanders_by_the_next_crash() -> None:
-    """A crash takes 30 requests with it; one of them caused it.
+def test_next_crash_clears_bystanders() -> None:
+    """Guards against keeping 30 requests isolated when one of them caused a crash.
 
-    All are suspects. The second crash has the guilty one on board again, and
-    another request that only happened to be there.
+    The second crash includes the culprit again, together with a request that was not
+    in the first one. Only the culprit remains a suspect.
     """
     registry = PoisonRegistry()
     for fingerprint in range(1, 31):
         registry.note_crash(fingerprint, "e0", "i", 0.0)
     late = 99
-    registry.note_crash(POISON, "e1", "i", 1.0)
+    registry.note_crash(CULPRIT, "e1", "i", 1.0)
     registry.note_crash(late, "e1", "i", 1.0)
     assert registry.verdict(late, 1.0) is Verdict.CLEAR
     assert registry.verdict(BYSTANDER, 1.0) is Verdict.CLEAR
-    assert registry.verdict(POISON, 1.0) is Verdict.SUSPECT
+    assert registry.verdict(CULPRIT, 1.0) is Verdict.SUSPECT
 
 
-def test_verdict_blames_again_when_the_worse_one_is_harmless() -> None:
-    """Two crashes took the same harmless request; the guilty one was in the second.
+def test_verdict_suspects_again_when_the_main_suspect_is_cleared() -> None:
+    """Guards against losing the culprit when a harmless request was in more crashes.
 
-    Blame must not stick to the harmless one, nor be lost for good.
+    The harmless request was in both crashes, the culprit only in the second. Once the
+    harmless one is cleared, the crash counts against the culprit.
     """
     registry = PoisonRegistry()
     registry.note_crash(BYSTANDER, "e0", "i", 0.0)
     registry.note_crash(BYSTANDER, "e1", "i", 1.0)
-    registry.note_crash(POISON, "e1", "i", 1.0)
-    assert registry.verdict(POISON, 1.0) is Verdict.CLEAR
+    registry.note_crash(CULPRIT, "e1", "i", 1.0)
+    assert registry.verdict(CULPRIT, 1.0) is Verdict.CLEAR
     registry.note_answered(BYSTANDER, 2.0)
     assert registry.verdict(BYSTANDER, 2.0) is Verdict.CLEAR
-    assert registry.verdict(POISON, 2.0) is Verdict.SUSPECT
+    assert registry.verdict(CULPRIT, 2.0) is Verdict.SUSPECT
 
 
-def test_note_alive_refutes_a_crash_that_was_a_cut_connection() -> None:
-    """A device between the ends cut the connection; the engine never stopped.
+def test_note_alive_refutes_a_crash_after_a_cut_connection() -> None:
+    """Guards against suspects from a connection that a network device cut.
 
-    Reports of the same engine from before the cut, which arrive later, say nothing,
-    and their age may be a little wrong.
+    The engine never stopped. Reports that it measured before the cut but that arrive
+    later prove nothing, and the margin covers errors in their age.
     """
     margin_ms = PoisonBounds().alive_margin_ms
     registry = PoisonRegistry()
@@ -127,49 +128,52 @@
     assert len(registry) == 0
 
 
-def test_observe_does_not_bring_back_what_was_cleared() -> None:
-    """VM A clears a request; VM B's older news of the crash arrive afterwards."""
-    teller = PoisonRegistry()
-    teller.note_crash(BYSTANDER, "e0", "i", 0.0)
-    (news,) = teller.pop_changed_sightings(0.0)
+def test_observe_does_not_suspect_a_cleared_request_again() -> None:
+    """Guards against an older sighting of VM B that arrives after VM A's clearance."""
+    sender = PoisonRegistry()
+    sender.note_crash(BYSTANDER, "e0", "i", 0.0)
+    (sightings,) = sender.pop_changed_sightings(0.0)
     registry = PoisonRegistry()
-    registry.observe(news, 0.0)
+    registry.observe(sightings, 0.0)
     registry.note_answered(BYSTANDER, 5.0)
-    registry.observe(tuple(n._replace(age_ms=10.0) for n in news), 10.0)
+    registry.observe(tuple(n._replace(age_ms=10.0) for n in sightings), 10.0)
     assert registry.verdict(BYSTANDER, 10.0) is Verdict.CLEAR
 
 
-def test_news_survive_their_encoding() -> None:
-    teller = PoisonRegistry()
-    teller.note_crash(POISON, "e0", "i", 0.0)
-    teller.note_crash(POISON, "e1", "i", 10.0)
-    (news,) = teller.pop_changed_sightings(20.0)
+def test_crash_record_round_trip() -> None:
+    sender = PoisonRegistry()
+    sender.note_crash(CULPRIT, "e0", "i", 0.0)
+    sender.note_crash(CULPRIT, "e1", "i", 10.0)
+    (sightings,) = sender.pop_changed_sightings(20.0)
     registry = PoisonRegistry()
-    registry.observe(decode_crash_record(POISON, encode_crash_record(news), 30.0), 50.0)
-    assert registry.n_crashes(POISON, 50.0) == 2
-    assert decode_crash_record(POISON, "of another release", 0.0) == ()
+    registry.observe(
+        decode_crash_record(CULPRIT, encode_crash_record(sightings), 30.0), 50.0
+    )
+    assert registry.n_crashes(CULPRIT, 50.0) == 2
+    assert decode_crash_record(CULPRIT, "of another release", 0.0) == ()
 
 
-def test_scheduler_holds_a_suspect_that_another_vm_just_saw() -> None:
-    """The same prompt is sent to two VMs half a second apart.
+def test_scheduler_delays_a_suspect_of_another_vm() -> None:
+    """Guards against two VMs that each crash an engine with a copy of one prompt.
 
-    The second VM knows of the first crash when its copy arrives. Run at once, the
-    copy would kill an engine while the first VM's second attempt kills another.
+    The copies are sent half a second apart. The second VM knows of the first crash when
+    its copy arrives; run at once, it would crash an engine while the first VM's second
+    attempt crashes another one.
     """
     clock = ManualClock(1_000.0)
     scheduler = make_scheduler(clock, ENGINES)
-    teller = PoisonRegistry()
-    teller.note_crash(POISON, "e0", "i", clock.now_ms())
-    (news,) = teller.pop_changed_sightings(clock.now_ms())
-    scheduler.fleet.observe_crashes(news)
+    sender = PoisonRegistry()
+    sender.note_crash(CULPRIT, "e0", "i", clock.now_ms())
+    (sightings,) = sender.pop_changed_sightings(clock.now_ms())
+    scheduler.fleet.observe_crashes(sightings)
     clock.advance(PoisonBounds().propagation_ms / 2)
-    scheduler.submit(make_request(now_ms=clock.now_ms(), fingerprint=POISON))
+    scheduler.submit(make_request(now_ms=clock.now_ms(), fingerprint=CULPRIT))
     assert scheduler.poll() == []
     clock.advance(PoisonBounds().propagation_ms / 2)
     assert poll_dispatch(scheduler).upstreams != ()
 
 
-def test_memory_is_bounded() -> None:
+def test_number_of_remembered_requests_is_limited() -> None:
     registry = PoisonRegistry(PoisonBounds(max_fingerprints=10))
     for fingerprint in range(1, 100):
         registry.note_crash(fingerprint, "e0", "i", 0.0)
@@ -183,32 +187,33 @@
     return AttemptEnd(dispatch.attempt_id, AttemptFault.BROKEN)
 
 
-def test_scheduler_refuses_a_request_that_killed_three_engines() -> None:
-    """A prompt crashes each engine that runs it; its caller sends it again."""
+def test_scheduler_refuses_a_request_that_crashed_three_engines() -> None:
+    """Guards against a caller that resends a prompt which crashes each engine."""
     clock = ManualClock(1_000.0)
     scheduler = make_scheduler(clock, ENGINES)
-    scheduler.submit(make_request(fingerprint=POISON))
-    killed = []
+    scheduler.submit(make_request(fingerprint=CULPRIT))
+    crashed = []
     failure = None
     while failure is None:
         dispatch = poll_dispatch(scheduler)
-        killed.append(dispatch.upstreams[0])
+        crashed.append(dispatch.upstreams[0])
         failure = scheduler.end_attempt(break_attempt(dispatch))
         clock.advance(2_000.0)
-    assert len(set(killed)) == len(killed) == 3
+    assert len(set(crashed)) == len(crashed) == 3
     assert failure.reason is Reason.POISON_SUSPECTED
     assert failure.ran is Ran.UNKNOWN
-    resent = make_request("again", now_ms=clock.now_ms(), fingerprint=POISON)
+    resent = make_request("again", now_ms=clock.now_ms(), fingerprint=CULPRIT)
     refusal = scheduler.submit(resent)
     assert refusal is not None
     assert refusal.reason is Reason.POISON_SUSPECTED
     assert refusal.ran is Ran.NO
 
 
-def test_scheduler_never_runs_two_suspects_together() -> None:
-    """Two requests were on board of a crash; only one engine is left.
+def test_scheduler_never_runs_two_suspects_on_one_engine() -> None:
+    """Guards against a second crash that cannot tell the culprit from a bystander.
 
-    Together on it, they would both be on board of its crash as well.
+    Two requests were in a crash and only one engine is left. If it ran both at once,
+    both would be in its next crash as well.
     """
     clock = ManualClock(1_000.0)
     scheduler = make_scheduler(clock, ("e0",))
@@ -226,18 +231,18 @@
     assert second.request.request_id != first.request.request_id
 
 
-def test_scheduler_rejects_a_waiting_request_on_news_from_other_vms() -> None:
+def test_scheduler_rejects_a_queued_request_on_sightings_of_other_vms() -> None:
     clock = ManualClock(1_000.0)
-    teller = PoisonRegistry()
+    sender = PoisonRegistry()
     for name in ENGINES[:3]:
-        teller.note_crash(POISON, name, "i", clock.now_ms())
+        sender.note_crash(CULPRIT, name, "i", clock.now_ms())
     scheduler = make_scheduler(clock, ("e0",))
     scheduler.submit(make_request("full", n_prompt_tokens=9_000))
     poll_dispatch(scheduler)
-    scheduler.submit(make_request("p", n_prompt_tokens=9_000, fingerprint=POISON))
+    scheduler.submit(make_request("p", n_prompt_tokens=9_000, fingerprint=CULPRIT))
     assert scheduler.poll() == []
-    for news in teller.pop_changed_sightings(clock.now_ms()):
-        scheduler.fleet.observe_crashes(news)
+    for sightings in sender.pop_changed_sightings(clock.now_ms()):
+        scheduler.fleet.observe_crashes(sightings)
     (rejection,) = scheduler.poll()
     assert not isinstance(rejection, Dispatch)
     assert rejection.failure.reason is Reason.POISON_SUSPECTED
--- a/tests/decisions/relays/test_relay_selector.py
+++ b/tests/decisions/relays/test_relay_selector.py
@@ -1,4 +1,4 @@
-"""Which VMs relay news, while views differ and VMs do not answer."""
+"""Selecting relays while the VMs' views differ and some VMs do not answer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 BOUNDS = RelayBounds()
 CAPACITY = 0.4
-"""A relay with it takes 32 members."""
+"""A relay with this capacity serves 32 members."""
 
 
 def make_zones(n_vms: int, n_zones: int = 5) -> dict[str, list[str]]:
@@ -20,15 +20,15 @@
     return zones
 
 
-def choose(
+def select(
     own: str, zone: str, zones: dict[str, list[str]], now_ms: float = 0.0
 ) -> RelaySelector:
-    choice = RelaySelector(own, zone, capacity=CAPACITY)
-    choice.update(leave_out(own, zones), now_ms)
-    return choice
+    selector = RelaySelector(own, zone, capacity=CAPACITY)
+    selector.update(list_peers(own, zones), now_ms)
+    return selector
 
 
-def leave_out(own: str, zones: dict[str, list[str]]) -> dict[str, dict[str, float]]:
+def list_peers(own: str, zones: dict[str, list[str]]) -> dict[str, dict[str, float]]:
     return {
         zone: {vm: CAPACITY for vm in vms if vm != own} for zone, vms in zones.items()
     }
@@ -38,24 +38,26 @@
     ("n_vms", "n_relays"), [(30, 5), (165, 5), (170, 10), (195, 10), (410, 15)]
 )
 def test_vms_agree_on_a_few_relays(n_vms: int, n_relays: int) -> None:
-    """Guards against news that each VM sends to each other one."""
+    """Guards against every VM sending its updates to every other VM."""
     zones = make_zones(n_vms)
-    choices = {vm: choose(vm, zone, zones) for zone, vms in zones.items() for vm in vms}
-    relays = {vm for vm, choice in choices.items() if choice.parent is None}
+    selectors = {
+        vm: select(vm, zone, zones) for zone, vms in zones.items() for vm in vms
+    }
+    relays = {vm for vm, selector in selectors.items() if selector.parent is None}
     assert len(relays) == n_relays
-    for vm, choice in choices.items():
-        if choice.parent is None:
-            assert set(choice.peers) == relays - {vm}
+    for vm, selector in selectors.items():
+        if selector.parent is None:
+            assert set(selector.peers) == relays - {vm}
         else:
-            assert choice.parent in relays
-            assert not choice.peers
-    parents = [c.parent for c in choices.values() if c.parent is not None]
+            assert selector.parent in relays
+            assert not selector.peers
+    parents = [c.parent for c in selectors.values() if c.parent is not None]
     most = max(parents.count(relay) for relay in relays)
     assert most <= 2 * BOUNDS.n_members_per_core * CAPACITY
 
 
-def test_vms_with_the_fastest_processors_relay() -> None:
-    """Guards against a relay on a tenth of a core that is seconds late in a burst."""
+def test_vms_with_the_fastest_processors_are_relays() -> None:
+    """Guards against a relay with a tenth of a core that is seconds late in a burst."""
     vms = make_zones(39, 1)["z0"]
     capacities = {
         vm: 0.5 if number % 13 == 0 else 0.12 for number, vm in enumerate(vms)
@@ -63,23 +65,23 @@
     relays = set()
     for vm in vms:
         others = {other: size for other, size in capacities.items() if other != vm}
-        choice = RelaySelector(vm, "z0", capacity=capacities[vm])
-        choice.update({"z0": others}, 0.0)
-        if choice.parent is None:
+        selector = RelaySelector(vm, "z0", capacity=capacities[vm])
+        selector.update({"z0": others}, 0.0)
+        if selector.parent is None:
             relays.add(vm)
     assert len(relays) == 1
     assert all(capacities[relay] == 0.5 for relay in relays)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_news_travel_in_no_circle_though_views_differ(seed: int) -> None:
-    """Guards against VMs that each take another one for their relay."""
+def test_parents_form_no_cycle_if_views_differ(seed: int) -> None:
+    """Guards against VMs that select each other as relay."""
     random_state = random.Random(seed)
     vms = make_zones(40, 1)["z0"]
     parents = {}
     for vm in vms:
         known = random_state.sample(vms, random_state.randint(1, len(vms)))
-        parents[vm] = choose(vm, "z0", {"z0": known}).parent
+        parents[vm] = select(vm, "z0", {"z0": known}).parent
     for vm in vms:
         path = [vm]
         while (parent := parents[path[-1]]) is not None:
@@ -87,43 +89,43 @@
             path.append(parent)
 
 
-def test_relay_that_is_silent_is_left_for_longer_each_time() -> None:
-    """Guards against a VM that tells its news to a dead relay each few seconds."""
+def test_silent_relay_is_avoided_for_longer_each_time() -> None:
+    """Guards against a VM that sends its updates to a dead relay every few seconds."""
     zones = make_zones(60)
     own = zones["z0"][0]
-    choice = choose(own, "z0", zones)
-    silent = choice.parent
+    selector = select(own, "z0", zones)
+    silent = selector.parent
     assert silent is not None
     now_ms = 0.0
     for pause_ms in (3_000.0, 6_000.0, 12_000.0, 12_000.0):
-        choice.note_missed_ack(silent, now_ms)
-        choice.update(leave_out(own, zones), now_ms + pause_ms - 1.0)
-        assert choice.parent != silent
+        selector.note_missed_ack(silent, now_ms)
+        selector.update(list_peers(own, zones), now_ms + pause_ms - 1.0)
+        assert selector.parent != silent
         now_ms += pause_ms
-        choice.update(leave_out(own, zones), now_ms)
-        assert choice.parent == silent
-    choice.note_missed_ack(silent, now_ms)
-    choice.note_ack(silent)
-    choice.update(leave_out(own, zones), now_ms)
-    assert choice.parent == silent
+        selector.update(list_peers(own, zones), now_ms)
+        assert selector.parent == silent
+    selector.note_missed_ack(silent, now_ms)
+    selector.note_ack(silent)
+    selector.update(list_peers(own, zones), now_ms)
+    assert selector.parent == silent
 
 
-def test_vm_that_cannot_reach_the_relay_of_its_zone_tells_another_as_well() -> None:
-    """Guards against a zone that does not hear of a VM which only its relay lost."""
+def test_vm_that_cannot_reach_its_relay_has_a_fallback() -> None:
+    """Guards against lost updates of a VM that alone cannot reach its relay."""
     zones = make_zones(60)
     members = zones["z0"]
-    relay = next(vm for vm in members if choose(vm, "z0", zones).parent is None)
+    relay = next(vm for vm in members if select(vm, "z0", zones).parent is None)
     rest = {**zones, "z0": [vm for vm in members if vm != relay]}
-    second = next(vm for vm in rest["z0"] if choose(vm, "z0", rest).parent is None)
-    choice = choose(second, "z0", zones)
-    assert choice.fallback is None
-    choice.note_missed_ack(relay, 0.0)
-    choice.update(leave_out(second, zones), 0.0)
-    assert choice.parent is None
-    assert choice.fallback in members
-    assert choice.fallback not in (relay, second)
-
-
-def test_vms_of_an_unknown_zone_are_no_relays() -> None:
-    choice = choose("10.0.0.1", "a", {"": ["10.0.0.2"], "b": ["10.0.0.3"]})
-    assert choice.peers == ("10.0.0.3",)
+    second = next(vm for vm in rest["z0"] if select(vm, "z0", rest).parent is None)
+    selector = select(second, "z0", zones)
+    assert selector.fallback is None
+    selector.note_missed_ack(relay, 0.0)
+    selector.update(list_peers(second, zones), 0.0)
+    assert selector.parent is None
+    assert selector.fallback in members
+    assert selector.fallback not in (relay, second)
+
+
+def test_vms_of_an_unknown_zone_are_not_relays() -> None:
+    selector = select("10.0.0.1", "a", {"": ["10.0.0.2"], "b": ["10.0.0.3"]})
+    assert selector.peers == ("10.0.0.3",)
--- a/tests/decisions/relays/test_subscribers.py
+++ b/tests/decisions/relays/test_subscribers.py
@@ -1,4 +1,4 @@
-"""Who is told news, and for how long."""
+"""Subscriptions to updates, and messages that wait for an acknowledgement."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 BOUNDS = RelayBounds()
 
 
-def test_vm_that_no_longer_asks_is_told_nothing_more() -> None:
-    """Guards against a relay that goes on sending to VMs that are gone."""
+def test_subscription_expires_unless_renewed() -> None:
+    """Guards against a relay that keeps sending to VMs that have left."""
     subscribers = Subscribers()
     assert subscribers.join("a", "a/1", is_relay=False, now_ms=0.0)
     assert subscribers.join("b", "b/1", is_relay=True, now_ms=0.0)
@@ -24,8 +24,8 @@
     assert subscribers.list_relays() == ()
 
 
-def test_vm_that_started_again_has_to_be_told_everything() -> None:
-    """Guards against a new run that knows of no load until the next repeat."""
+def test_restarted_vm_must_be_sent_everything() -> None:
+    """Guards against a new incarnation that knows no loads until they are repeated."""
     subscribers = Subscribers()
     subscribers.join("a", "a/1", is_relay=False, now_ms=0.0)
     assert not subscribers.join("a", "a/1", is_relay=False, now_ms=1.0)
@@ -33,18 +33,18 @@
     assert subscribers.join("a", "a/2", is_relay=True, now_ms=3.0)
 
 
-def test_message_without_a_receipt_is_late_once() -> None:
+def test_message_without_an_acknowledgement_is_overdue_once() -> None:
     pending: PendingAcks[str] = PendingAcks()
     first, second = pending.next_number(), pending.next_number()
     pending.expect(first, "a", "one", 0.0)
     pending.expect(second, "b", "two", 10.0)
     pending.acknowledge(second, "a")
-    assert len(pending) == 2, "another VM's confirmation says nothing"
+    assert len(pending) == 2, "an acknowledgement of another VM does not count"
     pending.acknowledge(first, "a")
     assert pending.next_ms() == 10.0 + BOUNDS.ack_timeout_ms
     assert not pending.pop_overdue(pending.next_ms() - 1.0)
-    late = pending.pop_overdue(pending.next_ms())
-    assert [(held.address, held.message, held.n_sent) for held in late] == [
-        ("b", "two", 1)
-    ]
+    overdue = pending.pop_overdue(pending.next_ms())
+    assert [
+        (message.address, message.message, message.n_sent) for message in overdue
+    ] == [("b", "two", 1)]
     assert pending.next_ms() == float("inf")
