--- a/src/quetzaldeck/belief/__init__.py
+++ b/src/quetzaldeck/belief/__init__.py
@@ -1,4 +1,8 @@
-"""What a VM believes about the fleet, from a source that it can only read."""
+"""A VM's belief: its local, possibly outdated copy of the state of the fleet.
+
+The belief covers the routing configuration and the replicas. It comes from a source
+that the VM can only read, either directly or through another VM.
+"""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/belief/api.py
+++ b/src/quetzaldeck/belief/api.py
@@ -1,4 +1,4 @@
-"""Where belief about the fleet comes from."""
+"""The interface of a source of belief."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 
 class SourceError(Exception):
-    """The source did not answer, or not with an answer."""
+    """The source did not answer, or its answer was not valid."""
 
 
 class HistoryDroppedError(SourceError):
-    """The source no longer has the changes since the revision asked for."""
+    """The source has discarded the changes since the requested revision."""
 
 
 class BeliefSource(ABC):
-    """Publishes the configuration and the replicas; it can only be read."""
+    """Read-only source of the configuration and the replicas."""
 
     @abstractmethod
     async def read_all(self) -> SourceAnswer:
-        """:returns: everything that is published
+        """:returns: the complete published state
 
         :raises SourceError: if the source does not answer
         """
 
     @abstractmethod
     async def wait_for_changes(self, revision: int, wait_ms: int) -> SourceAnswer:
-        """Wait until something changes.
+        """Wait for changes, as a long poll.
 
-        :param revision: changes after this one are asked for
-        :param wait_ms: answer without changes after this time
-        :raises HistoryDroppedError: if everything has to be read again
+        :param revision: only changes after this revision are requested
+        :param wait_ms: time after which the source answers without changes
+        :raises HistoryDroppedError: if the complete state has to be read again
         :raises SourceError: if the source does not answer
         """
 
--- a/src/quetzaldeck/belief/belief_event.py
+++ b/src/quetzaldeck/belief/belief_event.py
@@ -1,4 +1,4 @@
-"""One decision about what is believed, for the log."""
+"""A change of the belief, for the log."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class BeliefEvent(NamedTuple):
-    """What was decided on one piece of news.
+    """What a change from the source did to the belief.
 
-    :param event: what happened, in snake case
-    :param fields: what the decision rests on
-    :param is_warning: whether somebody should look at it
+    :param event: name of the log event, in snake case
+    :param fields: fields of the log event, which explain the decision
+    :param is_warning: whether an operator should look at it
     """
 
     event: str
--- a/src/quetzaldeck/belief/change_log.py
+++ b/src/quetzaldeck/belief/change_log.py
@@ -1,4 +1,4 @@
-"""Which replicas changed after a revision, for VMs that ask this one."""
+"""Tracks which replicas changed after a revision, for VMs that poll this one."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     from quetzaldeck.belief.changes import SourceAnswer
 
 MAX_ENTRIES = 2_048
-"""Replicas whose last change is remembered: more than twice those of the largest
-deployment planned. A VM that has missed more is told everything."""
+"""Number of replicas whose last change is remembered: more than twice as many as in the
+largest deployment planned. A VM that missed more changes gets the complete state."""
 
 
 class ChangeLog:
-    """Remembers the last change of each replica, not what changed.
+    """Remembers the revision of each replica's last change, not its content.
 
-    Load pattern: a release replaces replicas one after the other while most VMs learn
-    of it from a few. Told everything at each change, 50 VMs of a zone would read some
-    hundred kilobytes for one replica; told what changed after the revision that they
-    know, they read one entry.
+    Load pattern: a release replaces one replica after another, while most VMs learn of
+    it from a few watchers. If each change were answered with the complete state, every
+    one of the 50 VMs of a zone would read about a hundred kilobytes for a single
+    replica. With the changes since the revision that it knows, it reads one entry.
     """
 
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
@@ -28,13 +28,13 @@
         self._revisions: dict[str, int] = {}
         self._first_revision: int | None = None
 
-    def note(self, reading: SourceAnswer) -> None:
-        """Take what was read; a complete reading says nothing of what came before."""
-        if reading.is_complete:
+    def note(self, answer: SourceAnswer) -> None:
+        """Record an answer of the source; a complete one restarts the log."""
+        if answer.is_complete:
             self._revisions.clear()
-            self._first_revision = reading.revision
+            self._first_revision = answer.revision
             return
-        for change in reading.changes:
+        for change in answer.changes:
             match change:
                 case ReplicaRead():
                     replica_id = change.replica.replica_id
@@ -45,15 +45,16 @@
                 case _:
                     continue
             self._revisions.pop(replica_id, None)
-            self._revisions[replica_id] = reading.revision
+            self._revisions[replica_id] = answer.revision
         while len(self._revisions) > self._max_entries:
             oldest = next(iter(self._revisions))
             self._first_revision = self._revisions.pop(oldest)
 
     def list_changed(self, revision: int) -> tuple[str, ...] | None:
-        """:returns: replicas that changed after ``revision``
+        """:returns: ids of the replicas that changed after ``revision``
 
-        ``None``: it is too long ago, and everything has to be told.
+        ``None`` if the log does not reach back that far, so that the complete state
+        has to be sent.
         """
         if self._first_revision is None or revision < self._first_revision:
             return None
--- a/src/quetzaldeck/belief/changes.py
+++ b/src/quetzaldeck/belief/changes.py
@@ -1,4 +1,4 @@
-"""What a source of belief tells."""
+"""The answers of a source of belief and the changes in them."""
 
 from __future__ import annotations
 
@@ -8,32 +8,33 @@
 
 
 class ConfigurationRead(NamedTuple):
-    """A configuration was read."""
+    """A configuration was read from the source."""
 
     configuration: RoutingConfiguration
 
 
 class ReplicaRead(NamedTuple):
-    """A replica's entry was read: it is new, or something of it changed."""
+    """A replica's entry was read that is new or has changed."""
 
     replica: Replica
 
 
 class ReplicaRemoved(NamedTuple):
-    """A replica's entry is no longer there."""
+    """A replica's entry no longer exists."""
 
     replica_id: str
 
 
 class UndecodableEntry(NamedTuple):
-    """An entry cannot be understood.
+    """An entry cannot be decoded.
 
-    What is known of the configuration stays; a replica with such an entry is gone.
+    An undecodable configuration leaves the one in force unchanged; a replica with an
+    undecodable entry is removed.
 
-    :param key: where it stands
+    :param key: key of the entry
     :param error: what is wrong with it
-    :param replica_id: the replica whose entry it should be; ``None``: it is another
-        kind of entry
+    :param replica_id: the replica that the entry belongs to; ``None``: it is no
+        replica's entry
     """
 
     key: str
@@ -45,15 +46,17 @@
 
 
 class SourceAnswer(NamedTuple):
-    """One answer of the source.
-
-    :param revision: the source's counter of changes, as of the answer
-    :param changes: what is different, oldest first
-    :param is_complete: whether it lists everything: what is absent is gone
-    :param waited_ms: how long the source held the question, at least
-    :param age_ms: how old it was when it was told; 0 for the source itself
-    :param trouble_age_ms: how long ago the teller last had trouble with the source;
-        ``None``: not that it knows
+    """One answer of the source, or of another VM on its behalf.
+
+    :param revision: the source's revision as of the answer
+    :param changes: changes, oldest first
+    :param is_complete: whether the answer lists the complete state, so that absent
+        entries no longer exist
+    :param waited_ms: minimum time for which the source held the request before it
+        answered
+    :param age_ms: age of the state when the answer was sent; 0 for the source itself
+    :param trouble_age_ms: time since the answering VM last had trouble with the source;
+        ``None``: it knows of none
     """
 
     revision: int
--- a/src/quetzaldeck/belief/fleet_belief.py
+++ b/src/quetzaldeck/belief/fleet_belief.py
@@ -1,20 +1,21 @@
-"""What one VM believes about the configuration and the replicas, and how old that is.
-
-Load pattern: configurations in quick succession, replicas that leave and crash, a
-source that is down, slow, cut off from some machines or has dropped its history, and
-a VM that stands still and goes on with what it last believed. Without one place that
-knows versions and ages, a machine goes back to an older configuration, sends work to
-replicas that left, or lets a key in that was taken away long ago.
-
-- The configuration only moves forward: versions are compared, not times of arrival.
-- Each reading has an age, counted by a clock that does not stand still when the VM
-  does. Keys are believed while that age is under the bound.
-- A replica whose entry disappears is gone, but see :mod:`quetzaldeck.belief.lapses`.
-- An entry that cannot be understood names no replica: whoever wrote it, a request that
-  is sent there may reach something else. The one that had the entry is gone, without
-  the patience for lapses, since its entry did not lapse. Other entries hold.
-- A replica may start again under its id. What its former start wrote late is ignored:
-  that one may have said that it leaves.
+"""One VM's copy of the configuration and the replicas, and its age.
+
+Failure scenarios: configurations change in quick succession; replicas leave and crash;
+the source is down, slow, unreachable from some VMs or has discarded its history; a VM
+is paused and continues with what it last knew. Without one place that tracks versions
+and ages, a VM would return to an older configuration, send requests to replicas that
+have left, or accept an API key that was revoked long ago.
+
+- The configuration only moves forward: its version decides, not the time of arrival.
+- Each answer of the source has an age, measured by a clock that keeps running while the
+  VM is paused. Keys are accepted while that age is within the limit.
+- A replica whose entry disappears is removed, but see :mod:`quetzaldeck.belief.lapses`.
+- An undecodable entry names no replica: whoever wrote it, a request sent to its address
+  might reach something else. The replica that had the entry is removed at once, without
+  the grace period for expired entries, since its entry did not expire. Other entries
+  remain valid.
+- A replica may restart under the same id. Late writes of its earlier incarnation are
+  ignored, as they may announce that the earlier one leaves.
 """
 
 from __future__ import annotations
@@ -39,9 +40,9 @@
 
 
 class FleetBelief:
-    """The configuration in force and the replicas, with the age of both.
+    """The configuration in force and the replicas, with their age.
 
-    :param bounds: figures
+    :param bounds: time limits
     """
 
     def __init__(self, bounds: BeliefBounds) -> None:
@@ -54,26 +55,26 @@
 
     @property
     def configuration(self) -> RoutingConfiguration | None:
-        """:returns: the configuration in force; ``None`` before the first"""
+        """:returns: the configuration in force; ``None`` before the first one"""
         return self._configuration
 
     @property
     def replicas(self) -> Mapping[str, Replica]:
-        """:returns: replicas by id, leaving ones included"""
+        """:returns: replicas by id, including leaving ones and expired entries"""
         return self._replicas
 
     @property
     def revision(self) -> int:
-        """:returns: the source's counter of changes at the last reading"""
+        """:returns: the source's revision as of its last answer"""
         return self._revision
 
     @property
     def n_lapsed(self) -> int:
-        """:returns: replicas that are believed in though their entries disappeared"""
+        """:returns: number of replicas still used although their entries expired"""
         return len(self._lapses)
 
     def list_replicas(self) -> tuple[Replica, ...]:
-        """:returns: replicas that have an entry, as far as is known"""
+        """:returns: replicas that have an entry at the source, as far as is known"""
         return tuple(
             replica
             for replica_id, replica in self._replicas.items()
@@ -81,80 +82,80 @@
         )
 
     def find_entry(self, replica_id: str) -> Replica | None:
-        """:returns: a replica that has an entry, as far as is known"""
+        """:returns: the replica if it has an entry at the source, as far as is known"""
         return None if replica_id in self._lapses else self._replicas.get(replica_id)
 
     def trouble_age_ms(self, now_ms: float) -> float | None:
-        """:returns: time since the last trouble with the source; ``None``: none yet"""
+        """:returns: time since the last trouble with the source; ``None``: none"""
         return self._lapses.trouble_age_ms(now_ms)
 
     def age_ms(self, now_ms: float) -> float:
-        """:returns: time since the moment that the last reading speaks of
+        """:returns: time since the state was last confirmed
 
         :param now_ms: uptime
         """
         return now_ms - self._confirmed_ms
 
     def has_fresh_keys(self, now_ms: float) -> bool:
-        """:returns: whether a request that arrives now may be let in by its key
+        """:returns: whether the keys are fresh enough to admit a request now
 
-        A key may have been taken away since the last reading. What arrives within the
-        bound was sent before the end of the time that a revocation may take.
+        A key may have been revoked since the last confirmation. Within this limit the
+        time that a revocation may take has not passed yet.
         """
         return self.age_ms(now_ms) <= self._bounds.max_key_age_ms
 
     def set_bounds(self, bounds: BeliefBounds) -> None:
-        """Take other figures."""
+        """Replace the time limits."""
         self._bounds = bounds
         self._lapses.set_bounds(bounds)
 
     def note_trouble(self, now_ms: float) -> None:
-        """Note that the source does not answer as it should."""
+        """Record that the source does not answer as it should."""
         self._lapses.note_trouble(now_ms)
 
-    def take(
-        self, reading: SourceAnswer, *, asked_ms: float, now_ms: float
+    def apply(
+        self, answer: SourceAnswer, *, asked_ms: float, now_ms: float
     ) -> list[BeliefEvent]:
-        """Take what the source answered.
+        """Apply an answer of the source.
 
-        :param asked_ms: uptime at which it was asked: the answer is no older
-        :returns: what was decided
+        :param asked_ms: uptime at which the request was sent; the answer is no older
+        :returns: the resulting changes of the belief
         """
-        if reading.trouble_age_ms is not None:
-            self._lapses.note_trouble(now_ms - reading.trouble_age_ms)
-        notes = [self._take_change(change, now_ms) for change in reading.changes]
-        if reading.is_complete:
-            notes.extend(self._remove_absent(reading, now_ms))
-        self._revision = reading.revision
-        # A question that was cut short was not held for as long as it asked for.
-        was_held = asked_ms + reading.waited_ms <= now_ms
-        confirmed_ms = asked_ms + (reading.waited_ms if was_held else 0.0)
-        confirmed_ms -= reading.age_ms
+        if answer.trouble_age_ms is not None:
+            self._lapses.note_trouble(now_ms - answer.trouble_age_ms)
+        events = [self._apply_change(change, now_ms) for change in answer.changes]
+        if answer.is_complete:
+            events.extend(self._remove_absent(answer, now_ms))
+        self._revision = answer.revision
+        # A request that was cut short was not held for as long as it asked for.
+        was_held = asked_ms + answer.waited_ms <= now_ms
+        confirmed_ms = asked_ms + (answer.waited_ms if was_held else 0.0)
+        confirmed_ms -= answer.age_ms
         self._confirmed_ms = max(self._confirmed_ms, confirmed_ms)
-        return [note for note in notes if note is not None]
+        return [event for event in events if event is not None]
 
     def expire(self, now_ms: float) -> list[BeliefEvent]:
-        """Give up replicas that did not come back after trouble.
+        """Remove replicas that did not register again after trouble with the source.
 
-        :returns: what was decided
+        :returns: the resulting changes of the belief
         """
         return [
-            self._drop(replica_id, "did not return")
+            self._drop(replica_id, "did not register again")
             for replica_id in self._lapses.pop_ended(now_ms)
         ]
 
-    def _take_change(self, change: Change, now_ms: float) -> BeliefEvent | None:
+    def _apply_change(self, change: Change, now_ms: float) -> BeliefEvent | None:
         match change:
             case ConfigurationRead():
-                return self._take_configuration(change.configuration)
+                return self._apply_configuration(change.configuration)
             case ReplicaRead():
-                return self._take_replica(change.replica)
+                return self._apply_replica(change.replica)
             case ReplicaRemoved():
                 return self._remove(change.replica_id, now_ms)
             case UndecodableEntry():
-                return self._take_undecodable(change)
+                return self._apply_undecodable(change)
 
-    def _take_configuration(
+    def _apply_configuration(
         self, configuration: RoutingConfiguration
     ) -> BeliefEvent | None:
         held = 0 if self._configuration is None else self._configuration.version
@@ -167,7 +168,7 @@
         fields["n_routes"] = len(configuration.routes)
         return BeliefEvent("configuration_in_force", fields)
 
-    def _take_undecodable(self, change: UndecodableEntry) -> BeliefEvent:
+    def _apply_undecodable(self, change: UndecodableEntry) -> BeliefEvent:
         fields = {"key": change.key, "error": change.error}
         if change.replica_id is not None:
             held = self._replicas.pop(change.replica_id, None)
@@ -175,7 +176,7 @@
             fields["replica_gone"] = "" if held is None else change.replica_id
         return BeliefEvent("entry_undecodable", fields, is_warning=True)
 
-    def _take_replica(self, replica: Replica) -> BeliefEvent | None:
+    def _apply_replica(self, replica: Replica) -> BeliefEvent | None:
         held = self._replicas.get(replica.replica_id)
         if held is not None and _is_older(replica, held):
             fields = {
@@ -215,11 +216,11 @@
         return self._drop(replica_id, "entry removed")
 
     def _remove_absent(
-        self, reading: SourceAnswer, now_ms: float
+        self, answer: SourceAnswer, now_ms: float
     ) -> list[BeliefEvent | None]:
         present = {
             change.replica.replica_id
-            for change in reading.changes
+            for change in answer.changes
             if isinstance(change, ReplicaRead)
         }
         return [
@@ -236,7 +237,7 @@
 
 
 def _is_older(replica: Replica, held: Replica) -> bool:
-    """:returns: whether an entry is of an earlier start than the one held"""
+    """:returns: whether an entry is of an earlier incarnation than the one held"""
     return 0 < replica.started_ms < held.started_ms
 
 
--- a/src/quetzaldeck/belief/lapses.py
+++ b/src/quetzaldeck/belief/lapses.py
@@ -1,20 +1,19 @@
-"""Replicas whose entries disappeared while the source was in trouble.
-
-Load pattern: the source is down for longer than entries live without a heartbeat, and
-comes back under full load. Without this module the first reading after the outage
-lists hardly any replica, and a machine that believes it refuses everything for the
-two seconds in which the entries come back, though all replicas are well.
-
-An entry that disappears while nothing else is wrong is believed gone at once. After
-trouble it is given the time in which living replicas return, cut to less than the
-time after which a leaving replica may get no more work: the entry may as well be
-missing because its replica left.
-
-That time runs from the last confirmation, not from the news: a VM that learns late,
-for the one that it asks had lost the source, would otherwise add its own delay to the
-bound.
-After an outage longer than the bound nothing can be kept of it, and the time runs from
-the news.
+"""Replicas whose entries expired while the source had trouble.
+
+Failure scenario: the source is down for longer than entries live without a heartbeat,
+and comes back under full load. Without this module the first answer after the outage
+lists hardly any replica. A VM that trusts it would refuse every request for the two
+seconds in which the replicas register again, although all of them are healthy.
+
+If an entry disappears and the source had no trouble, its replica is removed at once.
+After trouble the replica has a grace period in which running replicas register again.
+The period is shorter than the time after which a leaving replica must get no more
+requests, since the entry may also be missing because its replica left.
+
+The period starts at the last confirmation, not when the VM learns that the entry is
+missing. Otherwise a VM that learns it late, because the VM that it asks had lost the
+source, would add its own delay to the limit. After an outage longer than the limit,
+the limit cannot be met anyway, and the period starts when the VM learns it.
 """
 
 from __future__ import annotations
@@ -29,18 +28,18 @@
 
 
 class _Lapse(NamedTuple):
-    """An entry that disappeared.
+    """An entry that expired.
 
-    :param until_ms: uptime until which its replica is still believed in
+    :param until_ms: uptime until which its replica is still used
     """
 
     until_ms: float
 
 
 class Lapses:
-    """Decides how long a replica outlives its entry.
+    """Decides for how long a replica is used after its entry expired.
 
-    :param bounds: figures
+    :param bounds: time limits
     """
 
     def __init__(self, bounds: BeliefBounds) -> None:
@@ -55,25 +54,25 @@
         return replica_id in self._lapses
 
     def set_bounds(self, bounds: BeliefBounds) -> None:
-        """Take other figures, for what disappears from now on."""
+        """Replace the time limits, for entries that expire from now on."""
         self._bounds = bounds
 
     def note_trouble(self, now_ms: float) -> None:
-        """Note that the source does not answer as it should."""
+        """Record that the source does not answer as it should."""
         self._trouble_ms = max(self._trouble_ms, now_ms)
 
     def trouble_age_ms(self, now_ms: float) -> float | None:
-        """:returns: time since the last trouble; ``None``: there was none"""
+        """:returns: time since the last trouble with the source; ``None``: none"""
         age_ms = now_ms - self._trouble_ms
         return age_ms if math.isfinite(age_ms) else None
 
     def note_removed(
         self, replica_id: str, now_ms: float, *, confirmed_ms: float
     ) -> bool:
-        """Take the disappearance of an entry.
+        """Record that an entry disappeared.
 
-        :param confirmed_ms: uptime at which the entry was still there
-        :returns: whether its replica is still believed in
+        :param confirmed_ms: uptime at which the entry was known to exist
+        :returns: whether its replica is still used
         """
         if replica_id in self._lapses:
             return True
@@ -88,11 +87,14 @@
         return True
 
     def note_returned(self, replica_id: str) -> bool:
-        """:returns: whether the entry of a replica that is back had disappeared"""
+        """Record that a replica registered again.
+
+        :returns: whether its entry had expired
+        """
         return self._lapses.pop(replica_id, None) is not None
 
     def pop_ended(self, now_ms: float) -> Iterator[str]:
-        """:returns: replicas that did not come back in time; each is told once"""
+        """:returns: replicas that did not register again in time; each only once"""
         ended = [
             replica_id
             for replica_id, lapse in self._lapses.items()
--- a/src/quetzaldeck/belief/source_selector.py
+++ b/src/quetzaldeck/belief/source_selector.py
@@ -1,26 +1,27 @@
-"""Whom to ask for news: the source itself, or a VM that asks it for others.
-
-Load pattern: each change of the fleet answers the watch of each VM, which asks again.
-A release or a storm of configurations makes tens of thousands of calls at 410 VMs, and
-the source's rate grows more slowly than the fleet. After an outage all VMs ask at once.
-And a VM that starts while the source is silent learns nothing, though its neighbours
-know the configuration: it refuses everybody.
-
-So a few VMs of the fleet watch the source, and the others ask them. Those with the
-fastest processors watch, and the lowest hashes of their addresses among equals: VMs
-that know each other agree without a message, and those that disagree for a moment make
-some more calls, nothing worse.
-
-Every answer states its age. A VM that is silent, gone, or tells old news is suspected
-for a while, and the source is asked next: so nobody depends on one VM for longer than
-the bounds allow, whatever happened to it. A VM of another zone that is silent may mean
-that the zones are cut off from each other: until it is trusted again, the VMs of a zone
-choose their watchers among themselves.
-
-While the source fails, a VM asks the others in turn: they may reach it, or at least
-know more. Old news are then no reason to suspect whoever tells them. The VMs that watch
-try the source again soon, and the others at growing pauses: they learn of its return
-from the first.
+"""Selects whom a VM polls for updates: the source, or a VM that watches it.
+
+Load pattern: each change of the fleet answers the long poll of every VM, and each VM
+polls again. With 410 VMs, a release or a burst of configuration changes causes tens of
+thousands of requests, and the rate limit of the source grows more slowly than the
+fleet. After an outage all VMs send requests at once. A VM that starts while the source
+is down learns nothing, although its neighbours know the configuration, and refuses all
+requests.
+
+Therefore a few VMs, the watchers, poll the source, and the others poll the watchers.
+The watchers are the VMs with the fastest processors, and among equals those with the
+lowest hashes of their addresses. VMs that know each other agree on this without a
+message; a brief disagreement only causes some additional requests.
+
+Every answer states its age. A VM that does not answer, has left, or sends outdated
+answers is suspected for a while, and the source is asked next. No VM therefore depends
+on another one for longer than the time limits allow. If a VM of another zone does not
+answer, the zones may be partitioned: until it is trusted again, the VMs of a zone
+select their watchers among themselves.
+
+While the source fails, a VM polls random other VMs, which may reach the source or at
+least have newer state. An outdated answer is then no reason for suspicion. Watchers
+retry the source soon. The other VMs retry at growing intervals, and learn from the
+watchers when it recovers.
 """
 
 from __future__ import annotations
@@ -37,15 +38,16 @@
     from quetzaldeck.belief.sharing_bounds import SharingBounds
 
 MAX_RANKS = 4_096
-"""VMs whose place in the order is remembered: ten times the largest fleet planned."""
+"""Number of cached address hashes: ten times the largest fleet planned."""
 
 
 class SourceSelector:
-    """Decides on the next question of one VM.
+    """Selects whom one VM polls next.
 
     :param own: this VM's address
-    :param random_state: chooses among VMs while the source fails, and spreads retries
-    :param find_capacity: gives the processor of a VM in cores, also of this one
+    :param random_state: selects VMs while the source fails, and spreads retries
+    :param find_capacity: returns the processor capacity of a VM, including this one, in
+        cores
     """
 
     def __init__(
@@ -70,11 +72,11 @@
 
     @property
     def is_source_failing(self) -> bool:
-        """:returns: whether the source failed when it was asked last"""
+        """:returns: whether the last request to the source failed"""
         return self._n_source_errors > 0
 
     def set_bounds(self, bounds: SharingBounds) -> None:
-        """Take other figures."""
+        """Replace the time limits and rates."""
         self._bounds = bounds
 
     def choose(
@@ -85,11 +87,11 @@
         *,
         seeds: Collection[str] = (),
     ) -> str | None:
-        """Choose whom to ask.
+        """Select whom to poll.
 
         :param neighbours: other VMs of this availability zone
-        :param others: VMs of other zones, or of an unknown one
-        :param seeds: addresses where VMs may be, asked only if the source fails
+        :param others: VMs of other zones, or of an unknown zone
+        :param seeds: addresses at which VMs may run; polled only if the source fails
         :returns: a VM's address; ``None``: the source
         """
         watchers = self.list_watchers(neighbours, others, now_ms)
@@ -104,7 +106,7 @@
     def list_watchers(
         self, neighbours: Collection[str], others: Collection[str], now_ms: float
     ) -> tuple[str, ...]:
-        """:returns: the VMs that watch the source, by this VM's view"""
+        """:returns: the VMs that watch the source, in this VM's view"""
         self._drop_suspicions(now_ms)
         members = {self._own, *neighbours}
         if self._suspected_until_ms.keys().isdisjoint(others):
@@ -120,16 +122,16 @@
         return tuple(watchers)
 
     def note_source_answer(self) -> None:
-        """Note that the source answered, this VM or another one."""
+        """Record that the source answered this VM or another one."""
         self._must_ask_source = False
         self._n_source_errors = 0
 
     def note_history_gone(self) -> None:
-        """Note that the source has to be read as a whole."""
+        """Record that the complete state has to be read from the source."""
         self._must_ask_source = True
 
     def note_source_error(self, now_ms: float) -> None:
-        """Note that the source failed."""
+        """Record that the source failed."""
         self._n_source_errors += 1
         self._source_failed_ms = now_ms
         pause_ms = self._bounds.retry_pause_ms(self._n_source_errors, self._n_vms)
@@ -137,24 +139,24 @@
         self._source_retry_ms = now_ms + max(self._bounds.retry_ms, pause_ms)
 
     def note_peer_answer(self, address: str, age_ms: float, now_ms: float) -> bool:
-        """Note what a VM told.
+        """Record the answer of another VM.
 
-        News that are as young as a watcher's show that the source answers again: a VM
-        that need not watch it has no reason to try by itself.
+        An answer as young as a watcher's shows that the source works again, so a VM
+        that is not a watcher need not retry it.
 
-        :param age_ms: age of this VM's belief after it
-        :returns: whether the VM is suspected of having lost the source
+        :param age_ms: age of this VM's belief after the answer
+        :returns: whether the other VM is now suspected of having lost the source
         """
-        is_young = age_ms <= self._bounds.max_answer_age_ms
-        if self.is_source_failing and is_young and not self._is_watcher:
+        is_fresh = age_ms <= self._bounds.max_answer_age_ms
+        if self.is_source_failing and is_fresh and not self._is_watcher:
             self.note_source_answer()
-        if is_young or self.is_source_failing:
+        if is_fresh or self.is_source_failing:
             return False
         self.note_peer_error(address, now_ms)
         return True
 
     def note_peer_error(self, address: str, now_ms: float) -> None:
-        """Note that a VM did not tell anything of use."""
+        """Record that another VM did not answer, or that its answer was of no use."""
         self._suspected_until_ms[address] = now_ms + self._bounds.suspect_ms
         self._must_ask_source = True
 
@@ -166,15 +168,15 @@
     def _choose_watcher(
         self, watchers: Collection[str], neighbours: Collection[str]
     ) -> str:
-        """:returns: a watcher of this zone if there are enough for it, else any
+        """:returns: a watcher of this zone if these suffice for the zone, else any
 
-        Answers between zones are paid for by their bytes.
+        Traffic between zones is billed by the byte.
         """
         near = tuple(address for address in watchers if address in neighbours)
         n_members = len(neighbours) + 1
-        suffices = sum(map(self._n_served, near)) >= n_members
-        tellers = near if suffices else tuple(watchers)
-        return tellers[_rank(self._own) % len(tellers)]
+        is_sufficient = sum(map(self._n_served, near)) >= n_members
+        candidates = near if is_sufficient else tuple(watchers)
+        return candidates[_rank(self._own) % len(candidates)]
 
     def _choose_any_vm(
         self,
@@ -182,10 +184,10 @@
         known: Collection[str],
         seeds: Collection[str],
     ) -> str | None:
-        """:returns: a VM that may know more than a source that fails this one
+        """:returns: a VM to poll while the source fails for this VM
 
-        A watcher every other time on average: it notices the return of the source
-        first. Any VM otherwise: the source may turn all watchers away.
+        Half of the time it is a watcher, since watchers notice first when the source
+        recovers. Otherwise it is any VM, since the source may reject all watchers.
         """
         untrusted = self._suspected_until_ms.keys() | {self._own}
         trusted_watchers = sorted(set(watchers) - untrusted)
--- a/src/quetzaldeck/decisions/relays/pending_acks.py
+++ b/src/quetzaldeck/decisions/relays/pending_acks.py
@@ -60,7 +60,7 @@
         return overdue
 
     def next_ms(self) -> float:
-        """:returns: time at which the next message is overdue; infinite if none waits"""
+        """:returns: when the next message is overdue; infinite if none is pending"""
         if not self._pending:
             return float("inf")
         return self._first().sent_ms + self._bounds.ack_timeout_ms
--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -116,7 +116,7 @@
     def _take(self, reading: SourceAnswer, asked_ms: float) -> None:
         belief = self._state.belief
         now_ms = self._state.clock.uptime_ms()
-        notes = belief.take(reading, asked_ms=asked_ms, now_ms=now_ms)
+        notes = belief.apply(reading, asked_ms=asked_ms, now_ms=now_ms)
         self._must_read_all = False
         self._note(notes)
         self._sources.feed.note(reading)
--- a/src/quetzaldeck/routing/__init__.py
+++ b/src/quetzaldeck/routing/__init__.py
@@ -1,4 +1,4 @@
-"""What operators configure of routing, and the replicas that serve it."""
+"""The routing configuration that operators publish, and the replicas that serve it."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/routing/caller_limits.py
+++ b/src/quetzaldeck/routing/caller_limits.py
@@ -1,4 +1,4 @@
-"""What callers may send, and how slowly."""
+"""Limits on the size and duration of what callers send."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class CallerLimits(NamedTuple):
-    """Limits that hold for every caller.
+    """Limits that apply to every caller.
 
-    :param max_header_bytes: longest request line or header
-    :param max_body_bytes: longest body
-    :param header_timeout_ms: for the whole head of a request
-    :param idle_timeout_ms: for a connection without a request
+    :param max_header_bytes: maximum length of the request line or a header
+    :param max_body_bytes: maximum length of a request body
+    :param header_timeout_ms: time within which the complete request head must arrive
+    :param idle_timeout_ms: time after which a connection without a request is closed
     """
 
     max_header_bytes: int = 16_384
--- a/src/quetzaldeck/routing/configuration.py
+++ b/src/quetzaldeck/routing/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, services, keys and limits of one version."""
+"""The routing configuration: routes, services, API keys and limits of one version."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class RoutingConfiguration(NamedTuple):
-    """One version of what operators publish.
+    """One version of the configuration that operators publish.
 
-    :param keys: owners by API key; ``None``: requests need no key
+    :param keys: key owners by API key; ``None``: requests need no key
     """
 
     version: int
--- a/src/quetzaldeck/routing/key_owner.py
+++ b/src/quetzaldeck/routing/key_owner.py
@@ -1,4 +1,4 @@
-"""Who an API key belongs to."""
+"""The owner of an API key."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class KeyOwner(NamedTuple):
-    """The customer that holds a key.
+    """The customer that owns an API key.
 
-    :param priority: goes before the route's; ``None``: the route's holds
+    :param priority: overrides the route's priority; ``None``: the route's applies
     """
 
     customer: str
--- a/src/quetzaldeck/routing/kind.py
+++ b/src/quetzaldeck/routing/kind.py
@@ -1,4 +1,4 @@
-"""What may be done with a request more than once."""
+"""Kinds of request, which determine what may be retried."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RequestKind(StrEnum):
-    """Kinds of request, by what may be repeated and how the answer comes."""
+    """Kinds of request: answered by a stream, repeatable, or not repeatable."""
 
     STREAMING = "streaming"
     IDEMPOTENT = "idempotent"
--- a/src/quetzaldeck/routing/replica.py
+++ b/src/quetzaldeck/routing/replica.py
@@ -8,13 +8,13 @@
 class Replica(NamedTuple):
     """One incarnation of an upstream, as it registered itself.
 
-    :param replica_id: may stay the same when it starts again
-    :param address: IP number and port
-    :param is_leaving: whether it announced that it will stop
-    :param n_slots: requests that it runs at a time
-    :param cold_ms: how much longer it is slow after its start
-    :param started_ms: wall time of its start, which tells one start from another; 0 if
-        it does not say
+    :param replica_id: may stay the same across restarts
+    :param address: IP address and port
+    :param is_leaving: whether it has announced that it will stop
+    :param n_slots: number of requests that it runs at a time
+    :param cold_ms: remaining time for which it is slow after its start
+    :param started_ms: wall-clock time of its start, which identifies the incarnation; 0
+        if it is not published
     """
 
     replica_id: str
@@ -28,7 +28,7 @@
 
     @property
     def incarnation(self) -> str:
-        """:returns: what differs between two starts under one id; ``""``: not told"""
+        """:returns: identifies the incarnation under its id; ``""`` if not published"""
         return str(self.started_ms) if self.started_ms else ""
 
 
--- a/src/quetzaldeck/routing/route.py
+++ b/src/quetzaldeck/routing/route.py
@@ -1,4 +1,4 @@
-"""A route: which requests go to which services, and on which terms."""
+"""A route: which requests go to which services, and how they are handled."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class WeightedService(NamedTuple):
     """A service that gets a share of a route's requests.
 
-    :param weight: share, against the weights of the route's other services
+    :param weight: share, relative to the weights of the route's other services
     """
 
     service: str
@@ -20,17 +20,17 @@
 class Route(NamedTuple):
     """One route of the configuration in force.
 
-    :param host: host name that it belongs to, in lower case
-    :param prefix: beginning of the paths that it takes
-    :param kind: what may be repeated
-    :param timeout_ms: longest time that a caller is kept waiting
-    :param target_latency_ms: time in which an answer is of full use
-    :param priority: 0 goes first
+    :param host: host name that it applies to, in lower case
+    :param prefix: path prefix that it applies to
+    :param kind: whether its requests may be repeated and how they are answered
+    :param timeout_ms: longest time that a caller has to wait
+    :param target_latency_ms: time within which an answer has its full value
+    :param priority: 0 is the highest
     :param targets: services that may run its requests
-    :param max_attempts: upstreams that one request may be run by
-    :param is_public: whether requests need no key
-    :param is_resumable: whether a stream may go on at another upstream
-    :param max_gap_ms: longest pause between two events of a stream; 0: none is set
+    :param max_attempts: maximum number of upstreams that may run one request
+    :param is_public: whether its requests need no API key
+    :param is_resumable: whether a stream may be continued by another upstream
+    :param max_gap_ms: longest gap between two events of a stream; 0: no limit
     :param has_prompt: whether its requests carry prompts for engines
     """
 
@@ -50,7 +50,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """:returns: whether a request that may have run may be run again"""
+        """:returns: whether a request that may have run already may be run again"""
         return self.kind is RequestKind.IDEMPOTENT or self.is_resumable
 
     def serves(self, service: str) -> bool:
--- a/src/quetzaldeck/routing/route_table.py
+++ b/src/quetzaldeck/routing/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request."""
+"""Finds the route that applies to a request."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 class RouteTable:
-    """Routes by host, for a look-up whose cost does not grow with their number.
+    """Routes by host, with a lookup whose cost does not grow with their number.
 
-    Prefixes end with a slash, so only the beginnings of a path that end with one can
-    match: as many look-ups as the path has slashes, however many routes there are.
+    Route prefixes end with a slash, so only path prefixes that end with one can match. A
+    lookup takes at most one step per slash in the path, however many routes
+    there are.
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
@@ -23,10 +24,10 @@
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """:returns: the route with the longest prefix that begins ``path``
+        """:returns: the route with the longest prefix that ``path`` begins with
 
-        :param host: as the caller sent it, perhaps with a port
-        :param path: as the caller sent it, without the query
+        :param host: the host as sent by the caller, optionally with a port
+        :param path: the path as sent by the caller, without the query
         """
         routes = self._by_host.get(strip_port(host))
         if routes is None:
@@ -41,7 +42,7 @@
 
 
 def strip_port(host: str) -> str:
-    """:returns: a host name in lower case without its port"""
+    """:returns: the host name in lower case, without the port"""
     return host.partition(":")[0].lower()
 
 
--- a/src/quetzaldeck/routing/service.py
+++ b/src/quetzaldeck/routing/service.py
@@ -1,4 +1,4 @@
-"""A service: what upstreams of one kind have in common."""
+"""A service: the common properties of its upstreams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class Service(NamedTuple):
     """One service of the configuration in force.
 
-    :param max_connections: connections that an upstream takes from all callers
+    :param max_connections: maximum number of connections that an upstream accepts
     :param engine: figures of its engines; ``None`` for a plain service
     """
 
--- a/tests/belief/test_sharing_bounds.py
+++ b/tests/belief/test_sharing_bounds.py
@@ -1,4 +1,4 @@
-"""Times of asking the source and of telling each other."""
+"""Time limits for polling the source and other VMs."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 @pytest.mark.parametrize("bounds", BOUNDS)
-def test_watcher_does_not_seem_to_have_lost_the_source_while_changes_come(
+def test_watcher_stays_fresh_while_changes_arrive(
     bounds: SharingBounds,
 ) -> None:
-    """Guards against a call of each VM, since a healthy watcher tells old news."""
+    """Guards against all VMs asking the source because a watcher's answers seem old."""
     oldest_ms = bounds.max_answer_age_ms - bounds.wait_ms
     for tenth in range(11):
         changed_ms = bounds.source_wait_ms * tenth / 10
-        asked_again_ms = changed_ms + bounds.batch_ms
-        next_answer_ms = asked_again_ms + bounds.hold_ms(asked_again_ms)
+        polled_again_ms = changed_ms + bounds.batch_ms
+        next_answer_ms = polled_again_ms + bounds.hold_ms(polled_again_ms)
         assert next_answer_ms <= oldest_ms
 
 
 @pytest.mark.parametrize("bounds", BOUNDS)
-def test_question_of_a_watcher_that_knows_the_latest_is_held_for_long(
+def test_long_poll_of_an_up_to_date_watcher_has_full_length(
     bounds: SharingBounds,
 ) -> None:
     assert bounds.hold_ms(0.0) == bounds.source_wait_ms
--- a/tests/routing/test_route_table.py
+++ b/tests/routing/test_route_table.py
@@ -1,4 +1,4 @@
-"""The route with the longest prefix, however many there are."""
+"""Finding the route with the longest matching prefix."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 @given(st.lists(SEGMENTS), SEGMENTS, st.sampled_from(["", "c"]))
-def test_route_is_the_longest_prefix(
+def test_find_returns_the_route_with_the_longest_prefix(
     prefixes: list[list[str]], path: list[str], last: str
 ) -> None:
     routes = [make_route(join(segments)) for segments in prefixes]
-    asked = join(path) + last
-    fitting = [route.prefix for route in routes if asked.startswith(route.prefix)]
-    found = RouteTable(routes).find("X.example:8080", asked)
-    assert (found.prefix if found else "") == max(fitting, key=len, default="")
+    requested = join(path) + last
+    matching = [route.prefix for route in routes if requested.startswith(route.prefix)]
+    found = RouteTable(routes).find("X.example:8080", requested)
+    assert (found.prefix if found else "") == max(matching, key=len, default="")
 
 
-def test_host_decides_first() -> None:
+def test_find_matches_the_host_before_the_path() -> None:
     table = RouteTable([make_route("/", "a.example"), make_route("/p/", "b.example")])
     assert table.find("a.example", "/p/1") == make_route("/", "a.example")
     assert table.find("b.example", "/q") is None
