--- a/src/quetzaldeck/belief/fleet_belief.py
+++ b/src/quetzaldeck/belief/fleet_belief.py
@@ -140,7 +140,7 @@
         :returns: the resulting changes of the belief
         """
         return [
-            self._drop(replica_id, "did not register again")
+            self._drop(replica_id, "did not return")
             for replica_id in self._lapses.pop_ended(now_ms)
         ]
 
--- a/src/quetzaldeck/routing/route_table.py
+++ b/src/quetzaldeck/routing/route_table.py
@@ -13,9 +13,9 @@
 class RouteTable:
     """Routes by host, with a lookup whose cost does not grow with their number.
 
-    Route prefixes end with a slash, so only path prefixes that end with one can match. A
-    lookup takes at most one step per slash in the path, however many routes
-    there are.
+    Route prefixes end with a slash, so only path prefixes that end with one can match.
+    A lookup takes at most one step per slash in the path, however many routes there
+    are.
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
