--- a/tests/decisions/health/test_partial_failures.py
+++ b/tests/decisions/health/test_partial_failures.py
@@ -124,10 +124,10 @@
 
     def share_outcomes(self, sender: Scheduler) -> None:
         now_ms = self.clock.now_ms()
-        shares = [(s.spec.name, s.own_share(now_ms)) for s in sender.upstreams]
+        loads = [(s.spec.name, s.own_load(now_ms)) for s in sender.upstreams]
         for vm in self.vms:
             if vm is not sender:
-                vm.fleet.observe_peer(str(id(sender)), shares)
+                vm.fleet.observe_peer(str(id(sender)), loads)
 
     def run(self) -> int:
         """:returns: how many requests failed"""
