--- a/src/quetzaldeck/belief/lapses.py
+++ b/src/quetzaldeck/belief/lapses.py
@@ -1,4 +1,4 @@
-"""Replicas whose entries expired while the source had trouble.
+"""Replicas whose entries lapsed, i.e. expired, while the source had trouble.
 
 Failure scenario: the source is down for longer than entries live without a heartbeat,
 and comes back under full load. Without this module the first answer after the outage
--- a/src/quetzaldeck/belief/source_selector.py
+++ b/src/quetzaldeck/belief/source_selector.py
@@ -126,7 +126,7 @@
         self._must_ask_source = False
         self._n_source_errors = 0
 
-    def note_history_gone(self) -> None:
+    def note_history_dropped(self) -> None:
         """Record that the complete state has to be read from the source."""
         self._must_ask_source = True
 
--- a/src/quetzaldeck/decisions/poison/registry.py
+++ b/src/quetzaldeck/decisions/poison/registry.py
@@ -61,9 +61,9 @@
         self._crashes: OrderedDict[int, dict[_Crash, float]] = OrderedDict()
         self._requests_by_crash: dict[_Crash, set[int]] = {}
         self._cleared: OrderedDict[int, float] = OrderedDict()
-        self._seen_ms: OrderedDict[_Crash, float] = OrderedDict()
-        self._changed: set[int] = set()
-        self._updated: set[int] = set()
+        self._crash_times_ms: OrderedDict[_Crash, float] = OrderedDict()
+        self._unannounced: set[int] = set()
+        self._newly_sighted: set[int] = set()
 
     def __len__(self) -> int:
         return len(self._crashes)
@@ -84,7 +84,7 @@
             return 0
         oldest_ms = now_ms - self._bounds.forget_ms
         recent = [crash for crash, seen_ms in crashes.items() if seen_ms >= oldest_ms]
-        return sum(len(crashes) >= self._max_crashes_on(crash) for crash in recent)
+        return sum(len(crashes) >= self._highest_crash_count(crash) for crash in recent)
 
     def verdict(self, fingerprint: int, now_ms: float) -> Verdict:
         """:returns: whether a request runs normally, isolated, or not at all"""
@@ -99,9 +99,9 @@
 
     def pop_newly_refused(self, now_ms: float) -> list[int]:
         """:returns: refused requests of those with new sightings since the last call"""
-        updated = sorted(self._updated)
-        self._updated.clear()
-        return [f for f in updated if self.verdict(f, now_ms) is Verdict.REFUSED]
+        sighted = sorted(self._newly_sighted)
+        self._newly_sighted.clear()
+        return [f for f in sighted if self.verdict(f, now_ms) is Verdict.REFUSED]
 
     def pause_ms(self, fingerprint: int, now_ms: float) -> float:
         """:returns: pause before a suspect runs; 0 for any other request
@@ -127,7 +127,7 @@
         self, fingerprint: int, upstream: str, incarnation: str, now_ms: float
     ) -> None:
         """Record a request that was running on an engine when it crashed."""
-        self._changed.add(fingerprint)
+        self._unannounced.add(fingerprint)
         self._add(fingerprint, _Crash(upstream, incarnation), now_ms)
 
     def note_answered(self, fingerprint: int, now_ms: float) -> bool:
@@ -137,7 +137,7 @@
         """
         if fingerprint not in self._crashes:
             return False
-        self._changed.add(fingerprint)
+        self._unannounced.add(fingerprint)
         self._forget(fingerprint)
         self._clear(fingerprint, now_ms)
         return True
@@ -150,9 +150,9 @@
         not crash.
         """
         crash = _Crash(upstream, incarnation)
-        certain_ms = measured_ms - self._bounds.alive_margin_ms
+        refuted_before_ms = measured_ms - self._bounds.alive_margin_ms
         for fingerprint in tuple(self._requests_by_crash.get(crash, ())):
-            if self._crashes[fingerprint][crash] < certain_ms:
+            if self._crashes[fingerprint][crash] < refuted_before_ms:
                 self._discard(fingerprint, crash)
 
     def pop_changed_sightings(self, now_ms: float) -> list[tuple[CrashSighting, ...]]:
@@ -160,9 +160,9 @@
 
         They are those of which it saw a crash or an answer since the last call.
         """
-        changed = sorted(self._changed)
-        self._changed.clear()
-        by_request = [tuple(self._list_sightings(item, now_ms)) for item in changed]
+        unannounced = sorted(self._unannounced)
+        self._unannounced.clear()
+        by_request = [tuple(self._list_sightings(item, now_ms)) for item in unannounced]
         return [sightings for sightings in by_request if sightings]
 
     def _list_sightings(
@@ -191,16 +191,18 @@
         # without this check the request would become a suspect again.
         if seen_ms <= self._cleared.get(fingerprint, float("-inf")):
             return
-        self._updated.add(fingerprint)
+        self._newly_sighted.add(fingerprint)
         crashes = self._crashes.setdefault(fingerprint, {})
         crashes[crash] = min(seen_ms, crashes.get(crash, seen_ms))
         self._requests_by_crash.setdefault(crash, set()).add(fingerprint)
         self._crashes.move_to_end(fingerprint)
         while len(self._crashes) > self._bounds.max_fingerprints:
             self._forget(next(iter(self._crashes)))
-        self._seen_ms[crash] = min(seen_ms, self._seen_ms.get(crash, seen_ms))
-        while len(self._seen_ms) > self._bounds.max_crashes_held:
-            self._seen_ms.popitem(last=False)
+        self._crash_times_ms[crash] = min(
+            seen_ms, self._crash_times_ms.get(crash, seen_ms)
+        )
+        while len(self._crash_times_ms) > self._bounds.max_crashes_held:
+            self._crash_times_ms.popitem(last=False)
 
     def _merge_cleared(self, fingerprint: int, cleared_ms: float) -> None:
         for crash, seen_ms in tuple(self._crashes.get(fingerprint, {}).items()):
@@ -209,7 +211,10 @@
         self._clear(fingerprint, cleared_ms)
 
     def _crash_limit(self, fingerprint: int, n_crashes: int) -> int:
-        """:returns: number of crashes at which a request is refused"""
+        """:returns: number of crashes at which a request is refused
+
+        It is the higher one while about as many engines crash without the request.
+        """
         if n_crashes < self._bounds.n_crashes:
             return self._bounds.n_crashes
         own = self._crashes[fingerprint]
@@ -218,7 +223,7 @@
         n_others = sum(
             first_ms <= seen_ms <= last_ms
             and not self._is_own_crash(own, crash, seen_ms)
-            for crash, seen_ms in self._seen_ms.items()
+            for crash, seen_ms in self._crash_times_ms.items()
         )
         is_wave = n_others >= n_crashes - 1
         return self._bounds.max_crashes if is_wave else self._bounds.n_crashes
@@ -236,7 +241,8 @@
             for other, own_ms in own.items()
         )
 
-    def _max_crashes_on(self, crash: _Crash) -> int:
+    def _highest_crash_count(self, crash: _Crash) -> int:
+        """:returns: number of crashes of the request of ``crash`` that was in most"""
         return max(
             len(self._crashes[other]) for other in self._requests_by_crash[crash]
         )
@@ -250,9 +256,9 @@
         del crashes[crash]
         if not crashes:
             del self._crashes[fingerprint]
-        aboard = self._requests_by_crash[crash]
-        aboard.discard(fingerprint)
-        if not aboard:
+        requests = self._requests_by_crash[crash]
+        requests.discard(fingerprint)
+        if not requests:
             del self._requests_by_crash[crash]
 
     def _clear(self, fingerprint: int, cleared_ms: float) -> None:
--- a/src/quetzaldeck/decisions/relays/relay_selector.py
+++ b/src/quetzaldeck/decisions/relays/relay_selector.py
@@ -39,7 +39,7 @@
 
 class _Suspicion(NamedTuple):
     until_ms: float
-    n_times: int
+    n_misses: int
 
 
 class RelaySelector:
@@ -113,12 +113,12 @@
 
     def note_missed_ack(self, address: str, now_ms: float) -> None:
         """Record that a VM did not acknowledge a message in time."""
-        n_times = 1
+        n_misses = 1
         if address in self._suspicions:
-            n_times += self._suspicions[address].n_times
-        pause_ms = self._bounds.suspect_ms * 2 ** min(n_times - 1, 8)
+            n_misses += self._suspicions[address].n_misses
+        pause_ms = self._bounds.suspect_ms * 2 ** min(n_misses - 1, 8)
         until_ms = now_ms + min(self._bounds.max_suspect_ms, pause_ms)
-        self._suspicions[address] = _Suspicion(until_ms, n_times)
+        self._suspicions[address] = _Suspicion(until_ms, n_misses)
 
     def note_ack(self, address: str) -> None:
         """Record that a VM acknowledged a message."""
@@ -142,6 +142,7 @@
         return relays[self._rank(self._own) % len(relays)]
 
     def _choose_fallback(self, own_zone: set[str], now_ms: float) -> str | None:
+        """:returns: a trusted VM if this relay suspects a VM that precedes it"""
         if self._parent is not None:
             return None
         own_order = self._order(self._own)
--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -73,7 +73,7 @@
             log_event("source_history_gone", level="WARNING", error=error)
             self._questions.labels("source", "history_gone").inc()
             self._must_read_all = True
-            self._sources.choice.note_history_gone()
+            self._sources.choice.note_history_dropped()
             self._state.belief.note_trouble(clock.uptime_ms())
             return 0.0
         except SourceError as error:
