--- a/src/quetzaldeck/decisions/health/pace.py
+++ b/src/quetzaldeck/decisions/health/pace.py
@@ -15,7 +15,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from quetzaldeck.decisions.health.pool import MAX_SOFT_EJECTED
+from quetzaldeck.decisions.health.pool import MAX_AVOIDED_SHARE
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -68,7 +68,7 @@
     """
     slow = [state for state in pool if state.pace.is_slow(now_ms)]
     slow.sort(key=lambda state: -state.pace.at(now_ms))
-    n_avoided = math.floor(len(pool) * MAX_SOFT_EJECTED)
+    n_avoided = math.floor(len(pool) * MAX_AVOIDED_SHARE)
     avoided = {state.spec.name for state in slow[:n_avoided]}
     fast = [state for state in candidates if state.spec.name not in avoided]
     return fast or list(candidates)
--- a/src/quetzaldeck/decisions/health/partial_failures.py
+++ b/src/quetzaldeck/decisions/health/partial_failures.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.decisions.health.outcomes import Outcomes
-from quetzaldeck.decisions.health.pool import MAX_SOFT_EJECTED
+from quetzaldeck.decisions.health.pool import MAX_AVOIDED_SHARE
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -60,7 +60,7 @@
         total = total.add(one)
     failing = [name for name, one in outcomes.items() if _is_failing(one, total)]
     failing.sort(key=lambda name: -_share(outcomes[name]))
-    n_avoided = math.floor(len(pool) * MAX_SOFT_EJECTED)
+    n_avoided = math.floor(len(pool) * MAX_AVOIDED_SHARE)
     return {name: outcomes[name] for name in failing[:n_avoided]}
 
 
--- a/src/quetzaldeck/decisions/health/pool.py
+++ b/src/quetzaldeck/decisions/health/pool.py
@@ -1,4 +1,4 @@
-"""Limits how many upstreams of a pool are ejected, so that a pool never becomes empty.
+"""Limits how many upstreams of a pool are ejected, so that some can always be used.
 
 Failure scenario: many upstreams of a pool are judged faulty at once, either rightly (an
 availability zone has failed) or wrongly (this VM's own network has failed). Without the
@@ -18,8 +18,8 @@
 
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
-MAX_SOFT_EJECTED = 0.34
-"""Largest share of a pool ejected for silence: one of three availability zones.
+MAX_AVOIDED_SHARE = 0.34
+"""Largest share of a pool avoided on inconclusive evidence: one of three zones.
 
 A refused connection or a crash loop proves a fault of the upstream, whereas silence may
 also be a fault of the network path or of this VM.
@@ -27,16 +27,17 @@
 
 
 def list_usable(pool: Sequence[UpstreamState]) -> list[UpstreamState]:
-    """:returns: the upstreams that get ordinary requests; never empty for a pool
+    """:returns: the upstreams that get ordinary requests
 
-    Ejected upstreams are among them where the limit on ejections requires it.
+    They include silent upstreams beyond the limit on ejections and, if no others are
+    left, the least faulty of the idle ones.
     """
     usable = [state for state in pool if not state.health.is_ejected]
-    soft = sorted(
-        (state for state in pool if _is_soft(state)), key=_hold_until, reverse=True
+    silent = sorted(
+        (state for state in pool if _is_silent(state)), key=_hold_until, reverse=True
     )
-    n_ejected = math.floor(len(pool) * MAX_SOFT_EJECTED)
-    usable.extend(soft[n_ejected:])
+    n_ejected = math.floor(len(pool) * MAX_AVOIDED_SHARE)
+    usable.extend(silent[n_ejected:])
     return usable or _least_faulty(pool)
 
 
@@ -57,7 +58,7 @@
     return idle[: max(1, math.ceil(len(pool) / 2))]
 
 
-def _is_soft(state: UpstreamState) -> bool:
+def _is_silent(state: UpstreamState) -> bool:
     return state.health.ejected_state is HealthState.SILENT
 
 
@@ -65,4 +66,4 @@
     return state.health.hold_until_ms
 
 
-__all__ = ("MAX_SOFT_EJECTED", "admit_probes", "list_usable")
+__all__ = ("MAX_AVOIDED_SHARE", "admit_probes", "list_usable")
--- a/tests/decisions/health/test_pace.py
+++ b/tests/decisions/health/test_pace.py
@@ -88,9 +88,10 @@
 
 
 def test_slow_engine_delays_no_long_prompt() -> None:
-    """Runs the bench's load of 34 long prompts with one of 14 engines 5 times slower.
+    """Guards against long prompts that are late because one of 14 engines is slow.
 
-    Without knowledge of the paces, five of the prompts were late.
+    Runs the bench's load of 34 long prompts with one engine five times slower. Without
+    knowledge of the paces, five of them were late.
     """
     fleet = FLEETS[0]
     scenarios = {scenario.name: scenario for scenario in list_scenarios(fleet, 1)}
