--- a/src/quetzaldeck/decisions/__init__.py
+++ b/src/quetzaldeck/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: no I/O, clock and random state passed in."""
+"""Scheduling decisions, free of I/O; the clock and random state are passed in."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/admission/__init__.py
+++ b/src/quetzaldeck/decisions/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission policies: what is refused at once."""
+"""Admission policies, which decide whether a request is refused on arrival."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/admission/api.py
+++ b/src/quetzaldeck/decisions/admission/api.py
@@ -1,4 +1,4 @@
-"""The family of admission policies."""
+"""Interface and registry of admission policies."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 
 
 class AdmissionPolicy(ABC):
-    """Refuses what cannot be answered in time, before it costs anything.
+    """Refuses requests that cannot be answered in time, before they use resources.
 
-    The scheduler tells it what waits and how attempts go.
+    The scheduler notifies it of waiting requests and of the progress of attempts.
 
     :param random_state: source of jitter
+    :param bounds: limits of the queue
     """
 
     def __init__(
@@ -31,55 +32,58 @@
         self._random_state = random_state
         self._bounds = bounds or SchedulerBounds()
 
-    def configure(  # noqa: B027 - bounds have none
+    def configure(  # noqa: B027 - optional
         self, bundle: Bundle, tuning: Tuning
     ) -> None:
-        """Take the bundle's engines and the figures of its profile."""
+        """Apply the engines of a bundle and the parameters of its profile."""
 
     @abstractmethod
     def check(
         self, request: Request, now_ms: float, *, can_start: bool
     ) -> Failure | None:
-        """:returns: the refusal of an arriving request, ``None`` to admit it
+        """Decide whether to admit an arriving request.
 
-        :param can_start: whether an upstream could take it now
+        :param can_start: whether an upstream has capacity for it now
+        :returns: the refusal, ``None`` to admit it
         """
 
     @abstractmethod
     def latest_start_ms(self, request: Request) -> float:
-        """:returns: time after which a dispatch would be of no use"""
+        """:returns: time after which a dispatch would be too late"""
 
     @abstractmethod
     def give_up(self, request: Request, now_ms: float) -> Failure:
-        """:returns: the failure of a request that waited past its latest start"""
+        """:returns: failure of a request that waited past its latest start time"""
 
-    def time_return(self, request: Request, failure: Failure, now_ms: float) -> Failure:
-        """Say when the caller of a request that did not run should come back.
+    def update_retry_after(
+        self, request: Request, failure: Failure, now_ms: float
+    ) -> Failure:
+        """Set the retry delay of a final failure whose request did not run.
 
-        :param failure: why its attempts have ended; says a time from experience
-        :returns: the failure with a better time, if there is one
+        :param failure: why the attempts ended, with the delay set by the retry policy
+        :returns: the failure, with a better delay if one can be predicted
         """
         return failure
 
     @abstractmethod
     def note_queued(self, request: Request, now_ms: float) -> None:
-        """Note that a request waits from now on."""
+        """Record that a request starts to wait."""
 
     @abstractmethod
     def note_unqueued(
         self, request: Request, now_ms: float, *, is_dispatched: bool
     ) -> None:
-        """Note that a request no longer waits."""
+        """Record that a request no longer waits."""
 
-    def note_first_token(  # noqa: B027 - bounds alone learn nothing
+    def note_first_token(  # noqa: B027 - optional
         self, request: Request, elapsed_ms: float, now_ms: float
     ) -> None:
-        """Learn from the time between a dispatch and its first token."""
+        """Record the time between a dispatch and its first token."""
 
-    def note_answer(  # noqa: B027 - bounds alone learn nothing
+    def note_answer(  # noqa: B027 - optional
         self, request: Request, n_tokens: int, elapsed_ms: float, now_ms: float
     ) -> None:
-        """Learn from the time between the first token and the last."""
+        """Record the time between the first token and the last."""
 
 
 admission_policies: Registry[AdmissionPolicy] = Registry("admission policy")
--- a/src/quetzaldeck/decisions/admission/bounds_only.py
+++ b/src/quetzaldeck/decisions/admission/bounds_only.py
@@ -1,4 +1,4 @@
-"""Admission by the bounds of the queue alone: the baseline."""
+"""Baseline admission policy that checks only the limits of the queue."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
     from quetzaldeck.decisions.scheduler_bounds import SchedulerBounds
 
 RETRY_AFTER_MS = 1_000.0
-"""Nothing is known of how the queue drains here: long enough not to return at once."""
+"""Fixed, as this policy does not measure how fast the queue drains; long enough to
+prevent immediate retries."""
 
 
 @admission_policies.register("bounds")
 class BoundsOnly(AdmissionPolicy):
-    """Admits while the queue has room.
+    """Admits requests while the queue is not full.
 
-    Load pattern: load below capacity. In overload the queue fills with requests
-    that expire in it; each caller waits for its whole deadline to hear a refusal.
+    Load pattern: load below capacity. Under overload the queue fills with requests that
+    expire in it, and each caller waits until its deadline for a refusal.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
     def check(
         self, request: Request, now_ms: float, *, can_start: bool
     ) -> Failure | None:
-        """:returns: the refusal if the queue has no room"""
+        """:returns: the refusal if a limit of the queue is reached, else ``None``"""
         reason = check_bounds(self._account, request, self._bounds)
         return (
             None if reason is None else Failure(reason, retry_after_ms=RETRY_AFTER_MS)
@@ -47,7 +48,7 @@
         return request.deadline_ms
 
     def give_up(self, request: Request, now_ms: float) -> Failure:
-        """:returns: a failure that says that the deadline has passed"""
+        """:returns: a failure with the reason that the deadline has passed"""
         return Failure(Reason.DEADLINE_EXCEEDED)
 
     def note_queued(self, request: Request, now_ms: float) -> None:
--- a/src/quetzaldeck/decisions/admission/line_load.py
+++ b/src/quetzaldeck/decisions/admission/queue_class_load.py
@@ -1,4 +1,4 @@
-"""What waits before a request, in tokens."""
+"""Tokens that are queued ahead of a request."""
 
 from __future__ import annotations
 
@@ -14,17 +14,20 @@
 _CLASSES = {length_class: index for index, length_class in enumerate(LengthClass)}
 
 
-class Line(NamedTuple):
-    """Requests that wait for the same room: a target's long ones or its others."""
+class QueueClass(NamedTuple):
+    """Requests that wait for the same capacity: the long or the other ones of a target.
+
+    :param target: model name, or key of a plain service
+    """
 
     target: str
     is_long: bool
 
 
-def line_of(request: Request) -> Line:
-    """:returns: the line that a request waits in"""
+def queue_class_of(request: Request) -> QueueClass:
+    """:returns: the queue class of a request"""
     target = f"service {request.service}" if request.service else request.model
-    return Line(target, request.n_prompt_tokens > MAX_MEDIUM_TOKENS)
+    return QueueClass(target, request.n_prompt_tokens > MAX_MEDIUM_TOKENS)
 
 
 class _CustomerTokens:
@@ -36,7 +39,7 @@
         self.counts = [0] * len(_CLASSES)
 
 
-class _Level:
+class _PriorityLevel:
     """Queued tokens of one priority, by length class and by customer."""
 
     def __init__(self) -> None:
@@ -45,25 +48,27 @@
         self.weight = 0.0
 
 
-class LineLoad:
-    """Counts the tokens of a line; no step depends on the number of customers.
+class QueueClassLoad:
+    """Counts the queued tokens of a queue class.
+
+    The cost of each method is independent of the number of customers.
 
-    :param now_ms: when the line came into being
+    :param now_ms: time of creation, from which the drain rate is measured
     """
 
     def __init__(self, now_ms: float) -> None:
         self.drain = DrainRate(now_ms)
-        self._levels: dict[int, _Level] = {}
+        self._levels: dict[int, _PriorityLevel] = {}
         self._n_requests = 0
 
     @property
     def n_requests(self) -> int:
-        """:returns: requests that wait"""
+        """:returns: number of waiting requests"""
         return self._n_requests
 
     def add(self, request: Request, now_ms: float) -> None:
         """Count a request that waits."""
-        level = self._levels.setdefault(request.priority, _Level())
+        level = self._levels.setdefault(request.priority, _PriorityLevel())
         own = level.customers.get(request.customer)
         if own is None:
             own = level.customers[request.customer] = _CustomerTokens(request.weight)
@@ -94,27 +99,28 @@
         self.drain.note_backlog(now_ms, is_backlogged=self._n_requests > 0)
 
     def tokens_ahead(self, request: Request, stretch: float, rate: float) -> float:
-        """Count what will be served before a request that arrives now.
+        """Estimate the tokens that will be served before a request that arrives now.
 
-        All of the higher priorities; of its own priority what is due before it in
-        its customer's line, times the customers that take turns with it, but not
-        more than waits there.
+        Includes all tokens of higher priorities. At its own priority, includes the
+        tokens of its customer that are due before it, scaled up by the weights of the
+        customers that share the queue with it, up to all tokens queued there.
 
-        :param stretch: as the queue's; longer requests that have waited for longer
-            than the difference of the times at which they are due go first
-        :param rate: tokens that the line drains in a millisecond
+        :param stretch: stretch of the queue. A longer request is served first if it has
+            waited for longer than the difference between the due times
+        :param rate: tokens of the queue class that are dispatched in a millisecond
+        :returns: number of tokens
         """
         ahead = 0.0
         for priority, level in self._levels.items():
             if priority < request.priority:
                 ahead += sum(level.tokens)
             elif priority == request.priority:
-                ahead += _ahead_in_level(level, request, stretch, rate)
+                ahead += _tokens_ahead_in_level(level, request, stretch, rate)
         return ahead
 
 
-def _ahead_in_level(
-    level: _Level, request: Request, stretch: float, rate: float
+def _tokens_ahead_in_level(
+    level: _PriorityLevel, request: Request, stretch: float, rate: float
 ) -> float:
     own = level.customers.get(request.customer)
     weight = level.weight
@@ -122,15 +128,15 @@
     if own is None:
         weight += request.weight
     else:
-        n_own = _due_before(own, request, stretch, rate * own.weight / weight)
+        n_own = _tokens_due_before(own, request, stretch, rate * own.weight / weight)
     turns = (n_own + request.n_kv_tokens) * weight / request.weight
     return min(float(sum(level.tokens)), turns - request.n_kv_tokens)
 
 
-def _due_before(
+def _tokens_due_before(
     own: _CustomerTokens, request: Request, stretch: float, rate: float
 ) -> float:
-    """:returns: tokens of the customer that are due before a request arriving now"""
+    """:returns: queued tokens of the customer due before a request arriving now"""
     n_classes = _CLASSES[request.length_class] + 1
     before = float(sum(own.tokens[:n_classes]))
     wait_ms = sum(own.tokens) / rate if rate > 0 else 0.0
@@ -144,4 +150,4 @@
     return before
 
 
-__all__ = ("Line", "LineLoad", "line_of")
+__all__ = ("QueueClass", "QueueClassLoad", "queue_class_of")
--- a/src/quetzaldeck/decisions/answer_learner.py
+++ b/src/quetzaldeck/decisions/answer_learner.py
@@ -1,4 +1,4 @@
-"""Passes on what answers tell of service times and prompt tokens."""
+"""Feeds measurements of answers to the admission policy and the token estimator."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AnswerLearner:
-    """Tells the admission policy and the token estimator what they learn from.
+    """Updates the estimates of service times and prompt tokens from finished attempts.
 
     :param admission: learns how long requests take
     :param tokens: learns how many tokens prompts have
@@ -23,15 +23,15 @@
         self._tokens = tokens
 
     def note_first_token(self, tracked: Tracked, now_ms: float) -> None:
-        """Learn from the first token of an attempt."""
+        """Record how long an attempt took to its first token."""
         elapsed_ms = now_ms - tracked.dispatched_ms
         self._admission.note_first_token(tracked.request, elapsed_ms, now_ms)
 
     def note_answer(self, tracked: Tracked, end: AttemptEnd, now_ms: float) -> None:
-        """Learn from a complete answer.
+        """Record the generation time and prompt tokens of a complete answer.
 
-        One that was resumed tells nothing: its last attempt had part of the answer
-        in the prompt and generated only the rest.
+        Skips answers that took more than one attempt: the last attempt of a resumed
+        answer had part of the answer in its prompt and generated only the rest.
         """
         if tracked.history.n_dispatched > 1 or tracked.first_token_ms is None:
             return
@@ -39,7 +39,7 @@
         elapsed_ms = now_ms - tracked.first_token_ms
         self._admission.note_answer(request, end.n_output_tokens, elapsed_ms, now_ms)
         self._tokens.learn(
-            request, tracked.n_guessed_tokens, end.n_prompt_tokens, now_ms
+            request, tracked.n_uncorrected_tokens, end.n_prompt_tokens, now_ms
         )
 
 
--- a/src/quetzaldeck/decisions/attempt_starter.py
+++ b/src/quetzaldeck/decisions/attempt_starter.py
@@ -1,4 +1,4 @@
-"""Turns a place that was found for a request into an attempt."""
+"""Creates the attempt for a request that has been placed."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class AttemptStarter:
-    """Accounts for each attempt that begins and says how it is to be made.
+    """Reserves capacity for each new attempt and builds its ``Dispatch``.
 
     :param table: all upstreams
-    :param placer: holds what an attempt reserves
-    :param head_of_line: gives an attempt its rank at its upstream
-    :param tracked: remembers which attempt of a request runs
+    :param placer: reserves capacity for an attempt
+    :param head_of_line: sets the engine priority of an attempt
+    :param tracked: stores the running attempt of each request
     """
 
     def __init__(
@@ -43,7 +43,10 @@
     def start(
         self, request: Request, upstreams: tuple[str, ...], now_ms: float
     ) -> Dispatch:
-        """:returns: the next attempt of a request, at the place that was found last"""
+        """Start the next attempt of a request on the upstreams the placer just chose.
+
+        :returns: the dispatch of the attempt
+        """
         tracked = self._tracked[request.request_id]
         n_attempt = tracked.history.n_dispatched + 1
         deadline_wall_ms = self._clock.wall_ms() + request.deadline_ms - now_ms
--- a/src/quetzaldeck/decisions/caller_idle_timeout.py
+++ b/src/quetzaldeck/decisions/caller_idle_timeout.py
@@ -1,37 +1,37 @@
-"""How long the caller of a stream listens before it has heard anything.
+"""Infers after how long without a token the caller of a stream disconnects.
 
-Load pattern: more answers are asked for than engines can begin, as when a group of
-engines dies in a burst. A caller gives ten seconds for the whole answer, but hangs up
-after two if no word has come.
+Load pattern: more requests arrive than engines can start, for example when a group of
+engines dies in a burst. A caller allows ten seconds for the whole answer, but
+disconnects after two if it has received no token.
 
-Without it a request waits in the queue by its deadline: its caller hears nothing and
-leaves, and what an engine begins then is for nobody.
+If only the deadline counted, a request could stay in the queue after its caller has
+disconnected, and an engine would start an answer that nobody receives.
 
-Grounds: the figures are those by which the callers' clients give a stream up. A client
-with another rule hears its refusal early or late, but hears one.
+The constants are the limits at which the callers' clients abandon a stream. A client
+with other limits receives its refusal early or late, but it does receive one.
 """
 
 from __future__ import annotations
 
 MIN_IDLE_TIMEOUT_MS = 2_000.0
-"""No caller hangs up sooner, however short the time in which it wants to hear."""
+"""Lower limit of the timeout, however small the time-to-first-token target is."""
 
 TIMEOUT_PER_TARGET = 4.0
-"""A caller bears this many times the time in which it wants the first token."""
+"""Timeout as a multiple of the time-to-first-token target."""
 
 TIMEOUT_PER_GAP = 8.0
-"""A caller bears this many times the pause that it accepts between two tokens."""
+"""Timeout as a multiple of the maximum gap between two tokens."""
 
 LINK_MARGIN_MS = 50.0
-"""The last word to a caller leaves this long before it hangs up: several times the way
-to a caller, and the time for which a busy VM is late."""
+"""A refusal is sent this long before the caller disconnects: several times the network
+delay to the caller, plus the scheduling delay of a busy VM."""
 
 
 def infer_idle_timeout_ms(target_ms: float, max_gap_ms: float) -> float:
-    """:returns: how long a caller listens to a stream that is silent
+    """:returns: time without a token after which the caller disconnects
 
-    :param target_ms: time to the first token that it wants; 0: none is stated
-    :param max_gap_ms: pause between two tokens that it accepts; 0: none is stated
+    :param target_ms: time-to-first-token target of the route; 0: none
+    :param max_gap_ms: maximum gap between two tokens on the route; 0: none
     """
     return max(
         MIN_IDLE_TIMEOUT_MS,
--- a/src/quetzaldeck/decisions/decision.py
+++ b/src/quetzaldeck/decisions/decision.py
@@ -1,4 +1,4 @@
-"""What the scheduler decides."""
+"""Decisions of the scheduler, and the ends of attempts reported to it."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     :param upstreams: one name, or the members of a group in canonical order
     :param attempt_id: unique id of this attempt
     :param n_attempt: 1 for the first attempt of the request
-    :param rank: priority for the engine, 0 to 9; a lower one is prefilled first
-    :param plan: the reservation to make first, if the request needs one
-    :param helpers: engines that read parts of the prompt for the last of ``upstreams``
-    :param backlog_ms: time that the busiest of them needs for all prompts sent there,
-        this one included; 0 if it is not known
-    :param first_token_ms: predicted time to the first token; 0 if it is not known
+    :param rank: engine priority, 0 to 9; lower values are prefilled first
+    :param plan: memory reservation to make first, if the request needs one
+    :param helpers: engines that prefill prompt parts for the last of ``upstreams``
+    :param backlog_ms: time that the busiest upstream or helper needs to prefill all
+        prompts sent to it, this one included; 0: unknown
+    :param first_token_ms: predicted time to the first token; 0: unknown
     """
 
     request: Request
@@ -36,7 +36,7 @@
 
 
 class Rejection(NamedTuple):
-    """Tell the caller that its queued request will not be answered."""
+    """Fail a queued request without another attempt."""
 
     request: Request
     failure: Failure
@@ -46,14 +46,14 @@
 
 
 class AttemptFault(StrEnum):
-    """Evidence that ended an attempt.
-
-    ``BROKEN`` is a connection that was lost, as a crash shows itself; ``FAILED`` an
-    answer that says that it failed, which a crashed process cannot give.
-    ``TOO_LONG`` is a prompt of more tokens than was estimated: it does not fit into
-    what was set aside for it. ``NO_ROOM`` is a reservation that could not be had:
-    nothing was run. ``HELPER`` is an engine that did not take its part of a prompt: it
-    is gone, or helps as many others as it can.
+    """Why an attempt failed.
+
+    ``BROKEN`` is a lost connection, which is how a crash shows; ``FAILED`` is an error
+    response, which a crashed process cannot send. ``TOO_LONG`` is a prompt with more
+    tokens than estimated, which does not fit into the memory reserved for it.
+    ``NO_ROOM`` is a refused memory reservation: nothing was run. ``HELPER`` is an
+    engine that did not prefill its prompt part: it is unreachable, or already prefills
+    parts for as many other engines as it has slots.
     """
 
     CONNECT = "connect"
@@ -74,11 +74,12 @@
     :param fault: ``None`` if the answer is complete
     :param n_output_tokens: tokens delivered to the caller by this attempt
     :param n_prompt_tokens: prompt tokens counted by the engine; 0 if unknown
-    :param has_reached: whether the upstream may have begun to run it
-    :param has_arrived: whether the upstream was asked, though it did not run it
-    :param retry_after_ms: when to come back, if the upstream said so
-    :param upstream: member of a group that failed; ``""``: the only one
-    :param incarnation: incarnation of that upstream, if it said so
+    :param has_reached: whether the upstream may have started to run it
+    :param has_arrived: whether the upstream may have received it, even if it did not
+        run it
+    :param retry_after_ms: retry delay requested by the upstream, if any
+    :param upstream: group member that failed; ``""``: the attempt has no group
+    :param incarnation: incarnation reported by that upstream; ``""``: none
     """
 
     attempt_id: str
--- a/src/quetzaldeck/decisions/expiry.py
+++ b/src/quetzaldeck/decisions/expiry.py
@@ -1,27 +1,29 @@
-"""Ids that say until when their owner may use what they name."""
+"""Request and resource ids that carry the deadline of their owner."""
 
 from __future__ import annotations
 
 import re
 
-MARK = "-x"
-_EXPIRY = re.compile(rf"{MARK}([0-9a-f]{{6,12}})")
+EXPIRY_MARKER = "-x"
+_EXPIRY = re.compile(rf"{EXPIRY_MARKER}([0-9a-f]{{6,12}})")
 MS_PER_SECOND = 1_000
 
 
 def mark_expiry(request_id: str, deadline_wall_ms: float) -> str:
-    """:returns: ``request_id`` with its deadline in it
+    """Append the deadline to a request id.
 
-    Ids of attempts, reservations and exports begin with the request's id, and an
-    engine lists them as it got them: so whoever reads the list knows the deadline
-    of each, without a word from the owner and without a change of the protocol.
+    Ids of attempts, reservations and exports start with the request id, and an engine
+    lists them unchanged. A reader of that list can tell the deadline of each without
+    asking the owner, and the protocol needs no extra field.
+
+    :returns: ``request_id`` followed by the deadline in hexadecimal seconds
     """
     seconds = int(deadline_wall_ms // MS_PER_SECOND) + 1
-    return f"{request_id}{MARK}{seconds:x}"
+    return f"{request_id}{EXPIRY_MARKER}{seconds:x}"
 
 
 def read_expiry_ms(holding_id: str) -> float | None:
-    """:returns: deadline by the wall clock, ``None`` if the id names none"""
+    """:returns: wall-clock deadline in the id, ``None`` if it contains none"""
     match = _EXPIRY.search(holding_id)
     return None if match is None else float(int(match.group(1), 16) * MS_PER_SECOND)
 
--- a/src/quetzaldeck/decisions/failed_attempts.py
+++ b/src/quetzaldeck/decisions/failed_attempts.py
@@ -1,4 +1,4 @@
-"""What becomes of a request whose attempt failed."""
+"""Retries or fails requests after a failed attempt."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     from quetzaldeck.decisions.waiting import WaitingRequests
 
 
-class FailedAttempts:
-    """Queues requests again whose attempt failed, or ends them.
+class FailedAttemptHandler:
+    """Queues a request again after a failed attempt, or ends it with a failure.
 
-    :param tracked: remembers admitted requests
-    :param waiting: takes those that are tried again
-    :param placer: knows whether they can be placed at all
-    :param retries: decides on further attempts
-    :param admission: says when a caller may come back
-    :param poison: holds suspects back
+    :param tracked: stores admitted requests
+    :param waiting: holds requests that will be retried
+    :param placer: checks whether any upstream can serve a request
+    :param retries: decides whether and when to retry
+    :param admission: sets the retry delay of a final failure
+    :param poison: delays requests suspected of crashing engines
     """
 
     def __init__(
@@ -47,14 +47,19 @@
         self._admission = admission
         self._poison = poison
 
-    def take(self, tracked: Tracked, end: AttemptEnd, now_ms: float) -> Failure | None:
-        """:returns: the final failure of a request, ``None`` if it is tried again"""
+    def handle(
+        self, tracked: Tracked, end: AttemptEnd, now_ms: float
+    ) -> Failure | None:
+        """Retry a request or end it.
+
+        :returns: the final failure, ``None`` if the request will be retried
+        """
         history = tracked.history.after(end, tracked.upstreams)
         if end.fault is AttemptFault.TOO_LONG:
             tracked = self._tracked.resize(tracked, grow_estimate, now_ms)
         request = tracked.request
         if end.n_output_tokens:
-            # Its caller has heard a part and goes on listening.
+            # The caller received tokens, so its idle timeout starts again.
             request = request._replace(last_token_ms=now_ms)
         failure = self._placer.check(request, now_ms)
         if failure is not None:
@@ -65,11 +70,11 @@
             self._tracked.forget(request.request_id, now_ms)
             if retry.ran is not Ran.NO or end.retry_after_ms is not None:
                 return retry
-            return self._admission.time_return(request, retry, now_ms)
+            return self._admission.update_retry_after(request, retry, now_ms)
         due_ms = retry.due_ms + self._poison.pause_ms(request.fingerprint, now_ms)
-        self._tracked.update(Tracked(request, tracked.n_guessed_tokens, history))
+        self._tracked.update(Tracked(request, tracked.n_uncorrected_tokens, history))
         self._waiting.delay(request, due_ms, now_ms)
         return None
 
 
-__all__ = ("FailedAttempts",)
+__all__ = ("FailedAttemptHandler",)
--- a/src/quetzaldeck/decisions/fleet_observer.py
+++ b/src/quetzaldeck/decisions/fleet_observer.py
@@ -1,4 +1,4 @@
-"""Takes what upstreams and other VMs tell of themselves."""
+"""Applies updates from upstreams and other VMs to the scheduler's view of the fleet."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class FleetObserver:
-    """Keeps what the scheduler knows of the fleet up to date.
+    """Keeps the scheduler's view of the fleet up to date.
 
-    Whatever is told may mean that there is room again, so what waits looks for a place
-    after it.
+    Each update may mean that capacity has become free, so placement of waiting
+    requests is retried after it.
 
     :param table: all upstreams
-    :param policy: is told of the engines' prefix caches
+    :param policy: receives events of the engines' prefix caches
     :param poison: requests suspected of crashing engines
-    :param monitor: is told when upstreams were seen alive
-    :param waiting: requests that look for a place
+    :param monitor: is notified when load reports show that upstreams are alive
+    :param waiting: requests that wait for placement
     """
 
     def __init__(
@@ -50,41 +50,41 @@
     def observe(
         self, reports: Iterable[LoadReport], leaving: Collection[str] = ()
     ) -> None:
-        """Take load reports and the list of leaving upstreams."""
+        """Apply load reports and the list of leaving upstreams."""
         self._table.observe(reports, self._clock.now_ms())
         self._table.mark_leaving(leaving)
         self._monitor.note_alive()
-        self._waiting.note_room()
+        self._waiting.note_capacity_freed()
 
     def observe_incarnations(self, incarnations: Iterable[tuple[str, str]]) -> None:
-        """Take which of its starts each upstream says that this is."""
+        """Apply the incarnation that each upstream reports."""
         now_ms = self._clock.now_ms()
         for name, incarnation in incarnations:
             state = self._table.get(name)
             if state is not None:
                 state.note_incarnation(incarnation, now_ms)
-        self._waiting.note_room()
+        self._waiting.note_capacity_freed()
 
     def observe_load(self, report: LoadReport) -> None:
-        """Take the load that one upstream told with an answer."""
+        """Apply the load that an upstream reported with a response."""
         self._table.observe((report,), self._clock.now_ms())
-        self._waiting.note_room()
+        self._waiting.note_capacity_freed()
 
     def observe_peer(self, vm: str, shares: Iterable[tuple[str, VmLoad]]) -> None:
-        """Take what another VM has at upstreams.
+        """Apply the loads that another VM puts on upstreams.
 
-        What it has at another start of an upstream than the one known here is nothing
-        to go by; after the next news of that start both VMs speak of the same.
+        Ignores loads on another incarnation of an upstream than the one known here.
+        Both VMs agree again once they have learned of the latest incarnation.
         """
         now_ms = self._clock.now_ms()
         for name, share in shares:
             state = self._table.get(name)
-            if state is not None and not state.is_of_another_start(share.incarnation):
+            if state is not None and not state.is_other_incarnation(share.incarnation):
                 state.update_peer_load(vm, share, now_ms)
-        self._waiting.note_room()
+        self._waiting.note_capacity_freed()
 
     def observe_paces(self, paces: Iterable[tuple[str, float]]) -> None:
-        """Take how fast engines say that they are."""
+        """Apply the paces that engines report; see ``health.pace``."""
         now_ms = self._clock.now_ms()
         for name, pace in paces:
             state = self._table.get(name)
@@ -92,15 +92,15 @@
                 state.pace.note(pace, now_ms)
 
     def observe_cache(self, events: CacheEvents) -> None:
-        """Take events of an engine's prefix cache."""
+        """Apply events of an engine's prefix cache."""
         self._policy.note_cache_events(events)
 
     def observe_crashes(self, sightings: Iterable[CrashSighting]) -> None:
-        """Take what other VMs saw of requests and crashes."""
+        """Apply what other VMs reported about requests and engine crashes."""
         self._poison.observe(sightings, self._clock.now_ms())
 
     def take_crash_news(self) -> list[tuple[CrashSighting, ...]]:
-        """:returns: by request, what other VMs should know of it and crashes"""
+        """:returns: new crash sightings to send to the other VMs, grouped by request"""
         return self._poison.take_news(self._clock.now_ms())
 
 
--- a/src/quetzaldeck/decisions/load_report.py
+++ b/src/quetzaldeck/decisions/load_report.py
@@ -1,4 +1,4 @@
-"""Load that an upstream reports of itself, with a lag."""
+"""Load reported by an upstream; it lags behind the actual load."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class LoadReport(NamedTuple):
-    """One report.
+    """One load report of an upstream.
 
     :param upstream: name of the upstream
-    :param incarnation: id that changes at each start of the upstream
+    :param incarnation: id that changes each time the upstream starts
     :param sequence: number of the report within the incarnation
-    :param age_ms: age of the figures when the reader received them
-    :param n_running: sequences in the batch
-    :param n_waiting: sequences that wait inside the engine
-    :param n_kv_tokens_used: memory in use, in tokens
+    :param age_ms: age of the figures when this VM received them
+    :param n_running: sequences in the running batch
+    :param n_waiting: sequences queued inside the engine
+    :param n_kv_tokens_used: KV cache in use, in tokens
     :param n_prefill_tokens: prompt tokens still to be prefilled
-    :param models: ``model:version`` and ``model:version:adapter`` loaded
-    :param role: role of an engine; ``""`` if it reports none
+    :param models: loaded models, as ``model:version`` or ``model:version:adapter``
+    :param role: role of the engine; ``""``: none reported
     """
 
     upstream: str
--- a/src/quetzaldeck/decisions/pace_polling.py
+++ b/src/quetzaldeck/decisions/pace_polling.py
@@ -1,16 +1,17 @@
-"""Which VM asks which engine for its pace, and what the others are told.
+"""Assigns each engine to one VM that polls its pace, and selects paces to publish.
 
-Load pattern: hundreds of VMs before hundreds of engines. If each VM asked each engine
-once a second, an engine would be asked as often as there are VMs, and each question is
-paid for. So each engine is asked by one VM: all VMs rank those that they know of by a
-hash with the engine's name, and agree without a message. VMs of the engine's own zone
-go first, as bytes between zones are paid for.
+Load pattern: hundreds of VMs in front of hundreds of engines. If each VM polled each
+engine once a second, an engine would answer as many polls a second as there are VMs,
+and each poll is billed. So each engine is polled by one VM: all VMs choose the owner by
+rendezvous hashing with the engine's name, which needs no messages. VMs in the engine's
+availability zone are preferred, because traffic between zones is billed.
 
-Where views differ for a while an engine is asked twice, or by nobody until a VM that
-has died is forgotten; then nothing is known of its pace, and it counts as usual.
+While the views of the VMs differ, an engine is polled twice, or by no VM until a dead
+one is removed from the view. Its pace is then unknown and treated as normal.
 
-Only engines that are slow are told of, once a second while they are, and once when they
-are not any more: at several hundred engines the others would be most of what is told.
+Only slow engines are published: once a second while they are slow, and once when they
+have recovered. With several hundred engines, the paces of the others would make up most
+of the updates.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
     from collections.abc import Iterable, Mapping, Sequence
 
 MAX_POLLED = 16
-"""Engines that one VM asks at a time, more in turn. A VM that has lost sight of all
-others would ask every engine there is at once."""
+"""Engines that one VM polls per round; if it owns more, it polls them in turn. Without
+this limit a VM that is cut off from all others would poll every engine at once."""
 
 
 class PacePollPlanner:
-    """The questions that fall to one VM.
+    """Chooses the engines that one VM polls and the paces that it publishes.
 
-    :param own: this VM's address
+    :param own: address of this VM
     """
 
     def __init__(self, own: str) -> None:
         self._own = own
-        self._told: set[str] = set()
-        self._n_asked = 0
+        self._published: set[str] = set()
+        self._n_polled = 0
         self._owned: tuple[object, list[str]] = (None, [])
 
     def choose_polled(
@@ -45,12 +46,12 @@
         engines: Mapping[str, str],
         zone_vms: Mapping[str, Sequence[str]],
     ) -> list[str]:
-        """:returns: the engines that this VM asks now
+        """:returns: the engines that this VM polls now
 
-        :param engines: availability zone by name of the engine
-        :param zone_vms: addresses of all known VMs, this one among them, by zone
+        :param engines: availability zone by engine name
+        :param zone_vms: addresses of all known VMs, including this one, by zone
         """
-        self._told &= engines.keys()
+        self._published &= engines.keys()
         view = (engines, zone_vms)
         if self._owned[0] != view:
             copied = {zone: list(vms) for zone, vms in zone_vms.items()}
@@ -58,30 +59,34 @@
         owned = self._owned[1]
         if len(owned) <= MAX_POLLED:
             return owned
-        begin = self._n_asked % len(owned)
-        self._n_asked += MAX_POLLED
+        begin = self._n_polled % len(owned)
+        self._n_polled += MAX_POLLED
         return (owned + owned)[begin : begin + MAX_POLLED]
 
     def choose_published(self, paces: Iterable[tuple[str, float]]) -> dict[str, float]:
-        """:returns: of what was just asked, what the other VMs are told"""
+        """Select the paces that the other VMs need.
+
+        :param paces: engines that were just polled, with their paces
+        :returns: paces of engines that are slow, or were when last published
+        """
         told: dict[str, float] = {}
         for name, pace in paces:
             is_slow = pace >= SLOW_PACE
-            if is_slow or name in self._told:
+            if is_slow or name in self._published:
                 told[name] = pace
             if is_slow:
-                self._told.add(name)
+                self._published.add(name)
             else:
-                self._told.discard(name)
+                self._published.discard(name)
         return told
 
     def _list_owned(
         self, engines: Mapping[str, str], zone_vms: Mapping[str, Sequence[str]]
     ) -> list[str]:
-        """:returns: the engines that fall to this VM, by name
+        """List the engines that this VM owns, sorted by name.
 
-        Only those of zones in which it may be chosen are looked at: 780 engines and the
-        58 VMs of one zone in seven would be 45,000 hashes a second, a core's fiftieth.
+        Skips zones in which this VM cannot be chosen: 780 engines and the 58 VMs of one
+        zone in seven would take 45,000 hashes a second, 2 % of a core.
         """
         everyone = [vm for vms in zone_vms.values() for vm in vms]
         choices = {
--- a/src/quetzaldeck/decisions/policies.py
+++ b/src/quetzaldeck/decisions/policies.py
@@ -1,4 +1,4 @@
-"""Which registered policies decide, and the scheduler built from them."""
+"""Selects registered policies by name and builds the scheduler from them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Policies(NamedTuple):
-    """Names of the policies that decide."""
+    """Names of the selected policies."""
 
     queue: Annotated[str, Option("Queue policy.")] = "fair"
     placement: Annotated[str, Option("Placement policy.")] = "few_choices"
@@ -32,11 +32,12 @@
 BASELINE_LEAST_REPORTED = Policies("fifo", "least_reported", "bounds", "none")
 
 ENTRY_POLICIES = Policies("fair", "first_token", "predicted_wait", "reading_lane")
-"""What decides on an entry VM, whose engines state their speed and read in parts."""
+"""Policies of an entry VM, whose engines have a configured speed and can prefill
+prompts in parts."""
 
 ENTRY_GROUPS = GroupBounds(prefers_zone=False, min_members=6, max_wait_ms=300.0)
-"""Orders cost little, and memory that is refused costs a caller of a long prompt its
-answer. Waiting for one member is left for other members that have room."""
+"""Reservation requests cost little, while refused memory fails a long prompt. After
+``max_wait_ms``, other members with free memory are tried."""
 
 
 def build_scheduler(
--- a/src/quetzaldeck/decisions/prefix.py
+++ b/src/quetzaldeck/decisions/prefix.py
@@ -1,18 +1,18 @@
-"""Hashes of growing prompt prefixes, for cache affinity."""
+"""Hashes of prompt prefixes of increasing length, for prefix-cache affinity."""
 
 from __future__ import annotations
 
 import xxhash
 
 CHARACTERS_PER_TOKEN = 4
-"""First guess of characters per token; corrected by what engines count."""
+"""Initial estimate of characters per token; corrected by the counts of engines."""
 
 PREFIX_TOKENS = (256, 1_024, 4_096, 16_384, 65_536, 262_144)
-"""Lengths at which a prefix is hashed: few, so that a million tokens cost little."""
+"""Prefix lengths that are hashed: few, to keep prompts of a million tokens cheap."""
 
 
 def hash_prefixes(prompt: str) -> tuple[int, ...]:
-    """:returns: hash of each prefix of a stated length, shortest first"""
+    """:returns: hashes of the prefixes with the lengths above, shortest first"""
     hashes = []
     hasher = xxhash.xxh3_64()
     start = 0
--- a/src/quetzaldeck/decisions/request.py
+++ b/src/quetzaldeck/decisions/request.py
@@ -1,4 +1,4 @@
-"""What the decision modules know of one request."""
+"""A request as the scheduler sees it, and its length class."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LengthClass(StrEnum):
-    """Classes of prompt length, by tokens."""
+    """Classes of prompt length in tokens."""
 
     SHORT = "short"
     MEDIUM = "medium"
@@ -21,8 +21,9 @@
 MAX_SHORT_TOKENS = 4_000
 MAX_MEDIUM_TOKENS = 32_000
 MAX_LONG_TOKENS = 200_000
-"""Bounds of the classes, in tokens. An engine that reads 20,000 tokens a second, half
-as many at 200,000 tokens of context, takes 0.2 s, 1.7 s and 15 s for them."""
+"""Upper limits of the classes, in tokens. An engine that prefills 20,000 tokens a
+second, and half as many at 200,000 tokens of context, needs 0.2 s, 1.7 s and 15 s for
+them."""
 
 
 def classify_length(n_prompt_tokens: int) -> LengthClass:
@@ -37,21 +38,21 @@
 
 
 class Request(NamedTuple):
-    """One admitted or arriving request.
+    """An arriving or admitted request.
 
     :param customer: name of the customer in the bundle
-    :param model: model asked for; for a plain service, ``""``
-    :param service: plain service asked for; for a model, ``""``
-    :param n_prompt_tokens: estimated prompt tokens
-    :param max_output_tokens: bound of the answer
-    :param priority: 0 goes first
-    :param arrived_ms: monotonic arrival time
-    :param deadline_ms: monotonic time by which it must have ended
-    :param prefix_hashes: hashes of growing prompt prefixes, shortest first
-    :param fingerprint: hash of what the upstream would run
-    :param max_attempts: upstreams that may run it; ``None``: the VM's own bound
-    :param target_ms: time to the first token after which the answer is late; 0: none
-    :param max_gap_ms: gap between two tokens after which it is late; 0: none
+    :param model: requested model; ``""`` for a plain service
+    :param service: requested plain service; ``""`` for a model
+    :param n_prompt_tokens: estimated number of prompt tokens
+    :param max_output_tokens: maximum number of output tokens
+    :param priority: lower values are served first
+    :param arrived_ms: monotonic time of arrival
+    :param deadline_ms: monotonic time by which it must be complete
+    :param prefix_hashes: hashes of prompt prefixes, shortest first
+    :param fingerprint: hash of the work that the upstream would run
+    :param max_attempts: attempts that an upstream may start; ``None``: the VM's limit
+    :param target_ms: time-to-first-token target; 0: none
+    :param max_gap_ms: maximum gap between two tokens; 0: none
     :param caller_idle_timeout_ms: time without a token after which the caller
         disconnects; 0: it never does
     :param last_token_ms: monotonic time of the last token sent to the caller; 0: none
@@ -79,7 +80,7 @@
 
     @property
     def next_token_deadline_ms(self) -> float:
-        """:returns: monotonic time by which its caller must hear the next word"""
+        """:returns: monotonic time by which the caller must get a token or refusal"""
         if not self.caller_idle_timeout_ms:
             return math.inf
         last_token_ms = max(self.arrived_ms, self.last_token_ms)
@@ -87,17 +88,17 @@
 
     @property
     def n_kv_tokens(self) -> int:
-        """:returns: engine memory that the request may need, in tokens"""
+        """:returns: KV cache that the request may need, in tokens"""
         return self.n_prompt_tokens + self.max_output_tokens
 
     @property
     def target(self) -> str:
-        """:returns: name of the model or plain service asked for"""
+        """:returns: name of the requested model or plain service"""
         return self.service or self.model
 
     @property
     def length_class(self) -> LengthClass:
-        """:returns: the class of the prompt's length"""
+        """:returns: the length class of the prompt"""
         return classify_length(self.n_prompt_tokens)
 
 
--- a/src/quetzaldeck/decisions/scheduler.py
+++ b/src/quetzaldeck/decisions/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: one VM's decisions from a request's arrival to its end."""
+"""The scheduler of one VM, which handles a request from its arrival to its end."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from quetzaldeck.decisions.attempt_starter import AttemptStarter
 from quetzaldeck.decisions.decision import Rejection
 from quetzaldeck.decisions.estimation import TokenEstimator
-from quetzaldeck.decisions.failed_attempts import FailedAttempts
+from quetzaldeck.decisions.failed_attempts import FailedAttemptHandler
 from quetzaldeck.decisions.fleet_observer import FleetObserver
 from quetzaldeck.decisions.groups import GroupPlanner
 from quetzaldeck.decisions.head_of_line import Unprotected
@@ -42,17 +42,17 @@
 
 
 class Scheduler:
-    """Decides whom to serve, who waits, who is refused, and where work goes.
+    """Decides which requests are admitted, queued or refused, and where they run.
 
-    It does no I/O: the gateway's dispatch task and the bench's event driver feed
-    it events and carry out its decisions.
+    It does no I/O: the dispatch task of the gateway and the event loop of the bench
+    pass it events and carry out its decisions.
 
     :param queue: chooses the next request
     :param placement: chooses the upstream
-    :param admission: refuses what cannot be answered in time
+    :param admission: refuses requests that cannot be answered in time
     :param head_of_line: restricts the upstreams of a request
-    :param arrivals: bound on the sends beyond the first of each request
-    :param groups: figures of prompts that several engines hold
+    :param arrivals: budget for sending requests more than once
+    :param groups: parameters for prompts that several engines hold
     """
 
     def __init__(
@@ -97,7 +97,7 @@
             head_of_line=self._head_of_line,
             tracked=self._tracked,
         )
-        self._failed = FailedAttempts(
+        self._failed = FailedAttemptHandler(
             tracked=self._tracked,
             waiting=self._waiting,
             placer=self._placer,
@@ -121,46 +121,46 @@
 
     @property
     def fleet(self) -> FleetObserver:
-        """:returns: what takes news of upstreams and other VMs"""
+        """:returns: the receiver of updates from upstreams and other VMs"""
         return self._fleet
 
     @property
     def placer(self) -> Placer:
-        """:returns: what finds the place for a request"""
+        """:returns: the placer, which chooses upstreams for requests"""
         return self._placer
 
     @property
     def poison(self) -> PoisonRegistry:
-        """:returns: requests suspected of crashing engines"""
+        """:returns: the registry of requests suspected of crashing engines"""
         return self._poison
 
     @property
     def retries(self) -> RetryPolicy:
-        """:returns: what decides on failed attempts"""
+        """:returns: the policy that decides on retries"""
         return self._retries
 
     @property
     def admission(self) -> AdmissionPolicy:
-        """:returns: what refuses requests"""
+        """:returns: the admission policy"""
         return self._admission
 
     @property
     def limits(self) -> CustomerLimiter:
-        """:returns: this VM's part of the limits of customers"""
+        """:returns: the limiter that enforces this VM's share of the customer limits"""
         return self._limits
 
     @property
     def n_queued(self) -> int:
-        """:returns: requests that wait, for a place or for the end of a back-off"""
+        """:returns: requests that wait for placement or for the end of a backoff"""
         return len(self._waiting)
 
     @property
     def n_running(self) -> int:
-        """:returns: attempts that run"""
+        """:returns: running attempts"""
         return self._tracked.n_running
 
     def apply_bundle(self, bundle: Bundle) -> None:
-        """Put a bundle in force for requests that are not placed yet."""
+        """Apply a bundle to requests that are not placed yet."""
         now_ms = self._clock.now_ms()
         self._upstreams.apply_bundle(bundle, now_ms)
         self._limits.configure(bundle, now_ms)
@@ -168,21 +168,21 @@
         self._queue.configure(tuning)
         self._admission.configure(bundle, tuning)
         self._head_of_line.configure(bundle, tuning)
-        self._waiting.note_room()
+        self._waiting.note_capacity_freed()
 
     def submit(self, request: Request) -> Failure | None:
-        """Admit a request to the queue or refuse it at once.
+        """Queue a request or refuse it at once.
 
         :returns: the refusal, ``None`` if the request is queued
         """
         now_ms = self._clock.now_ms()
-        n_guessed_tokens = request.n_prompt_tokens
+        n_uncorrected_tokens = request.n_prompt_tokens
         request = self._tokens.correct(request)
         self._head_of_line.note_arrival(request, now_ms)
         failure = self._check_admission(request, now_ms)
         if failure is not None:
             return failure
-        self._tracked.add(Tracked(request, n_guessed_tokens), now_ms)
+        self._tracked.add(Tracked(request, n_uncorrected_tokens), now_ms)
         self._retries.note_admitted(request, now_ms)
         pause_ms = self._poison.pause_ms(request.fingerprint, now_ms)
         if pause_ms:
@@ -192,7 +192,7 @@
         return None
 
     def withdraw(self, request_id: str) -> None:
-        """Forget a request whose caller is gone or got its whole answer."""
+        """Remove a request whose caller disconnected or received the whole answer."""
         now_ms = self._clock.now_ms()
         tracked = self._tracked.forget(request_id, now_ms)
         if tracked is not None:
@@ -202,7 +202,7 @@
             self._release(tracked)
 
     def poll(self) -> list[Decision]:
-        """:returns: what to do now: rejections first, then dispatches"""
+        """:returns: decisions to carry out now: rejections first, then dispatches"""
         now_ms = self._clock.now_ms()
         self._waiting.end_delays(now_ms)
         decisions: list[Decision] = list(self._expire(now_ms))
@@ -213,7 +213,7 @@
         return decisions
 
     def note_first_token(self, attempt_id: str) -> None:
-        """Note that an attempt delivered its first token."""
+        """Record that an attempt delivered its first token."""
         tracked = self._tracked.find(attempt_id)
         if tracked is None:
             return
@@ -224,17 +224,18 @@
             tracked.request, attempt_id, tracked.upstreams, now_ms
         )
         self._placer.end_help(attempt_id)
-        self._waiting.note_room()
+        self._waiting.note_capacity_freed()
 
     def note_reserved(self, attempt_id: str) -> None:
-        """Note that an attempt has the reservation that its dispatch asked for."""
+        """Record that an attempt obtained the reservation its dispatch asked for."""
         self._placer.note_reserved(attempt_id)
-        self._waiting.note_room()
+        self._waiting.note_capacity_freed()
 
     def judge_silence(self, attempt_id: str, silent_ms: float) -> SilenceVerdict:
-        """:returns: whether a silent attempt is left for another one, or why not
+        """Decide whether to abandon an attempt that sends nothing and retry elsewhere.
 
-        :param silent_ms: time since it last said anything, or began
+        :param silent_ms: time since its last event, or since it started
+        :returns: whether it is abandoned, or why not
         """
         tracked = self._tracked.find(attempt_id)
         if tracked is None:
@@ -242,9 +243,9 @@
         return self._silence.judge(tracked, silent_ms, self._clock.now_ms())
 
     def end_attempt(self, end: AttemptEnd) -> Failure | None:
-        """Take the end of an attempt; a failed one is queued again if it may be.
+        """Handle the end of an attempt; a failed one is retried if allowed.
 
-        :returns: the final failure, ``None`` if it is complete or will be retried
+        :returns: the final failure, ``None`` if complete or to be retried
         """
         tracked = self._tracked.find(end.attempt_id)
         if tracked is None:
@@ -256,7 +257,7 @@
             self._learner.note_answer(tracked, end, now_ms)
             self._tracked.forget(tracked.request.request_id, now_ms)
             return None
-        return self._failed.take(tracked, end, now_ms)
+        return self._failed.handle(tracked, end, now_ms)
 
     def _check_admission(self, request: Request, now_ms: float) -> Failure | None:
         if request.deadline_ms <= now_ms:
@@ -274,7 +275,7 @@
             yield self._reject(request, self._admission.give_up(request, now_ms))
 
     def _reject_poison(self, now_ms: float) -> Iterable[Rejection]:
-        """Reject what waits here and has crashed too many engines elsewhere."""
+        """Reject waiting requests that have crashed too many engines of the fleet."""
         waiting = tuple(self._waiting) if self._poison.take_refused(now_ms) else ()
         for request in waiting:
             failure = self._placer.check_poison(request, now_ms)
@@ -291,10 +292,10 @@
         return self._placer.place(request, avoided, self._clock.now_ms())
 
     def _release(self, tracked: Tracked) -> None:
-        """Release what the running attempt of a request holds, if one runs."""
+        """Release the resources of the running attempt of a request, if any."""
         if self._tracked.end_attempt(tracked.attempt_id):
             self._placer.release(tracked.request, tracked.attempt_id, tracked.upstreams)
-            self._waiting.note_room()
+            self._waiting.note_capacity_freed()
 
 
 __all__ = ("Scheduler",)
--- a/src/quetzaldeck/decisions/scheduler_bounds.py
+++ b/src/quetzaldeck/decisions/scheduler_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds of the scheduler that do not come from the bundle."""
+"""Limits of the scheduler that the bundle does not configure."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class SchedulerBounds(NamedTuple):
-    """Bounds of one VM's scheduler.
+    """Limits of the scheduler of one VM.
 
-    One customer may fill less than half of the queue, so that the requests of the
-    others are not refused for its sake.
+    One customer may fill less than half of the queue, so that a full queue of one
+    customer does not cause refusals for the others.
 
-    :param max_queued: requests in the queue
-    :param max_queued_tokens: prompt and output tokens in the queue
-    :param max_customer_share: share of both that one customer may fill
-    :param max_requests_per_upstream: requests at one upstream at a time
+    :param max_queued: maximum number of requests in the queue
+    :param max_queued_tokens: maximum of prompt and output tokens in the queue
+    :param max_customer_share: share of both that one customer may use
+    :param max_requests_per_upstream: concurrent requests at one upstream
     """
 
     max_queued: int = 2_000
@@ -32,7 +32,7 @@
 def check_bounds(
     account: QueueAccount, request: Request, bounds: SchedulerBounds
 ) -> Reason | None:
-    """:returns: the bound that one more request would break, ``None`` if none"""
+    """:returns: reason to refuse one more request, ``None`` if it fits the limits"""
     n_tokens = request.n_kv_tokens
     total = account.total
     if (
--- a/src/quetzaldeck/decisions/tracked.py
+++ b/src/quetzaldeck/decisions/tracked.py
@@ -1,4 +1,4 @@
-"""What the scheduler remembers of a request until it ends."""
+"""State of admitted requests, kept until they end."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class Tracked(NamedTuple):
-    """One admitted request.
-
-    :param request: as admitted, with its prompt tokens corrected
-    :param n_guessed_tokens: its prompt tokens before the correction
-    :param history: attempts so far
-    :param attempt_id: attempt that runs; ``""`` while the request waits
-    :param dispatched_ms: when that attempt was handed out
-    :param backlog_ms: time that its engines needed then for all they had to read
-    :param first_token_ms: when its first token came; ``None``: not yet
+    """State of one admitted request.
+
+    :param request: the request, with the corrected estimate of its prompt tokens
+    :param n_uncorrected_tokens: estimate of its prompt tokens before the correction
+    :param history: attempts that have ended
+    :param attempt_id: running attempt; ``""`` while the request waits
+    :param dispatched_ms: when that attempt was dispatched
+    :param backlog_ms: prefill backlog of the busiest engine of the attempt at dispatch
+    :param first_token_ms: when its first token arrived; ``None``: not yet
     """
 
     request: Request
-    n_guessed_tokens: int
+    n_uncorrected_tokens: int
     history: AttemptHistory = AttemptHistory()
     attempt_id: str = ""
     upstreams: tuple[str, ...] = ()
@@ -36,9 +36,9 @@
 
 
 class TrackedRequests:
-    """Admitted requests by id and by running attempt.
+    """Admitted requests, indexed by id and by running attempt.
 
-    :param limits: counts each of them while it is here
+    :param limits: counts each request against its customer while it is tracked
     """
 
     def __init__(self, limits: CustomerLimiter) -> None:
@@ -48,24 +48,24 @@
 
     @property
     def n_running(self) -> int:
-        """:returns: attempts that run"""
+        """:returns: running attempts"""
         return len(self._by_attempt)
 
     def __getitem__(self, request_id: str) -> Tracked:
         return self._tracked[request_id]
 
     def find(self, attempt_id: str) -> Tracked | None:
-        """:returns: the request of a running attempt"""
+        """:returns: the request of a running attempt, ``None`` if it does not run"""
         request_id = self._by_attempt.get(attempt_id)
         return None if request_id is None else self._tracked[request_id]
 
     def add(self, tracked: Tracked, now_ms: float) -> None:
-        """Remember an admitted request."""
+        """Start tracking an admitted request."""
         self._tracked[tracked.request.request_id] = tracked
         self._limits.admit(tracked.request, now_ms)
 
     def update(self, tracked: Tracked) -> None:
-        """Remember what has become of a request."""
+        """Replace the state of a request."""
         self._tracked[tracked.request.request_id] = tracked
         if tracked.attempt_id:
             self._by_attempt[tracked.attempt_id] = tracked.request.request_id
@@ -73,9 +73,9 @@
     def resize(
         self, tracked: Tracked, change: Callable[[Request], Request], now_ms: float
     ) -> Tracked:
-        """Change the estimate of a request, in the account of the limits too.
+        """Change the token estimate of a request, in the customer limits as well.
 
-        :returns: what is remembered now
+        :returns: the new state
         """
         self._limits.release(tracked.request, now_ms)
         changed = tracked._replace(request=change(tracked.request))
@@ -84,11 +84,17 @@
         return changed
 
     def end_attempt(self, attempt_id: str) -> bool:
-        """:returns: whether an attempt ran that has ended now"""
+        """Mark an attempt as ended.
+
+        :returns: whether it was running
+        """
         return self._by_attempt.pop(attempt_id, None) is not None
 
     def forget(self, request_id: str, now_ms: float) -> Tracked | None:
-        """:returns: what was remembered of a request, ``None`` if nothing"""
+        """Stop tracking a request.
+
+        :returns: its last state, ``None`` if it was not tracked
+        """
         tracked = self._tracked.pop(request_id, None)
         if tracked is not None:
             self._limits.release(tracked.request, now_ms)
--- a/src/quetzaldeck/decisions/tuning.py
+++ b/src/quetzaldeck/decisions/tuning.py
@@ -1,9 +1,9 @@
-"""Figures that the bundle's profile moves.
+"""Scheduling parameters derived from the profile in the bundle.
 
-Operators weigh the same measures differently: the profile ``short_requests`` weighs the
-slowdown of short requests more, ``first_token`` the time to first token over all
-lengths. Both profiles are points on one line, so that explicit weights mean something
-in between. docs/design/queueing.md has the runs behind the ends of each range.
+Operators weight the same metrics differently: the profile ``short_requests`` favours a
+low slowdown of short requests, ``first_token`` a low time to first token over all
+lengths. Explicit weights select a point on the straight line through both profiles.
+docs/design/queueing.md has the runs behind the parameters of the profiles.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 class Tuning(NamedTuple):
-    """Figures of the queue and of head-of-line protection.
+    """Parameters of the queue and of head-of-line protection.
 
     :param stretch: a request is due after this many times its own prefill time; the
-        higher, the longer short requests go before long ones
-    :param long_share: share of the engines on which long prompts go first
-    :param max_short_share: most that is kept free of long prompts for short ones
-    :param short_headroom: engines kept for short requests, against the share of the
-        work that they bring
+        higher, the longer short requests are served before long ones
+    :param long_share: share of the engines on which long prompts have priority
+    :param max_short_share: maximum share of the engines kept free of long prompts
+    :param short_headroom: share of engines kept for short requests, as a multiple of
+        the share of the work that short requests make up
     """
 
     stretch: float
@@ -41,22 +41,22 @@
 
 
 def tune(bundle: Bundle) -> Tuning:
-    """:returns: the figures for the profile or the explicit weights of ``bundle``"""
+    """:returns: parameters for the profile or the explicit weights of ``bundle``"""
     weights = PROFILE_WEIGHTS.get(bundle.profile, bundle.weights)
     total = weights.short_slowdown + weights.ttft
     share = weights.short_slowdown / total if total > 0 else 0.5
 
-    def between(at_first_token: float, at_short_requests: float) -> float:
+    def interpolate(at_first_token: float, at_short_requests: float) -> float:
         slope = (at_short_requests - at_first_token) / (
             _SHORT_REQUESTS_SHARE - _FIRST_TOKEN_SHARE
         )
         return max(0.0, at_first_token + slope * (share - _FIRST_TOKEN_SHARE))
 
     return Tuning(
-        stretch=max(1.0, between(4.0, 12.0)),
-        long_share=min(0.5, between(0.35, 0.15)),
-        max_short_share=min(0.7, between(0.55, 0.6)),
-        short_headroom=between(1.0, 1.4),
+        stretch=max(1.0, interpolate(4.0, 12.0)),
+        long_share=min(0.5, interpolate(0.35, 0.15)),
+        max_short_share=min(0.7, interpolate(0.55, 0.6)),
+        short_headroom=interpolate(1.0, 1.4),
     )
 
 
--- a/src/quetzaldeck/decisions/upstream_state.py
+++ b/src/quetzaldeck/decisions/upstream_state.py
@@ -1,4 +1,4 @@
-"""What one VM believes about one upstream."""
+"""The state of one upstream as one VM knows it."""
 
 from __future__ import annotations
 
@@ -17,20 +17,22 @@
     from quetzaldeck.decisions.load_report import LoadReport
 
 
-REPORT_COUNTS_MS = 1_000.0
-"""Age up to which a report counts against the room of an upstream. Reports that come
-with answers stop when an upstream looks full, and would keep it looking full for ever;
-most answers of short prompts end within about this time."""
+MAX_REPORT_AGE_MS = 1_000.0
+"""Age up to which a load report counts against the capacity of an upstream. Reports
+arrive with responses, so they stop when an upstream looks full, and an old one would
+keep it looking full for ever. Most answers to short prompts end within about this
+time."""
 
 
 class UpstreamState:
-    """Reported load plus this VM's own attempts since the report.
+    """Combines reported load, this VM's attempts since the report and peer loads.
 
-    An upstream may start again under its name. It then runs, holds and knows nothing
-    of before: an engine that still seemed full, slow or dead would get no work though
-    it is idle, and one that seemed to hold a prompt would be named as a helper for it.
-    So all of that is dropped with the news of its start. The attempts that it had are
-    not ended here: their connections break, and tell whether an answer was complete.
+    An upstream may restart under the same name, with empty caches and no running
+    requests. If the earlier state were kept, an idle engine that seems full, slow or
+    dead would get no work, and one that seems to hold a prompt would be named as its
+    helper. So a new incarnation resets the state. The attempts of the earlier
+    incarnation are not ended here: their connections break, which also shows whether an
+    answer was complete.
 
     :param spec: the upstream's entry in the bundle
     """
@@ -51,14 +53,14 @@
 
     @property
     def incarnation(self) -> str:
-        """:returns: its own word, else that of the last report; ``""``: none told"""
+        """:returns: incarnation noted, else that of the last report; ``""``: none"""
         reported = "" if self.report is None else self.report.incarnation
         return self._incarnation or reported
 
     def note_incarnation(self, incarnation: str, now_ms: float) -> None:
-        """Take which of its starts this is; what came of another one is dropped.
+        """Set the incarnation; a change resets the state of the earlier one.
 
-        :param incarnation: ``""`` if it does not tell
+        :param incarnation: ``""`` if the upstream reports none
         """
         before = self._incarnation
         self._incarnation = incarnation
@@ -74,23 +76,23 @@
         self._help_refusals = HelpRefusals()
         self._backlog = PrefillBacklog()
 
-    def is_of_another_start(self, incarnation: str) -> bool:
-        """:returns: whether news are of an earlier start, or of one not heard of yet"""
+    def is_other_incarnation(self, incarnation: str) -> bool:
+        """:returns: whether an update is for an incarnation other than the known one"""
         return bool(self._incarnation) and incarnation != self._incarnation
 
     @property
     def n_in_flight(self) -> int:
-        """:returns: attempts of this VM that run here"""
+        """:returns: number of this VM's attempts that run here"""
         return len(self.ledger)
 
     @property
     def in_flight(self) -> tuple[InFlight, ...]:
-        """:returns: this VM's attempts"""
+        """:returns: this VM's attempts that run here"""
         return tuple(self.ledger)
 
     def observe(self, report: LoadReport, now_ms: float) -> None:
-        """Take a report if it is newer than the one held, and of the same start."""
-        if self.is_of_another_start(report.incarnation):
+        """Apply a report if it is newer than the last one and of this incarnation."""
+        if self.is_other_incarnation(report.incarnation):
             return
         held = self.report
         measured_ms = now_ms - report.age_ms
@@ -98,8 +100,8 @@
             if report.sequence <= held.sequence:
                 return
         elif held is not None:
-            # A report that waited in a slow reader may be of the incarnation before
-            # the one held; taking it would look like one more restart.
+            # A report delayed by a slow reader may be of the previous incarnation.
+            # Applying it would look like another restart.
             if measured_ms < self.reported_ms:
                 return
             self.health.note_restart(now_ms)
@@ -108,35 +110,35 @@
         self.ledger.note_report(measured_ms)
 
     def add(self, attempt: InFlight) -> None:
-        """Account for an attempt before it is sent.
+        """Reserve capacity for an attempt before it is sent.
 
-        :raises ValueError: if the attempt is accounted for already
+        :raises ValueError: if the attempt has a reservation already
         """
         self.ledger.reserve(attempt)
-        self._note_sent(attempt.n_prefill_tokens, attempt.started_ms)
+        self._add_prefill_work(attempt.n_prefill_tokens, attempt.started_ms)
 
-    def update_peer_load(self, vm: str, share: VmLoad, now_ms: float) -> None:
-        """Take what another VM has here."""
-        self._note_sent(self.peers.take(vm, share, now_ms), now_ms)
+    def update_peer_load(self, vm: str, load: VmLoad, now_ms: float) -> None:
+        """Replace the load that another VM puts on this upstream."""
+        self._add_prefill_work(self.peers.take(vm, load, now_ms), now_ms)
 
-    def _note_sent(self, n_tokens: int, now_ms: float) -> None:
+    def _add_prefill_work(self, n_tokens: int, now_ms: float) -> None:
         figures = self.spec.figures
         if figures is not None and n_tokens:
             self._backlog.add(n_tokens / figures.tokens_per_ms, now_ms)
 
     def mark_prefilled(self, attempt_id: str) -> None:
-        """Note that the first token of an attempt arrived."""
+        """Record the first token of an attempt, which ends its prefill."""
         self.ledger.mark_prefilled(attempt_id)
 
     def discard(self, attempt_id: str) -> bool:
-        """Release what an attempt holds.
+        """Release the capacity reserved for an attempt.
 
-        :returns: whether it held anything, so that a second release shows
+        :returns: whether it had any; ``False`` shows a second release
         """
         return self.ledger.release(attempt_id)
 
     def own_load(self, now_ms: float) -> VmLoad:
-        """:returns: what of this VM is here, for the other VMs"""
+        """:returns: load of this VM on the upstream, for the other VMs"""
         ledger = self.ledger
         return VmLoad(
             len(ledger),
@@ -149,13 +151,13 @@
         )
 
     def outcomes_at(self, now_ms: float) -> Outcomes:
-        """:returns: what came of the requests of all VMs"""
+        """:returns: outcomes of the requests of all VMs"""
         return self.outcomes.at(now_ms).add(self.peers.outcomes.at(now_ms))
 
     def n_kv_tokens_used(self, now_ms: float | None = None) -> int:
-        """:returns: memory in use by the report and by own attempts since
+        """:returns: KV cache in use by the last report and this VM's attempts since
 
-        :param now_ms: count what other VMs told as well
+        :param now_ms: if given, include the loads of the other VMs
         """
         own = self.ledger.n_kv_tokens
         if now_ms is not None:
@@ -166,12 +168,13 @@
         return max(own, self.report.n_kv_tokens_used + since)
 
     def n_requests(self, now_ms: float | None = None) -> int:
-        """:returns: requests at the upstream, by report and own attempts since
+        """Count requests by the last report and this VM's attempts since.
 
-        Parts of prompts that others answer take no slot, and no place here.
+        Excludes prompt parts, which occupy no slot.
 
-        :param now_ms: count what other VMs told as well, and leave a report out that is
-            too old to say what runs now
+        :param now_ms: if given, include the loads of the other VMs and ignore a report
+            older than ``MAX_REPORT_AGE_MS``
+        :returns: requests at the upstream
         """
         known = self.n_in_flight - self.ledger.n_parts
         if now_ms is not None:
@@ -179,25 +182,27 @@
             known += told.n_requests - told.n_parts
         if self.report is None:
             return known
-        if now_ms is not None and now_ms - self.reported_ms > REPORT_COUNTS_MS:
+        if now_ms is not None and now_ms - self.reported_ms > MAX_REPORT_AGE_MS:
             return known
         reported = self.report.n_running + self.report.n_waiting
         return max(known, reported + self.ledger.n_unreported)
 
     def n_answers(self, now_ms: float) -> int:
-        """:returns: requests of all VMs that it answers, parts for others left out"""
+        """:returns: requests of all VMs that it answers, prompt parts excluded"""
         n_requests = len(self.ledger) + self.peers.total(now_ms).n_requests
         return n_requests - self.n_parts(now_ms)
 
     def n_parts(self, now_ms: float) -> int:
-        """:returns: parts of prompts that it reads for others, those of all VMs"""
+        """:returns: prompt parts of all VMs that it prefills for other engines"""
         return self.ledger.n_parts + self.peers.total(now_ms).n_parts
 
     def may_help(self, now_ms: float) -> bool:
-        """:returns: whether it takes one more part of a prompt that another answers
+        """Check whether the engine accepts one more prompt part.
 
-        An engine helps as many others as it has slots and refuses the next: a long
-        prompt that names it has to be sent again, with another choice of helpers.
+        An engine helps as many other engines as it has slots and refuses more. A long
+        prompt that names it then has to be sent again with other helpers.
+
+        :returns: whether it may be named as a helper
         """
         if self._help_refusals.is_refusing(now_ms):
             return False
@@ -207,14 +212,17 @@
         return figures is None or self.n_parts(now_ms) < figures.n_slots
 
     def note_help_refused(self, now_ms: float) -> None:
-        """Take that it did not read the part that an attempt asked it to read."""
+        """Record that it did not prefill the prompt part of an attempt."""
         figures = self.spec.figures
         if figures is not None:
             n_parts = self.n_parts(now_ms)
             self._help_refusals.note(n_parts, figures.n_slots, now_ms)
 
     def slow_factor(self, peer_ms_per_token: float | None, now_ms: float) -> float:
-        """:returns: 1 unless slow, else how many times slower than its peers"""
+        """:returns: 1, or how many times slower it is than its peers if it is slow
+
+        :param peer_ms_per_token: typical latency of its peers; ``None``: unknown
+        """
         pending = max(
             (
                 rate_latency(attempt.n_queued_tokens, now_ms - attempt.started_ms)
@@ -226,16 +234,16 @@
         return self.health.slow_factor(peer_ms_per_token, now_ms, pending)
 
     def prefill_backlog_ms(self, now_ms: float) -> float:
-        """:returns: time that an engine needs for the prompts that all VMs sent it"""
+        """:returns: time that an engine needs to prefill the prompts of all VMs"""
         figures = self.spec.figures
         if figures is None:
             return 0.0
-        n_unread = self.ledger.n_prefill_tokens
-        n_unread += self.peers.total(now_ms).n_prefill_tokens
-        return self._backlog.left_ms(n_unread / figures.tokens_per_ms, now_ms)
+        n_unprefilled = self.ledger.n_prefill_tokens
+        n_unprefilled += self.peers.total(now_ms).n_prefill_tokens
+        return self._backlog.remaining_ms(n_unprefilled / figures.tokens_per_ms, now_ms)
 
     def n_prefill_tokens(self) -> int:
-        """:returns: prompt tokens still to be prefilled, best estimate"""
+        """:returns: prompt tokens to prefill by the last report and own attempts"""
         own = self.ledger.n_prefill_tokens
         if self.report is None:
             return own
--- a/src/quetzaldeck/decisions/upstream_table.py
+++ b/src/quetzaldeck/decisions/upstream_table.py
@@ -1,4 +1,4 @@
-"""All upstreams of the bundle in force, as one VM sees them."""
+"""States of all upstreams in the current bundle, as one VM knows them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class UpstreamTable:
-    """Upstream states by name and by what they serve."""
+    """Upstream states, indexed by name and by the model or service they serve."""
 
     def __init__(self) -> None:
         self._states: dict[str, UpstreamState] = {}
@@ -35,15 +35,15 @@
         return len(self._states)
 
     def get(self, name: str) -> UpstreamState | None:
-        """:returns: the state of an upstream, also of one no longer in force"""
+        """:returns: state of an upstream, also if dropped while attempts still run"""
         return self._states.get(name) or self._retired.get(name)
 
     def apply_bundle(self, bundle: Bundle, now_ms: float = 0.0) -> None:
-        """Take the upstreams of ``bundle``; keep the state of known ones.
+        """Use the upstreams of ``bundle``, keeping the states of known ones.
 
-        An upstream that the bundle drops keeps its attempts until they end. One
-        that it adds gets its load step by step, unless all of them are new to this
-        VM: then nothing says that they are cold.
+        A dropped upstream keeps its state until its attempts end. An added one warms up
+        with gradually increasing load, except in the first bundle of this VM: those
+        upstreams are new to the VM, but need not be cold.
         """
         is_first = not self._states
         states: dict[str, UpstreamState] = {}
@@ -62,22 +62,22 @@
             if state.n_in_flight and name not in states
         }
         self._states = states
-        self._index()
+        self._rebuild_index()
 
     def observe(self, reports: Iterable[LoadReport], now_ms: float) -> None:
-        """Take load reports."""
+        """Apply load reports."""
         for report in reports:
             state = self._states.get(report.upstream)
             if state is not None:
                 state.observe(report, now_ms)
 
     def mark_leaving(self, names: Collection[str]) -> None:
-        """Take the list of leaving upstreams; those not named have returned."""
+        """Mark the named upstreams as leaving, and all others as not leaving."""
         for name, state in self._states.items():
             state.is_leaving = name in names
 
     def count_health(self, now_ms: float) -> Counter[HealthState]:
-        """:returns: upstreams by state of health, each against its own peers"""
+        """:returns: number of upstreams by health state, each compared to its peers"""
         counts: Counter[HealthState] = Counter()
         for states in self._by_target.values():
             known = [s.health.ms_per_token for s in states]
@@ -87,14 +87,14 @@
         return counts
 
     def find_failing(self, now_ms: float) -> dict[str, Outcomes]:
-        """:returns: upstreams that are avoided as they fail in part, and why"""
+        """:returns: upstreams avoided because some of their requests fail, and why"""
         failing: dict[str, Outcomes] = {}
         for pool in self._by_target.values():
             failing.update(find_failing(pool, now_ms))
         return failing
 
     def find_slow(self, now_ms: float) -> dict[str, float]:
-        """:returns: engines that say that they are slow, with their pace"""
+        """:returns: paces of the engines that report to be slow, by name"""
         return {
             name: state.pace.at(now_ms)
             for name, state in self._states.items()
@@ -102,7 +102,7 @@
         }
 
     def max_prefill_backlog_ms(self, names: Iterable[str], now_ms: float) -> float:
-        """:returns: time that the busiest of some engines needs for its prompts"""
+        """:returns: longest prefill backlog among the named engines"""
         states = (self.get(name) for name in names)
         return max(
             (state.prefill_backlog_ms(now_ms) for state in states if state is not None),
@@ -112,9 +112,9 @@
     def predict_first_token_ms(
         self, name: str, backlog_ms: float, now_ms: float
     ) -> float:
-        """:returns: expected time to the first token; 0 if nothing is stated
+        """:returns: predicted time to the first token; 0 without a configured speed
 
-        :param backlog_ms: reading time at the engine or its busiest helper
+        :param backlog_ms: prefill backlog of the engine or its busiest helper
         """
         state = self.get(name)
         if state is None or state.spec.figures is None:
@@ -127,7 +127,7 @@
         target = _service_key(request.service) if request.service else request.model
         return self._by_target.get(target, [])
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self._by_target = {}
         for state in self._states.values():
             for target in _targets_of(state.spec):
--- a/src/quetzaldeck/decisions/waiting.py
+++ b/src/quetzaldeck/decisions/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait: in the queue, or for the end of a back-off."""
+"""Requests that wait in the queue or for the end of a backoff."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from quetzaldeck.decisions.request import Request
 
 
-LOOK_AGAIN_MS = 100.0
-"""Time after which places are looked for again though nothing has happened: what is
-believed of upstreams changes by itself, as reports age and ejections end."""
+PLACEMENT_RETRY_MS = 100.0
+"""Interval at which placement is retried without an event, because the states of
+upstreams also change with time: reports age and ejections end."""
 
 
 class WaitingRequests:
-    """Keeps queue, back-offs, latest starts and the admission's account in step.
+    """Keeps the queue, backoffs, latest start times and admission in sync.
 
     :param queue: chooses the next request
-    :param admission: is told what waits, and says until when that makes sense
+    :param admission: counts waiting requests and sets their latest start times
     """
 
     def __init__(self, queue: QueuePolicy, admission: AdmissionPolicy) -> None:
@@ -33,7 +33,7 @@
         self._admission = admission
         self._delayed = DelayedRequests()
         self._latest_starts = DeadlineHeap()
-        self._look_again_ms = 0.0
+        self._next_placement_ms = 0.0
 
     def __len__(self) -> int:
         return len(self._queue) + len(self._delayed)
@@ -42,52 +42,58 @@
         yield from self._queue
         yield from self._delayed
 
-    def note_room(self) -> None:
-        """Note that a place may have become free.
+    def note_capacity_freed(self) -> None:
+        """Allow the next ``take`` to try placement, as capacity may have become free.
 
-        Only then is it of use to look again. Without this a VM whose queue is stuck
-        looks for places at each poll, and is busiest when it can do least.
+        Without this condition a VM whose queue is blocked would try placement at each
+        poll, and use most CPU when it can do least.
         """
-        self._look_again_ms = 0.0
+        self._next_placement_ms = 0.0
 
     def add(self, request: Request, now_ms: float) -> None:
-        """Let a request wait for its turn."""
+        """Queue a request."""
         self._queue.push(request)
-        self.note_room()
+        self.note_capacity_freed()
         self._account(request, now_ms)
 
     def delay(self, request: Request, due_ms: float, now_ms: float) -> None:
-        """Let a request wait until ``due_ms`` and then for its turn."""
+        """Queue a request at ``due_ms``, when its backoff ends."""
         self._delayed.push(request, due_ms)
         self._account(request, now_ms)
 
     def end_delays(self, now_ms: float) -> None:
-        """Queue the requests whose back-off has ended."""
+        """Queue the requests whose backoff has ended."""
         for request in self._delayed.take_due(now_ms):
             self._queue.requeue(request)
-            self.note_room()
+            self.note_capacity_freed()
 
     def take(
         self, now_ms: float, place: PlaceFunction
     ) -> tuple[Request, tuple[str, ...]] | None:
-        """:returns: the next request that can be placed, and where"""
-        if now_ms < self._look_again_ms:
+        """Remove the next request that can be placed from the queue.
+
+        :returns: the request and its upstreams, ``None`` if none can be placed
+        """
+        if now_ms < self._next_placement_ms:
             return None
         taken = self._queue.take(now_ms, place)
         if taken is None:
-            self._look_again_ms = now_ms + LOOK_AGAIN_MS
+            self._next_placement_ms = now_ms + PLACEMENT_RETRY_MS
         else:
             self._forget(taken[0], now_ms, is_dispatched=True)
         return taken
 
     def discard(self, request_id: str, now_ms: float) -> None:
-        """Take a request out, if it waits."""
+        """Remove a request, if it waits."""
         request = self._queue.remove(request_id) or self._delayed.remove(request_id)
         if request is not None:
             self._forget(request, now_ms, is_dispatched=False)
 
     def pop_expired(self, now_ms: float) -> list[str]:
-        """:returns: ids of the requests that it is too late to start"""
+        """Remove requests past their latest start time from the expiry heap.
+
+        :returns: their ids
+        """
         return self._latest_starts.pop_expired(now_ms)
 
     def _account(self, request: Request, now_ms: float) -> None:
@@ -100,4 +106,4 @@
         self._latest_starts.discard(request.request_id)
 
 
-__all__ = ("LOOK_AGAIN_MS", "WaitingRequests")
+__all__ = ("PLACEMENT_RETRY_MS", "WaitingRequests")
--- a/tests/decisions/conftest.py
+++ b/tests/decisions/conftest.py
@@ -1,4 +1,4 @@
-"""Factories of requests and bundles for tests of the decision modules."""
+"""Factories for requests and bundles in tests of the decision modules."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def make_request() -> MakeRequest:
-    """:returns: a function that makes a request with an id of its own"""
+    """:returns: a function that makes requests with unique ids"""
     numbers = itertools.count()
 
     def make(n_prompt_tokens: int = 1_000, **fields: Any) -> Request:
--- a/tests/decisions/test_caller_idle_timeout.py
+++ b/tests/decisions/test_caller_idle_timeout.py
@@ -1,8 +1,8 @@
-"""More plans are asked for than engines can begin, and callers do not wait for ever.
+"""Callers disconnect before their deadline if they receive no token.
 
-Each caller has a deadline of ten seconds, but hangs up if it has heard nothing after
-two. Counted against the deadline alone, a request waits in the queue until its caller
-is gone: the caller heard nothing, and the engine may begin it for nobody.
+More requests arrive than engines can start. Each caller has a deadline of ten seconds,
+but disconnects after two without a token. If only the deadline counted, a request could
+wait until its caller has gone without a response, and an engine might still start it.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 TICK_MS = 20.0
 
 
-class Told(NamedTuple):
-    """What a caller heard first, and when."""
+class FirstResponse(NamedTuple):
+    """First token or refusal that a caller received, and when."""
 
     request: Request
     at_ms: float
@@ -50,15 +50,15 @@
         return self.at_ms - self.request.arrived_ms
 
 
-class Desk:
-    """Callers, and engines that write each answer in the same time."""
+class Simulation:
+    """Callers, and engines that generate each answer in the same time."""
 
-    def __init__(self, clock: ManualClock, *, patience: float) -> None:
+    def __init__(self, clock: ManualClock, *, idle_timeout_ms: float) -> None:
         self.clock = clock
-        self.patience_ms = patience
+        self.idle_timeout_ms = idle_timeout_ms
         names = [f"engine-{n}" for n in range(N_ENGINES)]
         self.scheduler = make_entry_scheduler(clock, names)
-        self.told: list[Told] = []
+        self.responses: list[FirstResponse] = []
         self.ends: list[tuple[float, str]] = []
         self.n_arrived = 0
 
@@ -73,11 +73,11 @@
         )._replace(
             target_ms=TARGET_MS,
             max_gap_ms=GAP_MS,
-            caller_idle_timeout_ms=self.patience_ms,
+            caller_idle_timeout_ms=self.idle_timeout_ms,
         )
         refusal = self.scheduler.submit(request)
         if refusal is not None:
-            self.told.append(Told(request, self.clock.now_ms(), refusal))
+            self.responses.append(FirstResponse(request, self.clock.now_ms(), refusal))
 
     def step(self) -> None:
         self.clock.advance(TICK_MS)
@@ -90,11 +90,13 @@
 
     def carry_out(self, decision: Dispatch | Rejection, now_ms: float) -> None:
         if isinstance(decision, Rejection):
-            self.told.append(Told(decision.request, now_ms, decision.failure))
+            self.responses.append(
+                FirstResponse(decision.request, now_ms, decision.failure)
+            )
             return
         first_ms = now_ms + FEW_SLOTS.read_ms(decision.request.n_prompt_tokens)
         self.scheduler.note_first_token(decision.attempt_id)
-        self.told.append(Told(decision.request, first_ms, None))
+        self.responses.append(FirstResponse(decision.request, first_ms, None))
         heapq.heappush(self.ends, (now_ms + ANSWER_MS, decision.attempt_id))
 
     def run(self, n_ms: float, per_s: float) -> None:
@@ -108,89 +110,103 @@
 
 
 @pytest.fixture
-def desk(clock: ManualClock) -> Desk:
-    desk = Desk(clock, patience=infer_idle_timeout_ms(TARGET_MS, GAP_MS))
-    desk.run(6_000, per_s=32)
-    desk.run(4_000, per_s=0)
-    return desk
+def simulation(clock: ManualClock) -> Simulation:
+    simulation = Simulation(
+        clock, idle_timeout_ms=infer_idle_timeout_ms(TARGET_MS, GAP_MS)
+    )
+    simulation.run(6_000, per_s=32)
+    simulation.run(4_000, per_s=0)
+    return simulation
 
 
-def test_patience_is_what_callers_of_streams_bear() -> None:
+def test_idle_timeout_is_inferred_from_target_and_gap() -> None:
     assert infer_idle_timeout_ms(300.0, 250.0) == 2_000.0
     assert infer_idle_timeout_ms(1_500.0, 600.0) == 6_000.0
     assert infer_idle_timeout_ms(0.0, 1_000.0) == 8_000.0
 
 
-def test_request_without_patience_is_bound_by_its_deadline() -> None:
+def test_request_without_idle_timeout_is_limited_by_its_deadline_only() -> None:
     assert make_request().next_token_deadline_ms == math.inf
 
 
-def test_no_caller_hangs_up_in_silence_at_twice_the_load(desk: Desk) -> None:
-    """Twice as many plans as engines can write, for six seconds."""
-    assert len(desk.told) == desk.n_arrived
-    in_time = [t for t in desk.told if t.wait_ms <= desk.patience_ms]
-    assert len(in_time) == desk.n_arrived
+def test_no_caller_disconnects_without_a_response_at_twice_the_capacity(
+    simulation: Simulation,
+) -> None:
+    """For six seconds, twice as many requests arrive as engines can answer."""
+    assert len(simulation.responses) == simulation.n_arrived
+    in_time = [
+        r for r in simulation.responses if r.wait_ms <= simulation.idle_timeout_ms
+    ]
+    assert len(in_time) == simulation.n_arrived
 
 
-def test_most_refusals_come_at_once_and_say_when_to_come_back(desk: Desk) -> None:
-    """The queue's pace is known after a second; then nobody waits for a refusal."""
-    refusals = [t for t in desk.told if t.refusal is not None]
-    n_at_once = sum(t.wait_ms == 0.0 for t in refusals)
+def test_most_refusals_are_immediate_and_have_a_retry_delay(
+    simulation: Simulation,
+) -> None:
+    """The drain rate is known after a second; later refusals come on arrival."""
+    refusals = [r for r in simulation.responses if r.refusal is not None]
+    n_at_once = sum(r.wait_ms == 0.0 for r in refusals)
     assert n_at_once > len(refusals) / 2
-    for told in refusals:
-        assert told.refusal is not None
-        assert told.refusal.ran is Ran.NO
-        assert told.refusal.reason is Reason.DEADLINE_UNREACHABLE
-        assert told.refusal.retry_after_ms
+    for response in refusals:
+        assert response.refusal is not None
+        assert response.refusal.ran is Ran.NO
+        assert response.refusal.reason is Reason.DEADLINE_UNREACHABLE
+        assert response.refusal.retry_after_ms
 
 
-def test_engines_are_kept_busy_all_the_while(desk: Desk) -> None:
-    """What is refused is no more than what engines could not have begun."""
-    n_served = sum(t.refusal is None for t in desk.told)
+def test_engines_stay_busy(simulation: Simulation) -> None:
+    """No more requests are refused than the engines lack capacity for."""
+    n_served = sum(r.refusal is None for r in simulation.responses)
     capacity = N_ENGINES * FEW_SLOTS.n_slots * 6_000 / ANSWER_MS
     assert n_served >= 0.9 * capacity
 
 
-def test_stream_that_broke_off_has_its_patience_anew(clock: ManualClock) -> None:
-    """A stream breaks after 3 s of events; its caller goes on listening.
+def test_broken_stream_restarts_the_idle_timeout(clock: ManualClock) -> None:
+    """A stream breaks after 3 s of events while its caller stays connected.
 
-    Counted from its arrival its patience would be over, and the second attempt
-    would be refused though the caller is there.
+    If the idle timeout counted from arrival, it would have passed, and the retry would
+    be refused although the caller is still connected.
     """
-    desk = Desk(clock, patience=infer_idle_timeout_ms(TARGET_MS, GAP_MS))
-    desk.arrive()
-    (decision,) = desk.scheduler.poll()
+    simulation = Simulation(
+        clock, idle_timeout_ms=infer_idle_timeout_ms(TARGET_MS, GAP_MS)
+    )
+    simulation.arrive()
+    (decision,) = simulation.scheduler.poll()
     assert isinstance(decision, Dispatch)
-    desk.scheduler.note_first_token(decision.attempt_id)
+    simulation.scheduler.note_first_token(decision.attempt_id)
     clock.advance(3_000)
     end = AttemptEnd(decision.attempt_id, AttemptFault.BROKEN, n_output_tokens=9)
-    assert desk.scheduler.end_attempt(end) is None
+    assert simulation.scheduler.end_attempt(end) is None
     clock.advance(200)
-    (again,) = desk.scheduler.poll()
+    (again,) = simulation.scheduler.poll()
     assert isinstance(again, Dispatch)
 
 
-def test_attempt_that_never_spoke_has_no_patience_left(clock: ManualClock) -> None:
-    """An engine breaks off before its first event, when the caller hangs up."""
-    desk = Desk(clock, patience=infer_idle_timeout_ms(TARGET_MS, GAP_MS))
-    desk.arrive()
-    (decision,) = desk.scheduler.poll()
+def test_attempt_without_events_does_not_restart_the_idle_timeout(
+    clock: ManualClock,
+) -> None:
+    """An engine fails before its first event, just as the caller disconnects."""
+    simulation = Simulation(
+        clock, idle_timeout_ms=infer_idle_timeout_ms(TARGET_MS, GAP_MS)
+    )
+    simulation.arrive()
+    (decision,) = simulation.scheduler.poll()
     assert isinstance(decision, Dispatch)
-    clock.advance(desk.patience_ms - LINK_MARGIN_MS)
+    clock.advance(simulation.idle_timeout_ms - LINK_MARGIN_MS)
     end = AttemptEnd(decision.attempt_id, AttemptFault.BROKEN)
-    assert desk.scheduler.end_attempt(end) is not None
+    assert simulation.scheduler.end_attempt(end) is not None
 
 
-def test_prompt_that_no_engine_reads_in_time_is_served_as_well_as_it_can_be(
+def test_idle_timeout_shorter_than_the_fastest_prefill_is_ignored(
     clock: ManualClock,
 ) -> None:
-    """Idle engines need longer for it than callers of its route usually listen.
+    """Even idle engines need longer for the prompt than the inferred idle timeout.
 
-    Its deadline leaves time. Refused for a patience that is only inferred, it could
-    never be served at all.
+    Its deadline leaves enough time. If the request were refused for a timeout that is
+    only inferred, it could never be served.
     """
-    desk = Desk(clock, patience=LINK_MARGIN_MS + 10.0)
-    desk.arrive()
-    desk.step()
-    (told,) = desk.told
-    assert told.refusal is None
+    simulation = Simulation(clock, idle_timeout_ms=LINK_MARGIN_MS + 10.0)
+    simulation.arrive()
+    simulation.step()
+    (response,) = simulation.responses
+    assert response.refusal is None
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Tests of the scheduler's life cycle of a request."""
+"""Tests of a request's life cycle in the scheduler."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from quetzaldeck.clock import ManualClock
 
 
-MAX_FIRST_BACK_OFF_MS = RetryBounds().base_delay_ms
+MAX_FIRST_BACKOFF_MS = RetryBounds().base_delay_ms
 
 
 def make_scheduler(clock: ManualClock, n_engines: int = 2) -> Scheduler:
@@ -49,16 +49,16 @@
     assert isinstance(first, Dispatch)
     end = AttemptEnd(first.attempt_id, AttemptFault.BROKEN)
     assert scheduler.end_attempt(end) is None
-    clock.advance(MAX_FIRST_BACK_OFF_MS)
+    clock.advance(MAX_FIRST_BACKOFF_MS)
     second = scheduler.poll()[0]
     assert isinstance(second, Dispatch)
     assert second.upstreams != first.upstreams
 
 
-def test_end_attempt_never_repeats_what_may_not_be(clock: ManualClock) -> None:
-    """A booking's connection breaks after its bytes were sent.
+def test_end_attempt_never_retries_a_non_repeatable_request(clock: ManualClock) -> None:
+    """The connection of a booking breaks after the request was sent.
 
-    It may have run: a second attempt could book twice.
+    The booking may have been made, so a second attempt could book twice.
     """
     scheduler = make_scheduler(clock)
     scheduler.submit(make_request(clock)._replace(is_repeatable=False))
@@ -71,14 +71,14 @@
     assert failure.ran is Ran.UNKNOWN
 
 
-def test_submit_refuses_what_no_engine_can_hold(clock: ManualClock) -> None:
+def test_submit_refuses_a_prompt_that_fits_no_engine(clock: ManualClock) -> None:
     scheduler = make_scheduler(clock)
     failure = scheduler.submit(make_request(clock, n_prompt_tokens=20_000))
     assert failure is not None
     assert failure.reason is Reason.PROMPT_TOO_LARGE
 
 
-def test_poll_rejects_what_expired_in_the_queue(clock: ManualClock) -> None:
+def test_poll_rejects_requests_that_expired_in_the_queue(clock: ManualClock) -> None:
     scheduler = make_scheduler(clock, n_engines=1)
     scheduler.submit(make_request(clock, n_prompt_tokens=9_000))
     scheduler.poll()
--- a/tests/decisions/test_tuning.py
+++ b/tests/decisions/test_tuning.py
@@ -1,4 +1,4 @@
-"""The bundle's profile moves the figures."""
+"""Tests of the scheduling parameters derived from the profile of a bundle."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     MakeBundle = Callable[..., Bundle]
 
 
-def test_short_requests_are_favoured_more_by_their_profile(
+def test_short_requests_profile_favours_short_requests(
     make_bundle: MakeBundle,
 ) -> None:
     short = tune(make_bundle(profile="short_requests"))
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("profile", ["short_requests", "first_token"])
-def test_explicit_weights_of_a_profile_are_that_profile(
+def test_explicit_weights_of_a_profile_give_its_parameters(
     profile: str, make_bundle: MakeBundle
 ) -> None:
     explicit = make_bundle(profile="explicit", weights=PROFILE_WEIGHTS[profile])
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     "weights", [Weights(1.0, 1.0), Weights(0.0, 0.0), Weights(1.0, 0.0), Weights(0, 9)]
 )
-def test_explicit_weights_give_usable_figures(
+def test_explicit_weights_give_parameters_within_limits(
     weights: Weights, make_bundle: MakeBundle
 ) -> None:
     tuning = tune(make_bundle(profile="explicit", weights=weights))
--- a/tests/decisions/test_waiting.py
+++ b/tests/decisions/test_waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait, and when places are looked for."""
+"""Tests of waiting requests and of when their placement is tried."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from quetzaldeck.decisions.admission import PredictedWait
 from quetzaldeck.decisions.queueing import FairQueue
-from quetzaldeck.decisions.waiting import LOOK_AGAIN_MS, WaitingRequests
+from quetzaldeck.decisions.waiting import PLACEMENT_RETRY_MS, WaitingRequests
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -24,29 +24,29 @@
     return WaitingRequests(FairQueue(), PredictedWait(random_state=random.Random(1)))
 
 
-def test_take_looks_again_only_if_something_may_be_free(
+def test_take_retries_placement_only_if_capacity_may_be_free(
     waiting: WaitingRequests, make_request: MakeRequest
 ) -> None:
-    """A full fleet: each token that arrives polls the scheduler.
+    """In a full fleet each token that arrives causes a poll of the scheduler.
 
-    Looking for places at each poll, the VM would be busiest when it can do least.
+    If each poll tried placement, the VM would use most CPU when it can do least.
     """
-    looks: list[str] = []
+    tried: list[str] = []
 
     def place(request: Request) -> None:
-        looks.append(request.request_id)
+        tried.append(request.request_id)
 
     waiting.add(make_request(), 0.0)
     for now_ms in range(50):
         assert waiting.take(float(now_ms), place) is None
-    assert len(looks) == 1
-    waiting.note_room()
+    assert len(tried) == 1
+    waiting.note_capacity_freed()
     waiting.take(50.0, place)
-    waiting.take(50.0 + LOOK_AGAIN_MS, place)
-    assert len(looks) == 3
+    waiting.take(50.0 + PLACEMENT_RETRY_MS, place)
+    assert len(tried) == 3
 
 
-def test_take_gives_a_delayed_request_after_its_delay(
+def test_take_returns_a_delayed_request_after_its_delay(
     waiting: WaitingRequests, make_request: MakeRequest
 ) -> None:
     request = make_request()
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("is_delayed", [True, False])
-def test_discard_forgets_a_request_wherever_it_waits(
+def test_discard_removes_queued_and_delayed_requests(
     waiting: WaitingRequests, make_request: MakeRequest, *, is_delayed: bool
 ) -> None:
     request = make_request(deadline_ms=1_000.0)
--- a/tests/entry/peers/test_peer_node.py
+++ b/tests/entry/peers/test_peer_node.py
@@ -257,7 +257,7 @@
         for vm in self.fleet.vms.values():
             for load in vm.peers.values():
                 load.total(now_ms)
-                assert vm.vm not in load._shares
+                assert vm.vm not in load._loads
 
     def teardown(self) -> None:
         if not hasattr(self, "fleet"):
