--- a/src/quetzaldeck/bench/load_sharing.py
+++ b/src/quetzaldeck/bench/load_sharing.py
@@ -37,7 +37,7 @@
         now_ms = self._events.now_ms
         for vm in self._vms:
             if not vm.is_down:
-                changed = self._changes[vm.name].take(
+                changed = self._changes[vm.name].select_due(
                     vm.list_shares(), now_ms, len(self._vms) - 1
                 )
                 if changed:
--- a/src/quetzaldeck/decisions/admission/predicted_wait.py
+++ b/src/quetzaldeck/decisions/admission/predicted_wait.py
@@ -129,10 +129,10 @@
     ) -> Failure | None:
         """:returns: the refusal if the request would be late or the queue is full"""
         prediction = self.predict(request, now_ms, can_start=can_start)
-        full = super().check(request, now_ms, can_start=can_start)
-        if full is not None:
+        refusal = super().check(request, now_ms, can_start=can_start)
+        if refusal is not None:
             wait_ms = prediction.wait_ms / 2
-            return self._refuse(full.reason, request, now_ms, wait_ms, prediction)
+            return self._refuse(refusal.reason, request, now_ms, wait_ms, prediction)
         left_ms = request.deadline_ms - now_ms
         idle_left_ms = self._caller_idle_deadline_ms(request) - now_ms
         lateness_ms = prediction.lateness_ms(left_ms, idle_left_ms)
--- a/src/quetzaldeck/decisions/admission/queue_class_load.py
+++ b/src/quetzaldeck/decisions/admission/queue_class_load.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from quetzaldeck.decisions.request import Request
 
-_CLASSES = {length_class: index for index, length_class in enumerate(LengthClass)}
+_CLASS_INDICES = {length_class: index for index, length_class in enumerate(LengthClass)}
 
 
 class QueueClass(NamedTuple):
@@ -35,8 +35,8 @@
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
-        self.tokens = [0] * len(_CLASSES)
-        self.counts = [0] * len(_CLASSES)
+        self.tokens = [0] * len(_CLASS_INDICES)
+        self.counts = [0] * len(_CLASS_INDICES)
 
 
 class _PriorityLevel:
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self.customers: dict[str, _CustomerTokens] = {}
-        self.tokens = [0] * len(_CLASSES)
+        self.tokens = [0] * len(_CLASS_INDICES)
         self.weight = 0.0
 
 
@@ -73,7 +73,7 @@
         if own is None:
             own = level.customers[request.customer] = _CustomerTokens(request.weight)
             level.weight += own.weight
-        index = _CLASSES[request.length_class]
+        index = _CLASS_INDICES[request.length_class]
         own.counts[index] += 1
         own.tokens[index] += request.n_kv_tokens
         level.tokens[index] += request.n_kv_tokens
@@ -86,7 +86,7 @@
             self.drain.note_dispatched(request.n_kv_tokens, now_ms)
         level = self._levels[request.priority]
         own = level.customers[request.customer]
-        index = _CLASSES[request.length_class]
+        index = _CLASS_INDICES[request.length_class]
         own.counts[index] -= 1
         own.tokens[index] -= request.n_kv_tokens
         level.tokens[index] -= request.n_kv_tokens
@@ -129,15 +129,15 @@
         weight += request.weight
     else:
         n_own = _tokens_due_before(own, request, stretch, rate * own.weight / weight)
-    turns = (n_own + request.n_kv_tokens) * weight / request.weight
-    return min(float(sum(level.tokens)), turns - request.n_kv_tokens)
+    scaled = (n_own + request.n_kv_tokens) * weight / request.weight
+    return min(float(sum(level.tokens)), scaled - request.n_kv_tokens)
 
 
 def _tokens_due_before(
     own: _CustomerTokens, request: Request, stretch: float, rate: float
 ) -> float:
     """:returns: queued tokens of the customer due before a request arriving now"""
-    n_classes = _CLASSES[request.length_class] + 1
+    n_classes = _CLASS_INDICES[request.length_class] + 1
     before = float(sum(own.tokens[:n_classes]))
     wait_ms = sum(own.tokens) / rate if rate > 0 else 0.0
     for n_tokens, n_requests in zip(
@@ -145,8 +145,8 @@
     ):
         if n_requests and wait_ms > 0:
             n_more = n_tokens / n_requests - request.n_prompt_tokens
-            gap_ms = stretch * n_more * MS_PER_TOKEN
-            before += n_tokens * min(1.0, max(0.0, 1.0 - gap_ms / wait_ms))
+            due_gap_ms = stretch * n_more * MS_PER_TOKEN
+            before += n_tokens * min(1.0, max(0.0, 1.0 - due_gap_ms / wait_ms))
     return before
 
 
--- a/src/quetzaldeck/decisions/answer_learner.py
+++ b/src/quetzaldeck/decisions/answer_learner.py
@@ -8,7 +8,7 @@
     from quetzaldeck.decisions.admission import AdmissionPolicy
     from quetzaldeck.decisions.decision import AttemptEnd
     from quetzaldeck.decisions.estimation import TokenEstimator
-    from quetzaldeck.decisions.tracked import Tracked
+    from quetzaldeck.decisions.tracked import TrackedRequest
 
 
 class AnswerLearner:
@@ -22,12 +22,14 @@
         self._admission = admission
         self._tokens = tokens
 
-    def note_first_token(self, tracked: Tracked, now_ms: float) -> None:
+    def note_first_token(self, tracked: TrackedRequest, now_ms: float) -> None:
         """Record how long an attempt took to its first token."""
         elapsed_ms = now_ms - tracked.dispatched_ms
         self._admission.note_first_token(tracked.request, elapsed_ms, now_ms)
 
-    def note_answer(self, tracked: Tracked, end: AttemptEnd, now_ms: float) -> None:
+    def note_answer(
+        self, tracked: TrackedRequest, end: AttemptEnd, now_ms: float
+    ) -> None:
         """Record the generation time and prompt tokens of a complete answer.
 
         Skips answers that took more than one attempt: the last attempt of a resumed
--- a/src/quetzaldeck/decisions/caller_idle_timeout.py
+++ b/src/quetzaldeck/decisions/caller_idle_timeout.py
@@ -22,7 +22,7 @@
 TIMEOUT_PER_GAP = 8.0
 """Timeout as a multiple of the maximum gap between two tokens."""
 
-LINK_MARGIN_MS = 50.0
+DISCONNECT_MARGIN_MS = 50.0
 """A refusal is sent this long before the caller disconnects: several times the network
 delay to the caller, plus the scheduling delay of a busy VM."""
 
@@ -41,7 +41,7 @@
 
 
 __all__ = (
-    "LINK_MARGIN_MS",
+    "DISCONNECT_MARGIN_MS",
     "MIN_IDLE_TIMEOUT_MS",
     "TIMEOUT_PER_GAP",
     "TIMEOUT_PER_TARGET",
--- a/src/quetzaldeck/decisions/failed_attempts.py
+++ b/src/quetzaldeck/decisions/failed_attempts.py
@@ -6,7 +6,7 @@
 
 from quetzaldeck.decisions.decision import AttemptFault
 from quetzaldeck.decisions.retries import grow_estimate
-from quetzaldeck.decisions.tracked import Tracked
+from quetzaldeck.decisions.tracked import TrackedRequest
 from quetzaldeck.outcomes import Failure, Ran
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         self._poison = poison
 
     def handle(
-        self, tracked: Tracked, end: AttemptEnd, now_ms: float
+        self, tracked: TrackedRequest, end: AttemptEnd, now_ms: float
     ) -> Failure | None:
         """Retry a request or end it.
 
@@ -72,7 +72,9 @@
                 return retry
             return self._admission.update_retry_after(request, retry, now_ms)
         due_ms = retry.due_ms + self._poison.pause_ms(request.fingerprint, now_ms)
-        self._tracked.update(Tracked(request, tracked.n_uncorrected_tokens, history))
+        self._tracked.update(
+            TrackedRequest(request, tracked.n_uncorrected_tokens, history)
+        )
         self._waiting.delay(request, due_ms, now_ms)
         return None
 
--- a/src/quetzaldeck/decisions/load_changes.py
+++ b/src/quetzaldeck/decisions/load_changes.py
@@ -51,7 +51,7 @@
         """:returns: whether a change is being delayed"""
         return self._delayed_since_ms is not None
 
-    def take(
+    def select_due(
         self,
         loads: Iterable[tuple[str, VmLoad]],
         now_ms: float,
--- a/src/quetzaldeck/decisions/pace_polling.py
+++ b/src/quetzaldeck/decisions/pace_polling.py
@@ -69,16 +69,16 @@
         :param paces: engines that were just polled, with their paces
         :returns: paces of engines that are slow, or were when last published
         """
-        told: dict[str, float] = {}
+        published: dict[str, float] = {}
         for name, pace in paces:
             is_slow = pace >= SLOW_PACE
             if is_slow or name in self._published:
-                told[name] = pace
+                published[name] = pace
             if is_slow:
                 self._published.add(name)
             else:
                 self._published.discard(name)
-        return told
+        return published
 
     def _list_owned(
         self, engines: Mapping[str, str], zone_vms: Mapping[str, Sequence[str]]
--- a/src/quetzaldeck/decisions/peer_load.py
+++ b/src/quetzaldeck/decisions/peer_load.py
@@ -63,7 +63,9 @@
         """:returns: whether any figure is higher than in ``other``"""
         if self.refuses_help and not other.refuses_help:
             return True
-        return any(own > told for own, told in zip(self[:4], other[:4], strict=True))
+        return any(
+            own > theirs for own, theirs in zip(self[:4], other[:4], strict=True)
+        )
 
 
 class PeerLoad:
@@ -79,7 +81,7 @@
         self._total_until_ms = math.inf
         self.outcomes = PeerOutcomes()
 
-    def take(self, vm: str, load: VmLoad, now_ms: float) -> int:
+    def update(self, vm: str, load: VmLoad, now_ms: float) -> int:
         """Replace the load of a VM.
 
         :returns: increase of the prompt tokens that it has to be prefilled here
@@ -104,11 +106,11 @@
 
     def _recompute_total(self, now_ms: float) -> None:
         oldest_ms = math.inf
-        for vm, (heard_ms, _) in list(self._loads.items()):
-            if now_ms - heard_ms > PEER_LOAD_TTL_MS:
+        for vm, (updated_ms, _) in list(self._loads.items()):
+            if now_ms - updated_ms > PEER_LOAD_TTL_MS:
                 del self._loads[vm]
             else:
-                oldest_ms = min(oldest_ms, heard_ms)
+                oldest_ms = min(oldest_ms, updated_ms)
         loads = [load for _, load in self._loads.values()]
         self._total_until_ms = oldest_ms + PEER_LOAD_TTL_MS
         self._total = VmLoad(
--- a/src/quetzaldeck/decisions/request.py
+++ b/src/quetzaldeck/decisions/request.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from quetzaldeck.decisions.caller_idle_timeout import LINK_MARGIN_MS
+from quetzaldeck.decisions.caller_idle_timeout import DISCONNECT_MARGIN_MS
 
 
 class LengthClass(StrEnum):
@@ -84,7 +84,7 @@
         if not self.caller_idle_timeout_ms:
             return math.inf
         last_token_ms = max(self.arrived_ms, self.last_token_ms)
-        return last_token_ms + self.caller_idle_timeout_ms - LINK_MARGIN_MS
+        return last_token_ms + self.caller_idle_timeout_ms - DISCONNECT_MARGIN_MS
 
     @property
     def n_kv_tokens(self) -> int:
--- a/src/quetzaldeck/decisions/retries/silence.py
+++ b/src/quetzaldeck/decisions/retries/silence.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from quetzaldeck.decisions.placement.placer import Placer
     from quetzaldeck.decisions.retries.policy import RetryPolicy
-    from quetzaldeck.decisions.tracked import Tracked
+    from quetzaldeck.decisions.tracked import TrackedRequest
 
 FIRST_BYTE_TARGETS = 2.0
 """A first token that takes this many times its target is late for its caller twice
@@ -86,7 +86,7 @@
         self._retries = retries
 
     @staticmethod
-    def is_unanswered(tracked: Tracked, now_ms: float) -> bool:
+    def is_unanswered(tracked: TrackedRequest, now_ms: float) -> bool:
         """:returns: whether an attempt runs that has said nothing for too long"""
         if not tracked.attempt_id or tracked.first_token_ms is not None:
             return False
@@ -94,7 +94,7 @@
         return silent_ms >= first_byte_bound_ms(tracked.request.target_ms)
 
     def judge(
-        self, tracked: Tracked, silent_ms: float, now_ms: float
+        self, tracked: TrackedRequest, silent_ms: float, now_ms: float
     ) -> SilenceVerdict:
         """:returns: whether the running attempt is left, or why it is waited for
 
--- a/src/quetzaldeck/decisions/scheduler.py
+++ b/src/quetzaldeck/decisions/scheduler.py
@@ -20,7 +20,7 @@
 from quetzaldeck.decisions.retries import RetryPolicy
 from quetzaldeck.decisions.retries.silence import SilenceJudge, SilenceVerdict
 from quetzaldeck.decisions.scheduler_bounds import SchedulerBounds
-from quetzaldeck.decisions.tracked import Tracked, TrackedRequests
+from quetzaldeck.decisions.tracked import TrackedRequest, TrackedRequests
 from quetzaldeck.decisions.tuning import tune
 from quetzaldeck.decisions.upstream_table import UpstreamTable
 from quetzaldeck.decisions.waiting import WaitingRequests
@@ -182,7 +182,7 @@
         failure = self._check_admission(request, now_ms)
         if failure is not None:
             return failure
-        self._tracked.add(Tracked(request, n_uncorrected_tokens), now_ms)
+        self._tracked.add(TrackedRequest(request, n_uncorrected_tokens), now_ms)
         self._retries.note_admitted(request, now_ms)
         pause_ms = self._poison.pause_ms(request.fingerprint, now_ms)
         if pause_ms:
@@ -291,7 +291,7 @@
         avoided = self._tracked[request.request_id].history.avoided
         return self._placer.place(request, avoided, self._clock.now_ms())
 
-    def _release(self, tracked: Tracked) -> None:
+    def _release(self, tracked: TrackedRequest) -> None:
         """Release the resources of the running attempt of a request, if any."""
         if self._tracked.end_attempt(tracked.attempt_id):
             self._placer.release(tracked.request, tracked.attempt_id, tracked.upstreams)
--- a/src/quetzaldeck/decisions/tracked.py
+++ b/src/quetzaldeck/decisions/tracked.py
@@ -13,7 +13,7 @@
     from quetzaldeck.decisions.limits import CustomerLimiter
 
 
-class Tracked(NamedTuple):
+class TrackedRequest(NamedTuple):
     """State of one admitted request.
 
     :param request: the request, with the corrected estimate of its prompt tokens
@@ -43,7 +43,7 @@
 
     def __init__(self, limits: CustomerLimiter) -> None:
         self._limits = limits
-        self._tracked: dict[str, Tracked] = {}
+        self._tracked: dict[str, TrackedRequest] = {}
         self._by_attempt: dict[str, str] = {}
 
     @property
@@ -51,28 +51,31 @@
         """:returns: running attempts"""
         return len(self._by_attempt)
 
-    def __getitem__(self, request_id: str) -> Tracked:
+    def __getitem__(self, request_id: str) -> TrackedRequest:
         return self._tracked[request_id]
 
-    def find(self, attempt_id: str) -> Tracked | None:
+    def find(self, attempt_id: str) -> TrackedRequest | None:
         """:returns: the request of a running attempt, ``None`` if it does not run"""
         request_id = self._by_attempt.get(attempt_id)
         return None if request_id is None else self._tracked[request_id]
 
-    def add(self, tracked: Tracked, now_ms: float) -> None:
+    def add(self, tracked: TrackedRequest, now_ms: float) -> None:
         """Start tracking an admitted request."""
         self._tracked[tracked.request.request_id] = tracked
         self._limits.admit(tracked.request, now_ms)
 
-    def update(self, tracked: Tracked) -> None:
+    def update(self, tracked: TrackedRequest) -> None:
         """Replace the state of a request."""
         self._tracked[tracked.request.request_id] = tracked
         if tracked.attempt_id:
             self._by_attempt[tracked.attempt_id] = tracked.request.request_id
 
     def resize(
-        self, tracked: Tracked, change: Callable[[Request], Request], now_ms: float
-    ) -> Tracked:
+        self,
+        tracked: TrackedRequest,
+        change: Callable[[Request], Request],
+        now_ms: float,
+    ) -> TrackedRequest:
         """Change the token estimate of a request, in the customer limits as well.
 
         :returns: the new state
@@ -90,7 +93,7 @@
         """
         return self._by_attempt.pop(attempt_id, None) is not None
 
-    def forget(self, request_id: str, now_ms: float) -> Tracked | None:
+    def forget(self, request_id: str, now_ms: float) -> TrackedRequest | None:
         """Stop tracking a request.
 
         :returns: its last state, ``None`` if it was not tracked
@@ -101,4 +104,4 @@
         return tracked
 
 
-__all__ = ("Tracked", "TrackedRequests")
+__all__ = ("TrackedRequest", "TrackedRequests")
--- a/src/quetzaldeck/decisions/upstream_state.py
+++ b/src/quetzaldeck/decisions/upstream_state.py
@@ -119,7 +119,7 @@
 
     def update_peer_load(self, vm: str, load: VmLoad, now_ms: float) -> None:
         """Replace the load that another VM puts on this upstream."""
-        self._add_prefill_work(self.peers.take(vm, load, now_ms), now_ms)
+        self._add_prefill_work(self.peers.update(vm, load, now_ms), now_ms)
 
     def _add_prefill_work(self, n_tokens: int, now_ms: float) -> None:
         figures = self.spec.figures
@@ -178,8 +178,8 @@
         """
         known = self.n_in_flight - self.ledger.n_parts
         if now_ms is not None:
-            told = self.peers.total(now_ms)
-            known += told.n_requests - told.n_parts
+            peer_total = self.peers.total(now_ms)
+            known += peer_total.n_requests - peer_total.n_parts
         if self.report is None:
             return known
         if now_ms is not None and now_ms - self.reported_ms > MAX_REPORT_AGE_MS:
--- a/src/quetzaldeck/entry/peers/task.py
+++ b/src/quetzaldeck/entry/peers/task.py
@@ -213,7 +213,7 @@
 
     def _tell(self, now_ms: float) -> None:
         shares = self._state.dispatch.list_shares()
-        changed = self._changes.take(shares, now_ms, len(self._table))
+        changed = self._changes.select_due(shares, now_ms, len(self._table))
         crashes = [
             CrashNews(*sighting)
             for sightings in self._state.dispatch.take_crash_news()
--- a/tests/decisions/head_of_line/test_many_vms_at_once.py
+++ b/tests/decisions/head_of_line/test_many_vms_at_once.py
@@ -74,7 +74,7 @@
             state = next(state for state in self.pool if state.spec.name == name)
             n_before = state.peers.total(now_ms).n_requests
             share = VmLoad(n_requests=n_before + change)
-            state.peers.take("others", share, now_ms)
+            state.peers.update("others", share, now_ms)
 
 
 @pytest.mark.parametrize("rate", [20.0, 40.0, 70.0])
@@ -111,7 +111,7 @@
     lane = ReadingLane()
     lane.configure(engines.bundle, tune(engines.bundle))
     for state in engines.pool[:4]:
-        state.peers.take("others", VmLoad(n_requests=2), 0.0)
+        state.peers.update("others", VmLoad(n_requests=2), 0.0)
     looked_at = {
         state.spec.name
         for number in range(50)
--- a/tests/decisions/test_caller_idle_timeout.py
+++ b/tests/decisions/test_caller_idle_timeout.py
@@ -22,7 +22,7 @@
     Request,
 )
 from quetzaldeck.decisions.caller_idle_timeout import (
-    LINK_MARGIN_MS,
+    DISCONNECT_MARGIN_MS,
     infer_idle_timeout_ms,
 )
 from quetzaldeck.outcomes import Failure, Ran, Reason
@@ -192,7 +192,7 @@
     simulation.arrive()
     (decision,) = simulation.scheduler.poll()
     assert isinstance(decision, Dispatch)
-    clock.advance(simulation.idle_timeout_ms - LINK_MARGIN_MS)
+    clock.advance(simulation.idle_timeout_ms - DISCONNECT_MARGIN_MS)
     end = AttemptEnd(decision.attempt_id, AttemptFault.BROKEN)
     assert simulation.scheduler.end_attempt(end) is not None
 
@@ -205,7 +205,7 @@
     Its deadline leaves enough time. If the request were refused for a timeout that is
     only inferred, it could never be served.
     """
-    simulation = Simulation(clock, idle_timeout_ms=LINK_MARGIN_MS + 10.0)
+    simulation = Simulation(clock, idle_timeout_ms=DISCONNECT_MARGIN_MS + 10.0)
     simulation.arrive()
     simulation.step()
     (response,) = simulation.responses
--- a/tests/decisions/test_load_changes.py
+++ b/tests/decisions/test_load_changes.py
@@ -46,7 +46,7 @@
         while events and events[0][0] <= now_ms:
             _, name, load = events.pop(0)
             loads[name] = load
-        n_messages += bool(changes.take(loads.items(), now_ms, n_peers))
+        n_messages += bool(changes.select_due(loads.items(), now_ms, n_peers))
     return n_messages
 
 
@@ -59,21 +59,23 @@
 @pytest.mark.parametrize("n_peers", [1, 6, N_PEERS])
 def test_increase_is_sent_at_once(n_peers: int) -> None:
     changes = LoadChanges()
-    assert changes.take([("e0", SENT)], 0.0, n_peers) == [("e0", SENT)]
+    assert changes.select_due([("e0", SENT)], 0.0, n_peers) == [("e0", SENT)]
     more = SENT._replace(n_requests=2)
-    assert changes.take([("e0", more)], 5.0, n_peers) == [("e0", more)]
+    assert changes.select_due([("e0", more)], 5.0, n_peers) == [("e0", more)]
 
 
 def test_decrease_is_sent_after_the_delay_or_with_an_urgent_change() -> None:
     changes = LoadChanges()
-    changes.take([("e0", SENT)], 0.0, N_PEERS)
-    assert not changes.take([("e0", PREFILLED)], 100.0, N_PEERS)
+    changes.select_due([("e0", SENT)], 0.0, N_PEERS)
+    assert not changes.select_due([("e0", PREFILLED)], 100.0, N_PEERS)
     assert changes.has_unsent
     due_ms = 100.0 + max_send_delay_ms(N_PEERS)
-    assert changes.take([("e0", PREFILLED)], due_ms, N_PEERS) == [("e0", PREFILLED)]
+    assert changes.select_due([("e0", PREFILLED)], due_ms, N_PEERS) == [
+        ("e0", PREFILLED)
+    ]
     assert not changes.has_unsent
-    assert not changes.take([("e0", DONE), ("e1", VmLoad())], 900.0, N_PEERS)
-    both = changes.take([("e0", DONE), ("e1", SENT)], 910.0, N_PEERS)
+    assert not changes.select_due([("e0", DONE), ("e1", VmLoad())], 900.0, N_PEERS)
+    both = changes.select_due([("e0", DONE), ("e1", SENT)], 910.0, N_PEERS)
     assert both == [("e0", DONE), ("e1", SENT)]
 
 
@@ -81,21 +83,21 @@
     """The next long prompt skips engines that still seem to prefill a part."""
     changes = LoadChanges()
     part = VmLoad(1, 9_000, 0, n_parts=1)
-    changes.take([("e0", part)], 0.0, N_PEERS)
-    assert changes.take([("e0", VmLoad())], 100.0, N_PEERS)
+    changes.select_due([("e0", part)], 0.0, N_PEERS)
+    assert changes.select_due([("e0", VmLoad())], 100.0, N_PEERS)
 
 
 def test_small_fleet_sends_all_changes_at_once() -> None:
     changes = LoadChanges()
-    changes.take([("e0", SENT)], 0.0, 6)
-    assert changes.take([("e0", PREFILLED)], 20.0, 6) == [("e0", PREFILLED)]
+    changes.select_due([("e0", SENT)], 0.0, 6)
+    assert changes.select_due([("e0", PREFILLED)], 20.0, 6) == [("e0", PREFILLED)]
 
 
 def test_change_reverted_during_the_delay_is_not_sent() -> None:
     changes = LoadChanges()
-    changes.take([("e0", SENT)], 0.0, N_PEERS)
-    assert not changes.take([("e0", PREFILLED)], 100.0, N_PEERS)
-    assert not changes.take([("e0", SENT)], 120.0, N_PEERS)
+    changes.select_due([("e0", SENT)], 0.0, N_PEERS)
+    assert not changes.select_due([("e0", PREFILLED)], 100.0, N_PEERS)
+    assert not changes.select_due([("e0", SENT)], 120.0, N_PEERS)
     assert not changes.has_unsent
 
 
@@ -104,10 +106,10 @@
     peers = PeerLoad()
     for tick in range(int(20_000 / TICK_MS)):
         now_ms = tick * TICK_MS
-        told = changes.take([("e0", SENT)], now_ms, N_PEERS)
+        sent = changes.select_due([("e0", SENT)], now_ms, N_PEERS)
         is_lost = REFRESH_INTERVAL_MS <= now_ms < 2 * REFRESH_INTERVAL_MS
-        if told and not is_lost:
-            peers.take("vm", SENT, now_ms)
+        if sent and not is_lost:
+            peers.update("vm", SENT, now_ms)
         assert peers.total(now_ms).n_requests == 1
     assert PEER_LOAD_TTL_MS > 2 * REFRESH_INTERVAL_MS
 
@@ -118,7 +120,7 @@
     idle = VmLoad()
     for before, after in ((SENT, refusing), (idle, idle._replace(refuses_help=True))):
         changes = LoadChanges()
-        changes.take([("e0", before)], 0.0, N_PEERS)
-        assert changes.take([("e0", after)], 20.0, N_PEERS) == [("e0", after)]
+        changes.select_due([("e0", before)], 0.0, N_PEERS)
+        assert changes.select_due([("e0", after)], 20.0, N_PEERS) == [("e0", after)]
         again_ms = 20.0 + REFRESH_INTERVAL_MS
-        assert changes.take([("e0", after)], again_ms, N_PEERS) == [("e0", after)]
+        assert changes.select_due([("e0", after)], again_ms, N_PEERS) == [("e0", after)]
--- a/tests/decisions/test_peer_load.py
+++ b/tests/decisions/test_peer_load.py
@@ -12,9 +12,9 @@
 
 def test_total_sums_the_latest_load_of_each_vm() -> None:
     peers = PeerLoad()
-    peers.take("a", BUSY, 0.0)
-    peers.take("b", BUSY, 0.0)
-    peers.take("b", VmLoad(1, 0, 100), 10.0)
+    peers.update("a", BUSY, 0.0)
+    peers.update("b", BUSY, 0.0)
+    peers.update("b", VmLoad(1, 0, 100), 10.0)
     assert peers.total(20.0) == VmLoad(3, 5_000, 6_100)
 
 
@@ -24,15 +24,15 @@
     A VM dies while it has requests there, and never sends a lower load.
     """
     peers = PeerLoad()
-    peers.take("a", BUSY, 0.0)
+    peers.update("a", BUSY, 0.0)
     assert peers.total(PEER_LOAD_TTL_MS) == BUSY
     assert peers.total(PEER_LOAD_TTL_MS + 1) == VmLoad()
 
 
 def test_empty_load_replaces_the_last_one_at_once() -> None:
     peers = PeerLoad()
-    peers.take("a", BUSY, 0.0)
-    peers.take("a", VmLoad(), 1.0)
+    peers.update("a", BUSY, 0.0)
+    peers.update("a", VmLoad(), 1.0)
     assert peers.total(1.0) == VmLoad()
 
 
@@ -48,19 +48,19 @@
 ) -> None:
     """Guards against a cached total that still counts replaced or expired loads."""
     peers = PeerLoad()
-    heard: dict[int, tuple[float, VmLoad]] = {}
+    latest: dict[int, tuple[float, VmLoad]] = {}
     now_ms = 0.0
     for vm, pause_ms, load in updates:
         now_ms += pause_ms
-        before = heard.get(vm)
+        before = latest.get(vm)
         n_before = 0
         if before is not None and now_ms - before[0] <= PEER_LOAD_TTL_MS:
             n_before = before[1].n_prefill_tokens
-        n_more = peers.take(f"vm-{vm}", load, now_ms)
+        n_more = peers.update(f"vm-{vm}", load, now_ms)
         assert n_more == max(0, load.n_prefill_tokens - n_before)
-        heard[vm] = (now_ms, load)
+        latest[vm] = (now_ms, load)
         unexpired = [
-            s for at_ms, s in heard.values() if now_ms - at_ms <= PEER_LOAD_TTL_MS
+            s for at_ms, s in latest.values() if now_ms - at_ms <= PEER_LOAD_TTL_MS
         ]
         total = peers.total(now_ms)
         assert total[:3] == tuple(
@@ -72,5 +72,5 @@
     """Each placement reads the totals of a hundred engines over hundreds of VMs."""
     peers = PeerLoad()
     for number in range(200):
-        peers.take(f"vm-{number}", BUSY, 0.0)
+        peers.update(f"vm-{number}", BUSY, 0.0)
     assert peers.total(1.0) is peers.total(PEER_LOAD_TTL_MS)
--- a/tests/entry/peers/peer_fleet.py
+++ b/tests/entry/peers/peer_fleet.py
@@ -86,7 +86,7 @@
 
     def tell(self, now_ms: float) -> None:
         """Tell what has changed."""
-        changed = self._changes.take(self.shares.items(), now_ms, len(self.table))
+        changed = self._changes.select_due(self.shares.items(), now_ms, len(self.table))
         if changed:
             self.node.tell(now_ms, loads=[build_load_news(*entry) for entry in changed])
 
@@ -108,7 +108,7 @@
         for news in self.node.receive(message, sender, now_ms):
             for load in news.loads:
                 share = read_load_news(load)
-                self.peers.setdefault(load.upstream, PeerLoad()).take(
+                self.peers.setdefault(load.upstream, PeerLoad()).update(
                     news.vm, share, now_ms
                 )
                 self.heard.append((now_ms, load))
--- a/tests/entry/peers/test_peer_task.py
+++ b/tests/entry/peers/test_peer_task.py
@@ -78,15 +78,17 @@
 
 def test_change_is_told_once_and_repeated_while_it_holds() -> None:
     changes = LoadChanges()
-    assert not changes.take([("e0", IDLE)], 0.0)
-    assert changes.take([("e0", BUSY)], 10.0) == [("e0", BUSY)]
-    assert not changes.take([("e0", BUSY)], 20.0)
-    assert changes.take([("e0", BUSY)], 10.0 + REFRESH_INTERVAL_MS) == [("e0", BUSY)]
+    assert not changes.select_due([("e0", IDLE)], 0.0)
+    assert changes.select_due([("e0", BUSY)], 10.0) == [("e0", BUSY)]
+    assert not changes.select_due([("e0", BUSY)], 20.0)
+    assert changes.select_due([("e0", BUSY)], 10.0 + REFRESH_INTERVAL_MS) == [
+        ("e0", BUSY)
+    ]
     done_ms = REFRESH_INTERVAL_MS + 400.0
-    assert changes.take([("e0", DONE)], done_ms) == [("e0", DONE)]
-    assert not changes.take([("e0", DONE)], done_ms + 7_600.0)
-    assert changes.take([("e0", IDLE)], done_ms + 8_100.0) == [("e0", IDLE)]
-    assert not changes.take([("e0", IDLE)], done_ms + 17_600.0)
+    assert changes.select_due([("e0", DONE)], done_ms) == [("e0", DONE)]
+    assert not changes.select_due([("e0", DONE)], done_ms + 7_600.0)
+    assert changes.select_due([("e0", IDLE)], done_ms + 8_100.0) == [("e0", IDLE)]
+    assert not changes.select_due([("e0", IDLE)], done_ms + 17_600.0)
 
 
 def test_wrong_datagrams_of_one_peer_are_one_line(
