--- a/src/quetzaldeck/decisions/fleet_observer.py
+++ b/src/quetzaldeck/decisions/fleet_observer.py
@@ -99,9 +99,9 @@
         """Apply what other VMs reported about requests and engine crashes."""
         self._poison.observe(sightings, self._clock.now_ms())
 
-    def take_crash_news(self) -> list[tuple[CrashSighting, ...]]:
+    def pop_crash_sightings(self) -> list[tuple[CrashSighting, ...]]:
         """:returns: new crash sightings to send to the other VMs, grouped by request"""
-        return self._poison.take_news(self._clock.now_ms())
+        return self._poison.pop_changed_sightings(self._clock.now_ms())
 
 
 __all__ = ("FleetObserver",)
