--- a/src/quetzaldeck/decisions/admission/bounds_only.py
+++ b/src/quetzaldeck/decisions/admission/bounds_only.py
@@ -52,13 +52,13 @@
         return Failure(Reason.DEADLINE_EXCEEDED)
 
     def note_queued(self, request: Request, now_ms: float) -> None:
-        """Count a request that waits."""
+        """Count a waiting request."""
         self._account.add(request)
 
     def note_unqueued(
         self, request: Request, now_ms: float, *, is_dispatched: bool
     ) -> None:
-        """Count a request that no longer waits."""
+        """Remove a request that no longer waits."""
         self._account.discard(request)
 
 
--- a/src/quetzaldeck/decisions/admission/predicted_wait.py
+++ b/src/quetzaldeck/decisions/admission/predicted_wait.py
@@ -67,7 +67,7 @@
 
     @property
     def total_ms(self) -> float:
-        """:returns: time from arrival to the last token"""
+        """:returns: time to the last token"""
         return self.wait_ms + self.first_token_ms + self.answer_ms
 
     def lateness_ms(self, left_ms: float, idle_left_ms: float) -> float:
@@ -195,7 +195,7 @@
     def note_unqueued(
         self, request: Request, now_ms: float, *, is_dispatched: bool
     ) -> None:
-        """Count a request that no longer waits."""
+        """Remove a request that no longer waits and learn from its wait."""
         super().note_unqueued(request, now_ms, is_dispatched=is_dispatched)
         load = self._load_of(request, now_ms)
         load.discard(request, now_ms, is_dispatched=is_dispatched)
--- a/src/quetzaldeck/decisions/admission/queue_class_load.py
+++ b/src/quetzaldeck/decisions/admission/queue_class_load.py
@@ -67,7 +67,7 @@
         return self._n_requests
 
     def add(self, request: Request, now_ms: float) -> None:
-        """Count a request that waits."""
+        """Count a waiting request."""
         level = self._levels.setdefault(request.priority, _PriorityLevel())
         own = level.customers.get(request.customer)
         if own is None:
@@ -81,7 +81,7 @@
         self.drain.note_backlog(now_ms, is_backlogged=True)
 
     def discard(self, request: Request, now_ms: float, *, is_dispatched: bool) -> None:
-        """Count a request that no longer waits."""
+        """Remove a request that no longer waits; a dispatch counts as drained."""
         if is_dispatched:
             self.drain.note_dispatched(request.n_kv_tokens, now_ms)
         level = self._levels[request.priority]
--- a/src/quetzaldeck/decisions/decision.py
+++ b/src/quetzaldeck/decisions/decision.py
@@ -75,10 +75,9 @@
     :param n_output_tokens: tokens delivered to the caller by this attempt
     :param n_prompt_tokens: prompt tokens counted by the engine; 0 if unknown
     :param has_reached: whether the upstream may have started to run it
-    :param has_arrived: whether the upstream may have received it, even if it did not
-        run it
+    :param has_arrived: whether the request was sent to the upstream, even if not run
     :param retry_after_ms: retry delay requested by the upstream, if any
-    :param upstream: group member that failed; ``""``: the attempt has no group
+    :param upstream: group member or helper that failed; ``""``: the only upstream
     :param incarnation: incarnation reported by that upstream; ``""``: none
     """
 
--- a/src/quetzaldeck/decisions/load_changes.py
+++ b/src/quetzaldeck/decisions/load_changes.py
@@ -25,8 +25,8 @@
 """Load that other VMs assume for an upstream until they receive an update on it."""
 
 REFRESH_INTERVAL_MS = 2_000.0
-"""Interval at which unchanged loads are sent again. ``PEER_LOAD_TTL_MS`` allows
-for one lost message. Most answers to short prompts end within the interval."""
+"""Interval at which unchanged loads are sent again. ``PEER_LOAD_TTL_MS`` allows for one
+lost message. Most answers to short prompts end within the interval."""
 
 N_PEERS_WITHOUT_DELAY = 8
 """Number of peers up to which all changes are sent at once, as that costs little."""
@@ -60,7 +60,7 @@
         """Select the changes to send now; delayed changes go with the next urgent one.
 
         :param n_peers: number of VMs that receive the changes
-        :returns: changed upstreams with their loads, or nothing if all may wait
+        :returns: changed upstreams with their loads; empty if all changes may wait
         """
         changed, is_urgent = self._list_changed(loads, now_ms)
         if not changed:
@@ -83,7 +83,7 @@
         is_urgent = False
         for upstream, load in loads:
             sent_ms, sent = self._sent.get(upstream, (now_ms, NO_LOAD))
-            is_due = load.is_repeated and now_ms - sent_ms >= REFRESH_INTERVAL_MS
+            is_due = load.needs_refresh and now_ms - sent_ms >= REFRESH_INTERVAL_MS
             if load == sent and not is_due:
                 continue
             changed.append((upstream, load))
--- a/src/quetzaldeck/decisions/peer_load.py
+++ b/src/quetzaldeck/decisions/peer_load.py
@@ -50,14 +50,14 @@
         return any(self[:4])
 
     @property
-    def is_repeated(self) -> bool:
+    def needs_refresh(self) -> bool:
         """:returns: whether it must be refreshed, since receivers let it expire"""
         return self.has_load or self.refuses_help
 
     @property
     def says_anything(self) -> bool:
         """:returns: whether it contains a load, a refusal or outcomes"""
-        return self.is_repeated or self.outcomes.n_all > 0
+        return self.needs_refresh or self.outcomes.n_all > 0
 
     def exceeds(self, other: VmLoad) -> bool:
         """:returns: whether any figure is higher than in ``other``"""
@@ -84,12 +84,12 @@
     def update(self, vm: str, load: VmLoad, now_ms: float) -> int:
         """Replace the load of a VM.
 
-        :returns: increase of the prompt tokens that it has to be prefilled here
+        :returns: increase of the VM's prompt tokens still to be prefilled here
         """
         before = self._loads.pop(vm, None)
-        if load.is_repeated:
+        if load.needs_refresh:
             self._loads[vm] = (now_ms, load)
-        if before is not None or load.is_repeated:
+        if before is not None or load.needs_refresh:
             self._total_until_ms = -math.inf
         if load.outcomes.n_all:
             self.outcomes.take(vm, load.outcomes, now_ms)
