--- a/src/quetzaldeck/bench/bench_vm.py
+++ b/src/quetzaldeck/bench/bench_vm.py
@@ -237,7 +237,7 @@
             attempt.attempt_id,
             fault,
             n_output_tokens=submission.n_delivered,
-            has_reached=has_reached,
+            may_have_run=has_reached,
             upstream=upstream,
         )
         failure = self.scheduler.end_attempt(end)
--- a/src/quetzaldeck/decisions/decision.py
+++ b/src/quetzaldeck/decisions/decision.py
@@ -74,8 +74,8 @@
     :param fault: ``None`` if the answer is complete
     :param n_output_tokens: tokens delivered to the caller by this attempt
     :param n_prompt_tokens: prompt tokens counted by the engine; 0 if unknown
-    :param has_reached: whether the upstream may have started to run it
-    :param has_arrived: whether the request was sent to the upstream, even if not run
+    :param may_have_run: whether the upstream may have started to run it
+    :param was_sent: whether the request was sent to the upstream, even if not run
     :param retry_after_ms: retry delay requested by the upstream, if any
     :param upstream: group member or helper that failed; ``""``: the only upstream
     :param incarnation: incarnation reported by that upstream; ``""``: none
@@ -85,8 +85,8 @@
     fault: AttemptFault | None = None
     n_output_tokens: int = 0
     n_prompt_tokens: int = 0
-    has_reached: bool = True
-    has_arrived: bool = True
+    may_have_run: bool = True
+    was_sent: bool = True
     retry_after_ms: float | None = None
     upstream: str = ""
     incarnation: str = ""
--- a/src/quetzaldeck/decisions/retries/history.py
+++ b/src/quetzaldeck/decisions/retries/history.py
@@ -50,10 +50,10 @@
         if end.fault is AttemptFault.TOO_LONG:
             blamed = ()
         return self._replace(
-            n_run=self.n_run + end.has_reached,
-            n_unrun=self.n_unrun + (not end.has_reached),
+            n_run=self.n_run + end.may_have_run,
+            n_unrun=self.n_unrun + (not end.may_have_run),
             avoided=self.avoided + blamed,
-            has_reached=self.has_reached or end.has_reached,
+            has_reached=self.has_reached or end.may_have_run,
             has_output=self.has_output or end.n_output_tokens > 0,
         )
 
--- a/src/quetzaldeck/decisions/retries/policy.py
+++ b/src/quetzaldeck/decisions/retries/policy.py
@@ -138,9 +138,9 @@
 
     def _may_draw(self, request: Request, end: AttemptEnd, now_ms: float) -> bool:
         """:returns: whether the budgets bear one more attempt, which they then do"""
-        if end.has_reached and not self._budget.draw(request.n_kv_tokens, now_ms):
+        if end.may_have_run and not self._budget.draw(request.n_kv_tokens, now_ms):
             return False
-        if self._arrivals is None or not end.has_arrived:
+        if self._arrivals is None or not end.was_sent:
             return True
         return self._arrivals.draw(request.target, now_ms)
 
--- a/src/quetzaldeck/entry/call_run.py
+++ b/src/quetzaldeck/entry/call_run.py
@@ -143,8 +143,8 @@
             dispatch.attempt_id,
             error.fault,
             n_output_tokens=self._relay.n_events,
-            has_reached=error.has_reached,
-            has_arrived=error.has_arrived,
+            may_have_run=error.has_reached,
+            was_sent=error.has_arrived,
             upstream=error.upstream,
             incarnation=self._runner.incarnation if is_asked else "",
         )
--- a/src/quetzaldeck/gateway/services.py
+++ b/src/quetzaldeck/gateway/services.py
@@ -162,7 +162,7 @@
             self._state.metrics.attempt_faults.labels(error.fault.value).inc()
             await ticket.end_attempt(
                 AttemptEnd(
-                    dispatch.attempt_id, error.fault, has_reached=error.has_reached
+                    dispatch.attempt_id, error.fault, may_have_run=error.has_reached
                 )
             )
             return None
--- a/tests/decisions/placement/test_busy_helpers.py
+++ b/tests/decisions/placement/test_busy_helpers.py
@@ -40,7 +40,7 @@
     """Let a helper refuse its part, and wait for the next attempt's turn."""
     is_member = dispatch.plan is not None and faulty in dispatch.upstreams
     fault = AttemptFault.OVERLOADED if is_member else AttemptFault.HELPER
-    end = AttemptEnd(dispatch.attempt_id, fault, has_reached=False, upstream=faulty)
+    end = AttemptEnd(dispatch.attempt_id, fault, may_have_run=False, upstream=faulty)
     assert scheduler.end_attempt(end) is None
     clock.advance(1_000)
 
--- a/tests/decisions/placement/test_refused_help.py
+++ b/tests/decisions/placement/test_refused_help.py
@@ -83,7 +83,7 @@
         end = AttemptEnd(
             dispatch.attempt_id,
             AttemptFault.HELPER,
-            has_reached=False,
+            may_have_run=False,
             upstream=faulty[0],
         )
         failure = vm.end_attempt(end)
@@ -132,7 +132,7 @@
         end = AttemptEnd(
             dispatch.attempt_id,
             AttemptFault.HELPER,
-            has_reached=False,
+            may_have_run=False,
             upstream=dispatch.helpers[0],
         )
         assert scheduler.end_attempt(end) is None
--- a/tests/decisions/retries/test_retry_policy.py
+++ b/tests/decisions/retries/test_retry_policy.py
@@ -79,7 +79,7 @@
         "a",
         AttemptFault.BROKEN,
         n_output_tokens=n_output_tokens,
-        has_reached=has_reached,
+        may_have_run=has_reached,
     )
     failure = decide(end, timeout_ms=0.0)
     assert isinstance(failure, Failure)
@@ -94,14 +94,14 @@
     """
     first = AttemptEnd("a", AttemptFault.BROKEN)
     history = AttemptHistory().after(first, ("e0",))
-    end = AttemptEnd("b", AttemptFault.CONNECT, has_reached=False)
+    end = AttemptEnd("b", AttemptFault.CONNECT, may_have_run=False)
     failure = decide(end, history=history, timeout_ms=0.0)
     assert isinstance(failure, Failure)
     assert failure.ran is Ran.UNKNOWN
 
 
 def test_decide_repeats_a_booking_only_if_nothing_was_sent() -> None:
-    unsent = AttemptEnd("a", AttemptFault.CONNECT, has_reached=False)
+    unsent = AttemptEnd("a", AttemptFault.CONNECT, may_have_run=False)
     sent = AttemptEnd("a", AttemptFault.BROKEN)
     assert isinstance(decide(unsent, is_repeatable=False), Retry)
     assert isinstance(decide(sent, is_repeatable=False), Failure)
@@ -124,7 +124,7 @@
 
 def test_decide_charges_nothing_for_a_refused_connection() -> None:
     policy = make_policy(RetryBounds(floor_tokens=1))
-    end = AttemptEnd("a", AttemptFault.CONNECT, has_reached=False)
+    end = AttemptEnd("a", AttemptFault.CONNECT, may_have_run=False)
     assert all(isinstance(decide(end, policy=policy), Retry) for _ in range(10))
     assert policy.budget.retried_tokens == 0
 
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -65,7 +65,7 @@
     dispatch = scheduler.poll()[0]
     assert isinstance(dispatch, Dispatch)
     failure = scheduler.end_attempt(
-        AttemptEnd(dispatch.attempt_id, AttemptFault.BROKEN, has_reached=True)
+        AttemptEnd(dispatch.attempt_id, AttemptFault.BROKEN, may_have_run=True)
     )
     assert failure is not None
     assert failure.ran is Ran.UNKNOWN
