--- a/src/quetzaldeck/decisions/admission/predicted_wait.py
+++ b/src/quetzaldeck/decisions/admission/predicted_wait.py
@@ -17,7 +17,7 @@
     MAX_RETRY_AFTER_MS,
     RetryAfterSchedule,
 )
-from quetzaldeck.decisions.estimation import Correction, ServiceTimes
+from quetzaldeck.decisions.estimation import BiasCorrection, ServiceTimes
 from quetzaldeck.decisions.placement.first_token import MAX_HELPERS
 from quetzaldeck.decisions.queueing.fair import DEFAULT_STRETCH
 from quetzaldeck.decisions.request import LengthClass
@@ -108,7 +108,7 @@
         self._loads: dict[QueueClass, QueueClassLoad] = {}
         self._retry_schedules: dict[QueueClass, RetryAfterSchedule] = {}
         self._service_times: dict[str, ServiceTimes] = {}
-        self._corrections: dict[_CorrectionKey, Correction] = {}
+        self._corrections: dict[_CorrectionKey, BiasCorrection] = {}
         self._predicted_waits: dict[str, float] = {}
         self._engines: dict[str, _ModelEngines] = {}
         self._stretch = DEFAULT_STRETCH
@@ -122,7 +122,7 @@
                 _, n_engines = self._engines.get(model, (None, 0))
                 self._engines[model] = _ModelEngines(spec.figures, n_engines + 1)
         for model, times in self._service_times.items():
-            times.set_engines(*self._engines_per_prompt(model))
+            times.set_engine_figures(*self._engines_per_prompt(model))
 
     def check(
         self, request: Request, now_ms: float, *, can_start: bool
@@ -266,11 +266,11 @@
         is_possible = request.arrived_ms + fastest_ms < request.next_token_deadline_ms
         return request.next_token_deadline_ms if is_possible else math.inf
 
-    def _correction(self, request: Request) -> Correction:
+    def _correction(self, request: Request) -> BiasCorrection:
         key = _CorrectionKey(queue_class_of(request), request.length_class)
         correction = self._corrections.get(key)
         if correction is None:
-            correction = self._corrections[key] = Correction()
+            correction = self._corrections[key] = BiasCorrection()
         return correction
 
     def _load_of(self, request: Request, now_ms: float) -> QueueClassLoad:
@@ -290,7 +290,7 @@
         times = self._service_times.get(target)
         if times is None:
             times = self._service_times[target] = ServiceTimes()
-            times.set_engines(*self._engines_per_prompt(target))
+            times.set_engine_figures(*self._engines_per_prompt(target))
         return times
 
 
--- a/src/quetzaldeck/decisions/groups/__init__.py
+++ b/src/quetzaldeck/decisions/groups/__init__.py
@@ -1,9 +1,15 @@
-"""Groups of engines for prompts that one engine cannot hold."""
+"""Groups of engines that together hold prompts too large for one engine."""
 
 from __future__ import annotations
 
 from quetzaldeck.decisions.groups.bounds import GroupBounds
-from quetzaldeck.decisions.groups.plan import GroupPlan, build_plan, n_tokens_of
+from quetzaldeck.decisions.groups.plan import GroupPlan, build_plan, n_reservable_tokens
 from quetzaldeck.decisions.groups.planner import GroupPlanner
 
-__all__ = ("GroupBounds", "GroupPlan", "GroupPlanner", "build_plan", "n_tokens_of")
+__all__ = (
+    "GroupBounds",
+    "GroupPlan",
+    "GroupPlanner",
+    "build_plan",
+    "n_reservable_tokens",
+)
--- a/src/quetzaldeck/decisions/upstream_state.py
+++ b/src/quetzaldeck/decisions/upstream_state.py
@@ -8,7 +8,7 @@
 from quetzaldeck.decisions.health.help_refusals import HelpRefusals
 from quetzaldeck.decisions.health.outcomes import DecayingOutcomes, Outcomes
 from quetzaldeck.decisions.health.pace import Pace
-from quetzaldeck.decisions.memory import InFlight, MemoryLedger
+from quetzaldeck.decisions.memory import InFlightAttempt, MemoryLedger
 from quetzaldeck.decisions.peer_load import PeerLoad, VmLoad
 from quetzaldeck.decisions.prefill_backlog import PrefillBacklog
 
@@ -69,7 +69,7 @@
         self.report = None
         self.reported_ms = 0.0
         self.health.reset_after_restart(now_ms)
-        self.ledger.lose_all()
+        self.ledger.drop_all()
         self.peers = PeerLoad()
         self.outcomes = DecayingOutcomes()
         self.pace = Pace()
@@ -86,7 +86,7 @@
         return len(self.ledger)
 
     @property
-    def in_flight(self) -> tuple[InFlight, ...]:
+    def in_flight(self) -> tuple[InFlightAttempt, ...]:
         """:returns: this VM's attempts that run here"""
         return tuple(self.ledger)
 
@@ -109,7 +109,7 @@
         self.reported_ms = measured_ms
         self.ledger.note_report(measured_ms)
 
-    def add(self, attempt: InFlight) -> None:
+    def add(self, attempt: InFlightAttempt) -> None:
         """Reserve capacity for an attempt before it is sent.
 
         :raises ValueError: if the attempt has a reservation already
@@ -253,4 +253,4 @@
         return max(own, self.report.n_prefill_tokens + since)
 
 
-__all__ = ("InFlight", "UpstreamState")
+__all__ = ("InFlightAttempt", "UpstreamState")
