--- a/src/quetzaldeck/decisions/retries/history.py
+++ b/src/quetzaldeck/decisions/retries/history.py
@@ -51,10 +51,10 @@
         if end.fault is AttemptFault.TOO_LONG:
             failed = ()
         return self._replace(
-            n_maybe_run=self.n_maybe_run + end.has_reached,
-            n_not_run=self.n_not_run + (not end.has_reached),
+            n_maybe_run=self.n_maybe_run + end.may_have_run,
+            n_not_run=self.n_not_run + (not end.may_have_run),
             avoided=self.avoided + failed,
-            has_reached=self.has_reached or end.has_reached,
+            has_reached=self.has_reached or end.may_have_run,
             has_output=self.has_output or end.n_output_tokens > 0,
         )
 
--- a/tests/decisions/retries/test_retry_policy.py
+++ b/tests/decisions/retries/test_retry_policy.py
@@ -78,7 +78,7 @@
         "a",
         AttemptFault.BROKEN,
         n_output_tokens=n_output_tokens,
-        has_reached=has_reached,
+        may_have_run=has_reached,
     )
     failure = decide(end, timeout_ms=0.0)
     assert isinstance(failure, Failure)
@@ -92,14 +92,14 @@
     """
     first = AttemptEnd("a", AttemptFault.BROKEN)
     history = AttemptHistory().after(first, ("e0",))
-    end = AttemptEnd("b", AttemptFault.CONNECT, has_reached=False)
+    end = AttemptEnd("b", AttemptFault.CONNECT, may_have_run=False)
     failure = decide(end, history=history, timeout_ms=0.0)
     assert isinstance(failure, Failure)
     assert failure.ran is Ran.UNKNOWN
 
 
 def test_decide_retries_a_non_repeatable_request_only_if_it_did_not_run() -> None:
-    not_run = AttemptEnd("a", AttemptFault.CONNECT, has_reached=False)
+    not_run = AttemptEnd("a", AttemptFault.CONNECT, may_have_run=False)
     maybe_run = AttemptEnd("a", AttemptFault.BROKEN)
     assert isinstance(decide(not_run, is_repeatable=False), Retry)
     assert isinstance(decide(maybe_run, is_repeatable=False), Failure)
@@ -123,7 +123,7 @@
 
 def test_decide_charges_nothing_for_a_refused_connection() -> None:
     policy = make_policy(RetryBounds(min_retry_tokens=1))
-    end = AttemptEnd("a", AttemptFault.CONNECT, has_reached=False)
+    end = AttemptEnd("a", AttemptFault.CONNECT, may_have_run=False)
     assert all(isinstance(decide(end, policy=policy), Retry) for _ in range(10))
     assert policy.budget.retried_tokens == 0
 
