--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -76,7 +76,7 @@
             log_event("source_history_gone", level="WARNING", error=error)
             self._query_counter.labels("source", "history_gone").inc()
             self._needs_full_read = True
-            self._sources.selector.note_history_gone()
+            self._sources.selector.note_history_dropped()
             self._state.belief.note_trouble(clock.uptime_ms())
             return 0.0
         except SourceError as error:
@@ -119,7 +119,7 @@
     def _apply_answer(self, answer: SourceAnswer, queried_ms: float) -> None:
         belief = self._state.belief
         now_ms = self._state.clock.uptime_ms()
-        events = belief.take(answer, asked_ms=queried_ms, now_ms=now_ms)
+        events = belief.apply(answer, asked_ms=queried_ms, now_ms=now_ms)
         self._needs_full_read = False
         self._apply_events(events)
         self._sources.feed.note(answer)
