--- a/src/quetzaldeck/decisions/admission/bounds_only.py
+++ b/src/quetzaldeck/decisions/admission/bounds_only.py
@@ -32,13 +32,13 @@
         self, *, random_state: random.Random, bounds: SchedulerBounds | None = None
     ) -> None:
         super().__init__(random_state=random_state, bounds=bounds)
-        self._account = QueueCounters()
+        self._counters = QueueCounters()
 
     def check(
         self, request: Request, now_ms: float, *, can_start: bool
     ) -> Failure | None:
         """:returns: the refusal if a limit of the queue is reached, else ``None``"""
-        reason = check_bounds(self._account, request, self._bounds)
+        reason = check_bounds(self._counters, request, self._bounds)
         return (
             None if reason is None else Failure(reason, retry_after_ms=RETRY_AFTER_MS)
         )
@@ -53,13 +53,13 @@
 
     def note_queued(self, request: Request, now_ms: float) -> None:
         """Count a waiting request."""
-        self._account.add(request)
+        self._counters.add(request)
 
     def note_unqueued(
         self, request: Request, now_ms: float, *, is_dispatched: bool
     ) -> None:
         """Remove a request that no longer waits."""
-        self._account.discard(request)
+        self._counters.discard(request)
 
 
 __all__ = ("BoundsOnly",)
--- a/src/quetzaldeck/decisions/policies.py
+++ b/src/quetzaldeck/decisions/policies.py
@@ -46,7 +46,7 @@
     clock: Clock,
     random_state: random.Random,
     availability_zone: str = "",
-    arrivals: ResendBudget | None = None,
+    resend_budget: ResendBudget | None = None,
     groups: GroupBounds | None = None,
 ) -> Scheduler:
     """:returns: the scheduler of one VM, in the gateway and in the bench alike
@@ -63,7 +63,7 @@
         placement=placement,
         admission=admission_policies.get(policies.admission)(random_state=random_state),
         head_of_line=head_of_line_policies.get(policies.head_of_line)(),
-        arrivals=arrivals,
+        resend_budget=resend_budget,
         groups=groups,
     )
 
--- a/src/quetzaldeck/decisions/scheduler.py
+++ b/src/quetzaldeck/decisions/scheduler.py
@@ -51,8 +51,8 @@
     :param placement: chooses the upstream
     :param admission: refuses requests that cannot be answered in time
     :param head_of_line: restricts the upstreams of a request
-    :param arrivals: budget for sending requests more than once
-    :param groups: parameters for prompts that several engines hold
+    :param resend_budget: budget of sends of a request after its first
+    :param groups: parameters of engine groups that share the memory of long prompts
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         admission: AdmissionPolicy | None = None,
         head_of_line: HeadOfLinePolicy | None = None,
         bounds: SchedulerBounds | None = None,
-        arrivals: ResendBudget | None = None,
+        resend_budget: ResendBudget | None = None,
         groups: GroupBounds | None = None,
     ) -> None:
         self._clock = clock
@@ -86,7 +86,9 @@
             planner=GroupPlanner(groups),
         )
         self._monitor = AttemptMonitor(table=table, policy=placement, poison=poison)
-        self._retries = RetryPolicy(random_state=random_state, resend_budget=arrivals)
+        self._retries = RetryPolicy(
+            random_state=random_state, resend_budget=resend_budget
+        )
         self._silence = SilencePolicy(placer=self._placer, retries=self._retries)
         self._limits = CustomerLimiter(random_state=random_state)
         self._tracked = TrackedRequests(self._limits)
--- a/src/quetzaldeck/decisions/scheduler_bounds.py
+++ b/src/quetzaldeck/decisions/scheduler_bounds.py
@@ -30,17 +30,17 @@
 
 
 def check_bounds(
-    account: QueueCounters, request: Request, bounds: SchedulerBounds
+    counters: QueueCounters, request: Request, bounds: SchedulerBounds
 ) -> Reason | None:
     """:returns: reason to refuse one more request, ``None`` if it fits the limits"""
     n_tokens = request.n_kv_tokens
-    total = account.total
+    total = counters.total
     if (
         total.n_requests >= bounds.max_queued
         or total.n_tokens + n_tokens > bounds.max_queued_tokens
     ):
         return Reason.QUEUE_FULL
-    own = account.of_customer(request.customer)
+    own = counters.of_customer(request.customer)
     share = bounds.max_customer_share
     if (
         own.n_requests >= share * bounds.max_queued
--- a/src/quetzaldeck/decisions/upstream_table.py
+++ b/src/quetzaldeck/decisions/upstream_table.py
@@ -119,8 +119,8 @@
         state = self.get(name)
         if state is None or state.spec.figures is None:
             return 0.0
-        n_writers = max(0, state.n_requests(now_ms) - 1)
-        return predict_first_token_ms(state.spec.figures, n_writers, backlog_ms)
+        n_generating = max(0, state.n_requests(now_ms) - 1)
+        return predict_first_token_ms(state.spec.figures, n_generating, backlog_ms)
 
     def list_serving(self, request: Request) -> list[UpstreamState]:
         """:returns: the upstreams that serve the request's model or service"""
--- a/src/quetzaldeck/decisions/waiting.py
+++ b/src/quetzaldeck/decisions/waiting.py
@@ -54,12 +54,12 @@
         """Queue a request."""
         self._queue.push(request)
         self.note_capacity_freed()
-        self._account(request, now_ms)
+        self._register(request, now_ms)
 
     def delay(self, request: Request, due_ms: float, now_ms: float) -> None:
         """Queue a request at ``due_ms``, when its backoff ends."""
         self._delayed.push(request, due_ms)
-        self._account(request, now_ms)
+        self._register(request, now_ms)
 
     def end_delays(self, now_ms: float) -> None:
         """Queue the requests whose backoff has ended."""
@@ -80,14 +80,14 @@
         if taken is None:
             self._next_placement_ms = now_ms + PLACEMENT_RETRY_MS
         else:
-            self._forget(taken[0], now_ms, is_dispatched=True)
+            self._unregister(taken[0], now_ms, is_dispatched=True)
         return taken
 
     def discard(self, request_id: str, now_ms: float) -> None:
         """Remove a request, if it waits."""
         request = self._queue.remove(request_id) or self._delayed.remove(request_id)
         if request is not None:
-            self._forget(request, now_ms, is_dispatched=False)
+            self._unregister(request, now_ms, is_dispatched=False)
 
     def pop_expired(self, now_ms: float) -> list[str]:
         """Remove requests past their latest start time from the expiry heap.
@@ -96,12 +96,12 @@
         """
         return self._latest_starts.pop_expired(now_ms)
 
-    def _account(self, request: Request, now_ms: float) -> None:
+    def _register(self, request: Request, now_ms: float) -> None:
         self._admission.note_queued(request, now_ms)
         latest_ms = self._admission.latest_start_ms(request)
         self._latest_starts.add(request.request_id, latest_ms)
 
-    def _forget(self, request: Request, now_ms: float, *, is_dispatched: bool) -> None:
+    def _unregister(self, request: Request, now_ms: float, *, is_dispatched: bool) -> None:
         self._admission.note_unqueued(request, now_ms, is_dispatched=is_dispatched)
         self._latest_starts.discard(request.request_id)
 
--- a/src/quetzaldeck/entry/session.py
+++ b/src/quetzaldeck/entry/session.py
@@ -135,7 +135,7 @@
             random_state=random.Random(self._settings.random_state or None),
             availability_zone=self._settings.availability_zone,
             groups=ENTRY_GROUPS,
-            arrivals=ResendBudget(
+            resend_budget=ResendBudget(
                 ratio=bounds.retry_ratio, window_ms=bounds.retry_window_s * 1_000
             ),
         )
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -95,7 +95,10 @@
 ) -> Scheduler:
     """:returns: the scheduler of an entry VM before engines with stated figures"""
     scheduler = build_scheduler(
-        ENTRY_POLICIES, clock=clock, random_state=random.Random(3), arrivals=arrivals
+        ENTRY_POLICIES,
+        clock=clock,
+        random_state=random.Random(3),
+        resend_budget=arrivals,
     )
     specs = tuple(
         UpstreamSpec(
