--- a/src/quetzaldeck/decisions/waiting.py
+++ b/src/quetzaldeck/decisions/waiting.py
@@ -101,7 +101,9 @@
         latest_ms = self._admission.latest_start_ms(request)
         self._latest_starts.add(request.request_id, latest_ms)
 
-    def _unregister(self, request: Request, now_ms: float, *, is_dispatched: bool) -> None:
+    def _unregister(
+        self, request: Request, now_ms: float, *, is_dispatched: bool
+    ) -> None:
         self._admission.note_unqueued(request, now_ms, is_dispatched=is_dispatched)
         self._latest_starts.discard(request.request_id)
 
