--- a/src/quetzaldeck/agent/bundle_exchange.py
+++ b/src/quetzaldeck/agent/bundle_exchange.py
@@ -23,7 +23,7 @@
 
     from quetzaldeck.bundle.signing import Envelope
     from quetzaldeck.bundle.store import BundleStore
-    from quetzaldeck.dissemination import Gossip
+    from quetzaldeck.dissemination import GossipMessage
     from quetzaldeck.peers import PeerChannel, PeerIdentity
     from quetzaldeck.telemetry import AgentMetrics
 
@@ -75,7 +75,7 @@
         """:returns: whether no peer is known to have a newer bundle"""
         return not self._offered and not self._is_fetching
 
-    def notice(self, gossip: Gossip) -> None:
+    def notice(self, gossip: GossipMessage) -> None:
         """Note which bundle a peer has in force."""
         version, digest = gossip.bundle_version, gossip.bundle_digest
         is_wanted = version > self._store.version or (
@@ -84,8 +84,10 @@
         )
         if not version or not is_wanted or (version, digest) in self._refused:
             return
-        me = gossip.me
-        self._offered[version, digest] = Offered(me.vm, me.address, version, digest)
+        sender = gossip.sender
+        self._offered[version, digest] = Offered(
+            sender.vm, sender.address, version, digest
+        )
         self._has_offers.set()
 
     def take(self, envelope: Envelope, source: str) -> Offer:
--- a/src/quetzaldeck/agent/command_task.py
+++ b/src/quetzaldeck/agent/command_task.py
@@ -15,10 +15,10 @@
     Order,
     OrderOutcome,
     is_done,
-    list_concerned,
+    list_engines_to_read,
     parse_loaded,
 )
-from quetzaldeck.commands.order import LOADS
+from quetzaldeck.commands.order import LOAD_ACTIONS
 from quetzaldeck.decisions import AttemptFault, LoadReport
 from quetzaldeck.dissemination import RecordDraft
 from quetzaldeck.membership import MembershipView
@@ -137,7 +137,7 @@
         )
 
     async def _carry_out(self, order: Order, state: FleetState) -> None:
-        concerned = list_concerned(order, state.bundle)
+        concerned = list_engines_to_read(order, state.bundle)
         reports = await asyncio.gather(
             *(self._read_engine(name, state.bundle) for name in concerned)
         )
@@ -153,7 +153,7 @@
             self._metrics.orders_withheld.labels(refusal.value).inc()
             return
         outcome = await self._send(order, state.bundle)
-        if outcome is OrderOutcome.ACCEPTED and order.change.action not in LOADS:
+        if outcome is OrderOutcome.ACCEPTED and order.change.action not in LOAD_ACTIONS:
             outcome = await self._read_back(order, state.bundle)
         action = order.change.action.value
         self._metrics.orders.labels(action, outcome.value).inc()
--- a/src/quetzaldeck/agent/gossip_task.py
+++ b/src/quetzaldeck/agent/gossip_task.py
@@ -8,7 +8,12 @@
 import msgspec
 
 from quetzaldeck.bundle.store import BundleStore
-from quetzaldeck.dissemination import Gossip, RecordStore, RelayAnswer, RelayRequest
+from quetzaldeck.dissemination import (
+    GossipMessage,
+    RecordStore,
+    RelayAnswer,
+    RelayRequest,
+)
 from quetzaldeck.membership import Membership
 from quetzaldeck.peers import PeerError
 from quetzaldeck.telemetry import log_event
@@ -25,7 +30,7 @@
 N_URGENT_PEERS = 3
 N_LEAVE_PEERS = 16
 N_JOIN_PEERS = 3
-_GOSSIP_DECODER = msgspec.json.Decoder(Gossip)
+_GOSSIP_DECODER = msgspec.json.Decoder(GossipMessage)
 _RELAY_REQUEST_DECODER = msgspec.json.Decoder(RelayRequest)
 _RELAY_ANSWER_DECODER = msgspec.json.Decoder(RelayAnswer)
 
@@ -53,7 +58,7 @@
         clock: Clock,
         *,
         join_timeout_ms: float,
-        on_gossip: Callable[[Gossip], None],
+        on_gossip: Callable[[GossipMessage], None],
     ) -> None:
         self._channel = channel
         self._membership = state.membership
@@ -127,14 +132,14 @@
     async def _probe_by_relays(self, member: Member) -> None:
         # The way from here may be broken and not the VM: others try theirs.
         n_relays = self._settings.n_relays
-        relays = self._membership.choose_live(n_relays, but=member.vm)
+        relays = self._membership.choose_live(n_relays, exclude=member.vm)
         request = RelayRequest(member.vm, member.address)
         results = await asyncio.gather(
             *(self._ask_relay(relay, request) for relay in relays)
         )
         if any(results):
             return
-        self._membership.miss(member.vm)
+        self._membership.note_probe_failure(member.vm)
         self._met.discard(member.vm)
         log_event("peer_missed", level="DEBUG", vm=member.vm, n_relays=len(relays))
 
@@ -181,24 +186,24 @@
         is_reached = await self._exchange(request.vm, request.address)
         return msgspec.json.encode(RelayAnswer(is_reached))
 
-    def _build(self, recipient: str, *, wants_all: bool) -> Gossip:
+    def _build(self, recipient: str, *, wants_all: bool) -> GossipMessage:
         membership = self._membership
-        return Gossip(
-            membership.me,
+        return GossipMessage(
+            membership.own_update,
             self._is_joining,
             self._store.version,
             self._store.digest,
             membership.list_updates()
             if wants_all
             else membership.take_updates(recipient),
-            self._records.take(membership.n_known, wants_all=wants_all),
+            self._records.take_records(membership.n_known, wants_all=wants_all),
         )
 
-    def _take(self, sender: PeerIdentity, gossip: Gossip) -> None:
-        if (gossip.me.vm, gossip.me.incarnation) != sender:
+    def _take(self, sender: PeerIdentity, gossip: GossipMessage) -> None:
+        if (gossip.sender.vm, gossip.sender.incarnation) != sender:
             return
-        self._membership.merge((gossip.me, *gossip.updates))
-        self._membership.hear(*sender)
+        self._membership.merge((gossip.sender, *gossip.updates))
+        self._membership.note_message(*sender)
         new = self._records.merge(gossip.records)
         if any(record.is_urgent for record in new):
             self.hurry()
--- a/src/quetzaldeck/agent/session.py
+++ b/src/quetzaldeck/agent/session.py
@@ -88,7 +88,7 @@
         self.channel = HmacPeerChannel(
             Authenticator(self._identity, self._settings.peers),
             client,
-            on_heard=lambda peer, is_answer: self.membership.hear(
+            on_heard=lambda peer, is_answer: self.membership.note_message(
                 *peer, is_answer=is_answer
             ),
             metrics=PeerMetrics(self.metrics.registry),
@@ -283,7 +283,7 @@
         return MemberUpdate(
             *self._identity,
             generation=round(self.clock.wall_ms()),
-            beat=0,
+            state_version=0,
             state=MemberState.LIVE,
             address=self._settings.advertise,
             availability_zone=self._settings.availability_zone,
--- a/src/quetzaldeck/commands/__init__.py
+++ b/src/quetzaldeck/commands/__init__.py
@@ -19,7 +19,7 @@
 >>> view = MembershipView("a", "a.1", (me,), list_read_ms=0.0)
 >>> loaded = parse_loaded(("plan:1",))
 >>> status = EngineStatus("engine-1", "e.1", loaded, role="", age_ms=0.0)
->>> state = FleetState(view, bundle, {"engine-1": status}, announced=frozenset())
+>>> state = FleetState(view, bundle, {"engine-1": status}, needing_slot=frozenset())
 >>> clock = ManualClock()
 >>> commander = Commander("a", clock, CommandSettings())
 >>> clock.advance(500)  # the middle of a slot of the weight store
@@ -39,7 +39,7 @@
     FleetState,
     OrderOutcome,
     OrderRefusal,
-    list_concerned,
+    list_engines_to_read,
 )
 from quetzaldeck.commands.order import Action, Change, Order
 from quetzaldeck.commands.plan import (
@@ -76,7 +76,7 @@
     "find_unsafe_models",
     "has_majority",
     "is_done",
-    "list_concerned",
+    "list_engines_to_read",
     "list_lost_models",
     "parse_loaded",
     "plan_change",
--- a/src/quetzaldeck/commands/commander.py
+++ b/src/quetzaldeck/commands/commander.py
@@ -12,7 +12,7 @@
 
 from quetzaldeck.bundle.document import Bundle
 from quetzaldeck.commands.authority import CommandAuthority
-from quetzaldeck.commands.order import LOADS, Order
+from quetzaldeck.commands.order import LOAD_ACTIONS, Order
 from quetzaldeck.commands.plan import find_unsafe_models, list_lost_models, plan_change
 from quetzaldeck.commands.retries import OrderRetries
 from quetzaldeck.commands.slots import SlotPlan
@@ -51,14 +51,14 @@
 class FleetState(NamedTuple):
     """What a decision is based on.
 
-    :param announced: VMs that need a slot
+    :param needing_slot: VMs that need a slot
     :param leaving: upstreams that leave; they serve no model for long
     """
 
     view: MembershipView
     bundle: Bundle
     statuses: Mapping[str, EngineStatus]
-    announced: frozenset[str]
+    needing_slot: frozenset[str]
     leaving: frozenset[str] = frozenset()
 
 
@@ -188,7 +188,7 @@
         number = plan.number_at(self._clock.wall_ms())
         if number is None:
             return False
-        return plan.is_owner(number, state.view, state.announced)
+        return plan.is_owner(number, state.view, state.needing_slot)
 
     def note_outcome(self, order: Order, outcome: OrderOutcome) -> None:
         """Learn what became of an order that was sent."""
@@ -196,7 +196,9 @@
             self._authority.renew(order.engine)
         elif outcome is OrderOutcome.NO_ROOM:
             self._without_room.add((order.engine, order.bundle_version))
-        is_load = outcome is OrderOutcome.ACCEPTED and order.change.action in LOADS
+        is_load = (
+            outcome is OrderOutcome.ACCEPTED and order.change.action in LOAD_ACTIONS
+        )
         wait_ms = self._settings.load_timeout_ms if is_load else 0.0
         self._retries.note_given(order, wait_ms=wait_ms)
 
@@ -205,13 +207,13 @@
         self._authority.note_pause()
 
 
-def list_concerned(order: Order, bundle: Bundle) -> Collection[str]:
+def list_engines_to_read(order: Order, bundle: Bundle) -> Collection[str]:
     """:returns: engines to read once more before the order is sent
 
     The engine itself, and for an order that takes models away also all others that
     should serve them: reports that came by gossip may be seconds old.
     """
-    if order.change.action in LOADS:
+    if order.change.action in LOAD_ACTIONS:
         return (order.engine,)
     models = {
         model
@@ -231,5 +233,5 @@
     "FleetState",
     "OrderOutcome",
     "OrderRefusal",
-    "list_concerned",
+    "list_engines_to_read",
 )
--- a/src/quetzaldeck/commands/order.py
+++ b/src/quetzaldeck/commands/order.py
@@ -15,7 +15,7 @@
     CHANGE_ROLE = "change_role"
 
 
-LOADS = (Action.LOAD_MODEL, Action.LOAD_ADAPTER)
+LOAD_ACTIONS = (Action.LOAD_MODEL, Action.LOAD_ADAPTER)
 
 
 class Change(NamedTuple):
@@ -47,4 +47,4 @@
     decided_wall_ms: float
 
 
-__all__ = ("LOADS", "Action", "Change", "Order")
+__all__ = ("LOAD_ACTIONS", "Action", "Change", "Order")
--- a/src/quetzaldeck/commands/slots.py
+++ b/src/quetzaldeck/commands/slots.py
@@ -52,11 +52,11 @@
         return None
 
     def is_owner(
-        self, number: int, view: MembershipView, announced: Collection[str]
+        self, number: int, view: MembershipView, needing_slot: Collection[str]
     ) -> bool:
         """:returns: whether the slot is this VM's
 
-        :param announced: VMs that need a slot, this one included or not
+        :param needing_slot: VMs that need a slot, this one included or not
         """
         states = {
             member.vm: member.state
@@ -71,7 +71,7 @@
         in_contact = {
             vm for vm, state in states.items() if state is not MemberState.SUSPECTED
         }
-        candidates = (set(announced) | {view.vm}) & in_contact
+        candidates = (set(needing_slot) | {view.vm}) & in_contact
         return choose_owner(f"slot:{number}", candidates) == view.vm
 
 
--- a/src/quetzaldeck/dissemination/__init__.py
+++ b/src/quetzaldeck/dissemination/__init__.py
@@ -9,7 +9,7 @@
 >>> clock = ManualClock()
 >>> a, b = (RecordStore(vm, f"{vm}.1", clock) for vm in "ab")
 >>> a.put(RecordDraft("usage", "club", value=7, ttl_ms=1_000))
->>> new = b.merge(a.take(n_members=2))  # sent in whatever messages there are
+>>> new = b.merge(a.take_records(n_members=2))  # sent in whatever messages there are
 >>> b.list_values("usage", int)
 (7,)
 >>> clock.advance(1_000)
@@ -19,12 +19,12 @@
 
 from __future__ import annotations
 
-from quetzaldeck.dissemination.gossip import Gossip, RelayAnswer, RelayRequest
+from quetzaldeck.dissemination.gossip import GossipMessage, RelayAnswer, RelayRequest
 from quetzaldeck.dissemination.record import Record, RecordDraft
 from quetzaldeck.dissemination.store import RecordError, RecordLimits, RecordStore
 
 __all__ = (
-    "Gossip",
+    "GossipMessage",
     "Record",
     "RecordDraft",
     "RecordError",
--- a/src/quetzaldeck/dissemination/gossip.py
+++ b/src/quetzaldeck/dissemination/gossip.py
@@ -8,16 +8,16 @@
 from quetzaldeck.membership.update import MemberUpdate
 
 
-class Gossip(NamedTuple):
+class GossipMessage(NamedTuple):
     """One side of an exchange; request and answer are alike.
 
-    :param me: the sender
+    :param sender: the sender
     :param wants_all: whether the sender has just started and knows nothing yet
     :param bundle_version: version in force at the sender; 0: none
     :param bundle_digest: digest of its payload
     """
 
-    me: MemberUpdate
+    sender: MemberUpdate
     wants_all: bool
     bundle_version: int
     bundle_digest: int
@@ -38,4 +38,4 @@
     is_reached: bool
 
 
-__all__ = ("Gossip", "RelayAnswer", "RelayRequest")
+__all__ = ("GossipMessage", "RelayAnswer", "RelayRequest")
--- a/src/quetzaldeck/dissemination/store.py
+++ b/src/quetzaldeck/dissemination/store.py
@@ -199,7 +199,9 @@
                 self.dropped[kind] += 1
         return tuple(values)
 
-    def take(self, n_members: int, *, wants_all: bool = False) -> tuple[Record, ...]:
+    def take_records(
+        self, n_members: int, *, wants_all: bool = False
+    ) -> tuple[Record, ...]:
         """:returns: what to pass on in one message
 
         :param n_members: of the fleet; a record is passed on O(log) times by each
--- a/src/quetzaldeck/membership/__init__.py
+++ b/src/quetzaldeck/membership/__init__.py
@@ -20,10 +20,10 @@
 >>> members.merge([describe("b"), describe("c")])  # news in a peer's message
 >>> members.choose_probe().vm in ("b", "c")
 True
->>> members.miss("b")  # b answered neither a probe nor a relay's probe
+>>> members.note_probe_failure("b")  # b answered neither a probe nor a relay's probe
 >>> [member.vm for member in members.view.list_live()]
 ['a', 'c']
->>> members.hear("b", "b.1")  # an authentic message from b itself
+>>> members.note_message("b", "b.1")  # an authentic message from b itself
 >>> [member.vm for member in members.view.list_live()]
 ['a', 'b', 'c']
 """
--- a/src/quetzaldeck/membership/membership.py
+++ b/src/quetzaldeck/membership/membership.py
@@ -46,18 +46,18 @@
 class Membership:
     """Joins the platform's list with what peers say.
 
-    :param me: this agent: its VM, a fresh incarnation, its address and zone
+    :param own_update: this agent: its VM, a fresh incarnation, its address and zone
     """
 
     def __init__(
         self,
-        me: MemberUpdate,
+        own_update: MemberUpdate,
         *,
         clock: Clock,
         random_state: random.Random,
         settings: MembershipSettings,
     ) -> None:
-        self._me = me
+        self._own_update = own_update
         self._clock = clock
         self._random = random_state
         self._settings = settings
@@ -71,9 +71,9 @@
         self.n_withheld = 0
 
     @property
-    def me(self) -> MemberUpdate:
+    def own_update(self) -> MemberUpdate:
         """:returns: what this agent says of itself"""
-        return self._me
+        return self._own_update
 
     @property
     def n_known(self) -> int:
@@ -84,7 +84,7 @@
     def view(self) -> MembershipView:
         """:returns: the members as of now"""
         now_ms = self._clock.now_ms()
-        me = self._me
+        me = self._own_update
         own = Member(
             me.vm,
             me.incarnation,
@@ -100,7 +100,7 @@
 
     def set_address(self, address: str) -> None:
         """Say at which base URL peers reach this agent."""
-        self._me = self._me._replace(address=address)
+        self._own_update = self._own_update._replace(address=address)
 
     def find(self, vm: str) -> Member | None:
         """:returns: what is believed of ``vm``, ``None`` if nothing"""
@@ -112,7 +112,7 @@
         now_ms = self._clock.now_ms()
         self._list_read_ms = now_ms
         listed = {entry.vm: entry for entry in entries}
-        self._is_listed = listed.pop(self._me.vm, None) is not None
+        self._is_listed = listed.pop(self._own_update.vm, None) is not None
         for vm, entry in listed.items():
             if vm not in self._records:
                 self._records[vm] = build_unheard(entry, now_ms)
@@ -126,7 +126,9 @@
                 address = listed[vm].address
                 record.news = record.news._replace(address=address)
 
-    def hear(self, vm: str, incarnation: str, *, is_answer: bool = False) -> None:
+    def note_message(
+        self, vm: str, incarnation: str, *, is_answer: bool = False
+    ) -> None:
         """Note an authentic message that came directly from a peer.
 
         :param is_answer: whether it answers a message of this agent. It is then of
@@ -139,18 +141,18 @@
         news = record.news
         if incarnation != news.incarnation:
             news = news._replace(
-                incarnation=incarnation, generation=news.generation + 1, beat=0
+                incarnation=incarnation, generation=news.generation + 1, state_version=0
             )
             record.take(news._replace(state=MemberState.LIVE), now_ms)
         elif news.state in (MemberState.SUSPECTED, MemberState.DEAD):
             state = MemberState.LEAVING if record.has_left else MemberState.LIVE
             record.take(news._replace(state=state), now_ms)
-        record.heard_ms = now_ms
+        record.last_message_ms = now_ms
 
     def merge(self, updates: Iterable[MemberUpdate]) -> None:
         """Take news that a peer passed on."""
         for update in updates:
-            if update.vm == self._me.vm:
+            if update.vm == self._own_update.vm:
                 self._refute(update)
             else:
                 self._merge_one(update)
@@ -168,25 +170,25 @@
             record.take(update, now_ms)
 
     def _refute(self, update: MemberUpdate) -> None:
-        me = self._me
+        me = self._own_update
         if update.incarnation != me.incarnation:
             # Another start of this VM: this one is the current one, whatever the
             # clocks of the two starts said.
             if update.generation >= me.generation:
-                self._me = me._replace(generation=update.generation + 1)
+                self._own_update = me._replace(generation=update.generation + 1)
                 self.n_refuted += 1
             return
         if update.generation > me.generation:
             # A peer that heard this start before any news of it has guessed its
             # generation; what is said of it from now on must outrank the guess.
             me = me._replace(generation=update.generation)
-            self._me = me
+            self._own_update = me
         is_rumour = update.state in (MemberState.SUSPECTED, MemberState.DEAD)
-        if is_rumour and update.beat >= me.beat:
-            self._me = me._replace(beat=update.beat + 1)
+        if is_rumour and update.state_version >= me.state_version:
+            self._own_update = me._replace(state_version=update.state_version + 1)
             self.n_refuted += 1
 
-    def miss(self, vm: str) -> None:
+    def note_probe_failure(self, vm: str) -> None:
         """Note that a VM answered neither a probe nor a relay's probe."""
         record = self._records.get(vm)
         if record is None:
@@ -202,7 +204,9 @@
     def leave(self) -> None:
         """Say from now on that this VM is leaving."""
         state = MemberState.LEAVING
-        self._me = self._me._replace(state=state, beat=self._me.beat + 1)
+        self._own_update = self._own_update._replace(
+            state=state, state_version=self._own_update.state_version + 1
+        )
 
     def tick(self) -> None:
         """Confirm and forget what is due."""
@@ -252,9 +256,9 @@
             if record is not None:
                 return record.to_member()
 
-    def choose_live(self, n_members: int, *, but: str = "") -> tuple[Member, ...]:
-        """:returns: up to ``n_members`` random live members other than ``but``"""
-        live = [vm for vm in self._list_vms(MemberState.LIVE) if vm != but]
+    def choose_live(self, n_members: int, *, exclude: str = "") -> tuple[Member, ...]:
+        """:returns: up to ``n_members`` random live members other than ``exclude``"""
+        live = [vm for vm in self._list_vms(MemberState.LIVE) if vm != exclude]
         chosen = self._random.sample(live, min(n_members, len(live)))
         return tuple(self._records[vm].to_member() for vm in chosen)
 
--- a/src/quetzaldeck/membership/record.py
+++ b/src/quetzaldeck/membership/record.py
@@ -22,7 +22,7 @@
 
     :param news: newest update taken
     :param since_ms: when its state was taken on
-    :param heard_ms: last direct message of this incarnation; ``None``: none yet
+    :param last_message_ms: last direct message of this incarnation; ``None``: none yet
     :param n_sent: how often the news has been passed on
     :param has_left: whether this incarnation has said that it is leaving
     :param former: incarnations that were replaced; none of them comes back
@@ -30,7 +30,7 @@
 
     news: MemberUpdate
     since_ms: float
-    heard_ms: float | None = None
+    last_message_ms: float | None = None
     is_listed: bool = False
     unlisted_ms: float | None = None
     n_sent: int = 0
@@ -49,7 +49,7 @@
                 self.former.append(self.news.incarnation)
             if news.incarnation in self.former:
                 self.former.remove(news.incarnation)
-            self.heard_ms = None
+            self.last_message_ms = None
             self.has_left = False
         if news.state is MemberState.LEAVING:
             self.has_left = True
@@ -67,7 +67,7 @@
             news.address,
             news.availability_zone,
             news.state,
-            self.heard_ms,
+            self.last_message_ms,
             self.is_listed,
         )
 
--- a/src/quetzaldeck/membership/update.py
+++ b/src/quetzaldeck/membership/update.py
@@ -12,20 +12,20 @@
 
     :param generation: orders the starts of one VM: the wall clock in ms at the
         start, raised by the agent itself if it hears of a higher one
-    :param beat: counter that only that agent raises; a higher one is newer
+    :param state_version: counter that only that agent raises; a higher one is newer
     """
 
     vm: str
     incarnation: str
     generation: int
-    beat: int
+    state_version: int
     state: MemberState
     address: str
     availability_zone: str
 
 
-# Of two updates with the same beat the one further down this order wins: only the
-# agent itself can take a suspicion back, by raising its beat.
+# Of two updates with the same state version the one further down this order wins, so
+# only the agent itself can refute a suspicion, by raising its state version.
 _STATE_ORDER = {
     MemberState.LIVE: 0,
     MemberState.SUSPECTED: 1,
@@ -46,7 +46,7 @@
 
 def _rank(update: MemberUpdate) -> tuple[int, int, int]:
     # Only the agent itself raises its generation too, so the higher one is newer.
-    return update.generation, update.beat, _STATE_ORDER[update.state]
+    return update.generation, update.state_version, _STATE_ORDER[update.state]
 
 
 __all__ = ("MemberUpdate", "is_newer")
--- a/src/quetzaldeck/membership/view.py
+++ b/src/quetzaldeck/membership/view.py
@@ -20,7 +20,7 @@
 
     :param incarnation: id of the agent's current start; ``""`` if never heard
     :param address: base URL of its agent
-    :param heard_ms: monotonic time of its last message; ``None``: never heard
+    :param last_message_ms: monotonic time of its last message; ``None``: never heard
     :param is_listed: whether the platform's list, as last read, names it
     """
 
@@ -29,7 +29,7 @@
     address: str
     availability_zone: str
     state: MemberState
-    heard_ms: float | None
+    last_message_ms: float | None
     is_listed: bool
 
 
--- a/tests/agent/test_peers_in_fleet.py
+++ b/tests/agent/test_peers_in_fleet.py
@@ -65,7 +65,9 @@
         after = target.session.membership.find("entry-2")
         assert before is not None
         assert after is not None
-        assert before._replace(heard_ms=None) == after._replace(heard_ms=None)
+        assert before._replace(last_message_ms=None) == after._replace(
+            last_message_ms=None
+        )
 
 
 def test_unauthenticated_messages_change_nothing() -> None:
--- a/tests/commands/test_commander.py
+++ b/tests/commands/test_commander.py
@@ -48,7 +48,7 @@
             "",
             "",
             LIVE if name in in_contact else SUSPECTED,
-            heard_ms=0.0,
+            last_message_ms=0.0,
             is_listed=True,
         )
         for name in VMS
@@ -128,10 +128,10 @@
             name: EngineStatus(name, "1", frozenset(engine.loaded), "", 0.0)
             for name, engine in self.engines.items()
         }
-        announced = frozenset(
+        needing_slot = frozenset(
             vm for vm, other in self.nodes.items() if other.commander.needs_slot
         )
-        return FleetState(node.view, node.bundle, statuses, announced)
+        return FleetState(node.view, node.bundle, statuses, needing_slot)
 
     def run(self, duration_ms: float) -> None:
         for _ in range(round(duration_ms / STEP_MS)):
--- a/tests/dissemination/test_record_store.py
+++ b/tests/dissemination/test_record_store.py
@@ -35,9 +35,9 @@
     a, b, c = (make_store(clock, vm) for vm in "abc")
     a.put(draft("club", 7))
     clock.advance(400)
-    b.merge(a.take(3))
+    b.merge(a.take_records(3))
     clock.advance(400)
-    c.merge(b.take(3))
+    c.merge(b.take_records(3))
     assert c.list_values("usage", Usage) == (Usage(7),)
     clock.advance(200)
     assert c.list_values("usage", Usage) == ()
@@ -46,9 +46,9 @@
 def test_the_highest_sequence_wins_whatever_the_order(clock: ManualClock) -> None:
     a, b = make_store(clock, "a"), make_store(clock, "b")
     a.put(draft("club", 1))
-    first = a.take(2)
+    first = a.take_records(2)
     a.put(draft("club", 2))
-    second = a.take(2)
+    second = a.take_records(2)
     b.merge(second)
     assert b.merge(first) == ()
     assert b.list_values("usage", Usage) == (Usage(2),)
@@ -57,7 +57,7 @@
 def test_a_vm_alone_changes_its_records(clock: ManualClock) -> None:
     a, b = make_store(clock, "a"), make_store(clock, "b")
     a.put(draft("club", 1))
-    forged = a.take(2)[0]._replace(sequence=99, value=[5])
+    forged = a.take_records(2)[0]._replace(sequence=99, value=[5])
     assert a.merge([forged]) == ()
     b.merge([forged])
     assert a.list_values("usage", Usage) == (Usage(1),)
@@ -68,10 +68,10 @@
     for index in range(50):
         store.put(draft(f"club-{index}"))
     store.put(draft("hot", is_urgent=True))
-    taken = store.take(7)
+    taken = store.take_records(7)
     assert taken[0].key == "hot"
     assert len(taken) < 10
-    assert len(store.take(7, wants_all=True)) == 51
+    assert len(store.take_records(7, wants_all=True)) == 51
 
 
 def test_the_store_drops_what_ends_first(clock: ManualClock) -> None:
@@ -92,6 +92,6 @@
 def test_list_since_gives_each_change_once(clock: ManualClock) -> None:
     a, b = make_store(clock, "a"), make_store(clock, "b")
     a.put(draft("club", 1))
-    b.merge(a.take(2))
+    b.merge(a.take_records(2))
     assert len(b.list_since(0)) == 1
     assert b.list_since(b.cursor) == ()
--- a/tests/membership/test_convergence.py
+++ b/tests/membership/test_convergence.py
@@ -98,9 +98,9 @@
             probed = node.membership.choose_probe()
             if probed is None or self._exchange(node, probed.vm):
                 continue
-            relays = node.membership.choose_live(SETTINGS.n_relays, but=probed.vm)
+            relays = node.membership.choose_live(SETTINGS.n_relays, exclude=probed.vm)
             if not any(self._relay(node, relay.vm, probed.vm) for relay in relays):
-                node.membership.miss(probed.vm)
+                node.membership.note_probe_failure(probed.vm)
 
     def _relay(self, node: Node, relay: str, vm: str) -> bool:
         return self._can_talk(node.vm, relay) and self._exchange(self.nodes[relay], vm)
@@ -114,11 +114,11 @@
         if not self._can_talk(node.vm, vm):
             return False
         peer = self.nodes[vm]
-        asked = (node.membership.me, *node.membership.take_updates(vm))
-        peer.membership.hear(node.vm, node.incarnation)
+        asked = (node.membership.own_update, *node.membership.take_updates(vm))
+        peer.membership.note_message(node.vm, node.incarnation)
         peer.membership.merge(asked)
-        answered = (peer.membership.me, *peer.membership.take_updates(node.vm))
-        node.membership.hear(vm, peer.incarnation, is_answer=True)
+        answered = (peer.membership.own_update, *peer.membership.take_updates(node.vm))
+        node.membership.note_message(vm, peer.incarnation, is_answer=True)
         node.membership.merge(answered)
         return True
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -24,12 +24,14 @@
 
 
 def make_update(
-    vm: str, incarnation: str = "", beat: int = 0, state: MemberState = LIVE
+    vm: str, incarnation: str = "", state_version: int = 0, state: MemberState = LIVE
 ) -> MemberUpdate:
     incarnation = incarnation or f"{vm}.1"
     generation = int(incarnation.rpartition(".")[2])
     address = f"http://{vm}"
-    return MemberUpdate(vm, incarnation, generation, beat, state, address, "ktm-a")
+    return MemberUpdate(
+        vm, incarnation, generation, state_version, state, address, "ktm-a"
+    )
 
 
 def make_list(*vms: str) -> tuple[VmEntry, ...]:
@@ -43,7 +45,7 @@
     membership.apply_list(make_list(vm, *heard))
     for peer in heard:
         membership.merge([make_update(peer)])
-        membership.hear(peer, f"{peer}.1")
+        membership.note_message(peer, f"{peer}.1")
     return membership
 
 
@@ -56,7 +58,7 @@
     membership = make_membership(clock)
     membership.apply_list(make_list("a", "b"))
     assert state_of(membership, "b") is SUSPECTED
-    membership.hear("b", "b.1")
+    membership.note_message("b", "b.1")
     assert state_of(membership, "b") is LIVE
 
 
@@ -68,7 +70,7 @@
     clock: ManualClock, *, is_listed: bool, wait_ms: int
 ) -> None:
     membership = make_membership(clock, "b", "c", "d")
-    membership.miss("b")
+    membership.note_probe_failure("b")
     assert state_of(membership, "b") is SUSPECTED
     if not is_listed:
         membership.apply_list(make_list("a", "c", "d"))
@@ -102,7 +104,7 @@
     peers = ("b", "c", "d", "e", "f", "g")
     membership = make_membership(clock, *peers)
     for peer in peers:
-        membership.miss(peer)
+        membership.note_probe_failure(peer)
     for _ in range(60):
         clock.advance(60_000)
         membership.apply_list(make_list("a"))
@@ -120,7 +122,7 @@
     peers = ("b", "c", "d", "e", "f", "g")
     membership = make_membership(clock, *peers)
     for peer in ("b", "c"):
-        membership.miss(peer)
+        membership.note_probe_failure(peer)
     clock.advance(10 * SETTINGS.confirm_listed_ms)
     membership.tick()
     assert state_of(membership, "b") is SUSPECTED
@@ -134,10 +136,10 @@
 def test_a_suspected_vm_takes_the_suspicion_back(clock: ManualClock) -> None:
     """B's link to a is broken; others reach b. b hears of the suspicion from them."""
     a, b = make_membership(clock, "b", "c"), make_membership(clock, "a", "c", vm="b")
-    a.miss("b")
+    a.note_probe_failure("b")
     b.merge(a.take_updates("b"))
     assert b.n_refuted == 1
-    a.merge([b.me])
+    a.merge([b.own_update])
     assert state_of(a, "b") is LIVE
 
 
@@ -152,18 +154,18 @@
     """
     a, b = make_membership(clock), make_membership(clock, "a", vm="b")
     a.merge([make_update("b", "b.90")])
-    a.hear("b", "b.1")
-    a.miss("b")
+    a.note_message("b", "b.1")
+    a.note_probe_failure("b")
     assert state_of(a, "b") is SUSPECTED
     b.merge(a.take_updates("b"))
-    a.merge([b.me])
+    a.merge([b.own_update])
     assert state_of(a, "b") is LIVE
 
 
 def test_an_old_suspicion_does_not_come_back(clock: ManualClock) -> None:
     membership = make_membership(clock, "b")
-    membership.merge([make_update("b", beat=1)])
-    membership.merge([make_update("b", beat=0, state=DEAD)])
+    membership.merge([make_update("b", state_version=1)])
+    membership.merge([make_update("b", state_version=0, state=DEAD)])
     assert state_of(membership, "b") is LIVE
 
 
@@ -174,9 +176,9 @@
     what the new one owns would be taken for left behind.
     """
     membership = make_membership(clock, "b")
-    membership.hear("b", "b.2")
-    membership.hear("b", "b.1")
-    membership.merge([make_update("b", "b.1", beat=7)])
+    membership.note_message("b", "b.2")
+    membership.note_message("b", "b.1")
+    membership.merge([make_update("b", "b.1", state_version=7)])
     member = membership.find("b")
     assert member is not None
     assert member.incarnation == "b.2"
@@ -190,10 +192,10 @@
     """
     b = make_membership(clock, "a", vm="b")
     b.merge([make_update("b", "b.9")])
-    assert b.me.generation == 10
+    assert b.own_update.generation == 10
     a = make_membership(clock)
     a.merge([make_update("b", "b.9")])
-    a.merge([b.me])
+    a.merge([b.own_update])
     member = a.find("b")
     assert member is not None
     assert member.incarnation == "b.1"
@@ -202,21 +204,21 @@
 def test_leaving_is_final_for_the_incarnation(clock: ManualClock) -> None:
     a, b = make_membership(clock, "b"), make_membership(clock, "a", vm="b")
     b.leave()
-    a.merge([b.me])
-    a.hear("b", "b.1")
+    a.merge([b.own_update])
+    a.note_message("b", "b.1")
     assert state_of(a, "b") is LEAVING
-    a.miss("b")
+    a.note_probe_failure("b")
     assert state_of(a, "b") is DEAD
-    a.hear("b", "b.1")
+    a.note_message("b", "b.1")
     assert state_of(a, "b") is LEAVING
-    a.hear("b", "b.2")
+    a.note_message("b", "b.2")
     assert state_of(a, "b") is LIVE
 
 
 def test_a_healed_partition_speaks_again(clock: ManualClock) -> None:
     """Both sides hold each other for dead; without probes of the dead they stay so."""
     membership = make_membership(clock, "b", "c", "d", "e")
-    membership.miss("b")
+    membership.note_probe_failure("b")
     clock.advance(SETTINGS.confirm_listed_ms)
     membership.tick()
     assert state_of(membership, "b") is DEAD
@@ -252,7 +254,7 @@
     """
     membership = make_membership(clock)
     membership.apply_list(make_list("a", "b"))
-    membership.hear("b", "b.12")
+    membership.note_message("b", "b.12")
     membership.merge([make_update("b", "b.12")])
     membership.merge([make_update("b", "b.11")])
     member = membership.find("b")
@@ -269,11 +271,11 @@
     """
     membership = make_membership(clock, "b")
     membership.merge([make_update("b", "b.2")])
-    membership.hear("b", "b.1")
+    membership.note_message("b", "b.1")
     member = membership.find("b")
     assert member is not None
     assert member.incarnation == "b.2"
-    membership.hear("b", "b.1", is_answer=True)
+    membership.note_message("b", "b.1", is_answer=True)
     member = membership.find("b")
     assert member is not None
     assert member.incarnation == "b.1"
