--- a/src/quetzaldeck/commands/authority.py
+++ b/src/quetzaldeck/commands/authority.py
@@ -31,19 +31,19 @@
     from quetzaldeck.commands.state import EngineGoal
     from quetzaldeck.membership import MembershipView
 
-FIRST_STEP_MS = 1_000
+FIRST_TERM_STEP_MS = 1_000
 MAX_DOUBLINGS = 20
 
 
 class Term(NamedTuple):
     """One time of commanding an engine.
 
-    :param taken_ms: monotonic time at which it began
+    :param started_ms: monotonic time at which it began
     :param number: second part of the fencing token
     :param n_refused: how often the engine refused this VM's tokens
     """
 
-    taken_ms: float
+    started_ms: float
     number: int
     n_refused: int = 0
 
@@ -69,17 +69,19 @@
         self._clock = clock
         self._settings = settings
         self._terms: dict[str, Term] = {}
-        self._held_until_ms = clock.now_ms()
-        self._chosen_among: frozenset[str] = frozenset()
-        self._chosen: dict[str, str] = {}
+        self._no_orders_until_ms = clock.now_ms()
+        self._commanders_chosen_from: frozenset[str] = frozenset()
+        self._commanders: dict[str, str] = {}
 
     def update(self, engines: frozenset[str], view: MembershipView) -> None:
         """Take terms up and lay them down, as the members are now."""
         live = frozenset(member.vm for member in view.list_live())
         may_command = has_majority(view) and self._vm in live
         for engine in engines:
-            is_chosen = may_command and self._choose(engine, live) == self._vm
-            if not is_chosen:
+            is_commanders = (
+                may_command and self._choose_commander(engine, live) == self._vm
+            )
+            if not is_commanders:
                 self._terms.pop(engine, None)
             elif engine not in self._terms:
                 self._terms[engine] = Term(
@@ -88,28 +90,28 @@
         for engine in set(self._terms) - engines:
             del self._terms[engine]
 
-    def _choose(self, engine: str, live: frozenset[str]) -> str:
+    def _choose_commander(self, engine: str, live: frozenset[str]) -> str:
         # 410 VMs and 780 engines are 320,000 hashes: once a change, not a round.
-        if live != self._chosen_among:
-            self._chosen_among = live
-            self._chosen.clear()
-        if engine not in self._chosen:
-            self._chosen[engine] = choose_owner(engine, live)
-        return self._chosen[engine]
+        if live != self._commanders_chosen_from:
+            self._commanders_chosen_from = live
+            self._commanders.clear()
+        if engine not in self._commanders:
+            self._commanders[engine] = choose_owner(engine, live)
+        return self._commanders[engine]
 
     def find_token(
         self, goal: EngineGoal, bundle_version: int
     ) -> tuple[int, int] | None:
         """:returns: token for an order to the engine, ``None`` if none may be sent"""
         term = self._terms.get(goal.engine)
-        if term is None or self._clock.now_ms() < self._held_until_ms:
+        if term is None or self._clock.now_ms() < self._no_orders_until_ms:
             return None
-        held_ms = self._clock.now_ms() - term.taken_ms
-        if not goal.checks_fencing and held_ms < self._settings.takeover_ms:
+        term_age_ms = self._clock.now_ms() - term.started_ms
+        if not goal.checks_fencing and term_age_ms < self._settings.takeover_ms:
             return None
         return bundle_version, term.number
 
-    def renew(self, engine: str) -> None:
+    def start_new_term(self, engine: str) -> None:
         """Begin a new term after the engine refused the token of the last one.
 
         The previous commander's clock was ahead: the next token is above the last
@@ -118,9 +120,9 @@
         term = self._terms.get(engine)
         if term is None:
             return
-        step_ms = FIRST_STEP_MS << min(term.n_refused, MAX_DOUBLINGS)
+        step_ms = FIRST_TERM_STEP_MS << min(term.n_refused, MAX_DOUBLINGS)
         number = max(round(self._clock.wall_ms()), term.number) + step_ms
-        self._terms[engine] = Term(term.taken_ms, number, term.n_refused + 1)
+        self._terms[engine] = Term(term.started_ms, number, term.n_refused + 1)
 
     def note_pause(self) -> None:
         """Lay all terms down after a pause, and command nothing for a while.
@@ -129,7 +131,7 @@
         from before the pause: peers get the time to tell what has changed.
         """
         self._terms.clear()
-        self._held_until_ms = self._clock.now_ms() + self._settings.takeover_ms
+        self._no_orders_until_ms = self._clock.now_ms() + self._settings.takeover_ms
 
 
 __all__ = ("CommandAuthority", "has_majority")
--- a/src/quetzaldeck/commands/commander.py
+++ b/src/quetzaldeck/commands/commander.py
@@ -70,7 +70,7 @@
         self._settings = settings
         self._authority = CommandAuthority(vm, clock, settings)
         self._retries = OrderRetries(clock, settings)
-        self._without_room: set[tuple[str, int]] = set()
+        self._without_capacity: set[tuple[str, int]] = set()
         self._needs_slot = False
         self._goals_version = 0
         self._goals: dict[str, EngineGoal] = {}
@@ -88,13 +88,13 @@
     def decide(self, state: FleetState) -> Order | None:
         """:returns: the next order to send, ``None`` if there is none now"""
         bundle = state.bundle
-        self._retries.start_bundle(bundle.version)
+        self._retries.reset_for_bundle(bundle.version)
         goals = self._find_goals(bundle)
         self._authority.update(frozenset(goals), state.view)
         wanted = [
             order
             for name in sorted(goals)
-            if (order := self._want(name, state)) is not None
+            if (order := self._plan_order(name, state)) is not None
         ]
         self._needs_slot = bool(wanted)
         for order in wanted:
@@ -102,7 +102,7 @@
                 return order
         return None
 
-    def _want(self, engine: str, state: FleetState) -> Order | None:
+    def _plan_order(self, engine: str, state: FleetState) -> Order | None:
         bundle = state.bundle
         goal = self._find_goals(bundle)[engine]
         status = state.statuses.get(engine)
@@ -111,11 +111,11 @@
             return None
         if status.age_ms > self._settings.status_ms:
             return None
-        has_room = (engine, bundle.version) not in self._without_room
-        change = plan_change(goal, status, has_room=has_room)
+        has_capacity = (engine, bundle.version) not in self._without_capacity
+        change = plan_change(goal, status, has_capacity=has_capacity)
         if change is None:
             return None
-        if not self._retries.may_give(engine, status.incarnation, change):
+        if not self._retries.may_send(engine, status.incarnation, change):
             return None
         return Order(
             engine,
@@ -136,7 +136,7 @@
 
         :returns: why it must not be sent, ``None`` if it may
         """
-        if self._is_late(order):
+        if self._is_stale(order):
             return OrderRefusal.PAUSED
         if order.bundle_version != state.bundle.version:
             return OrderRefusal.BUNDLE_CHANGED
@@ -152,8 +152,11 @@
     def _check_engines(self, order: Order, state: FleetState) -> OrderRefusal | None:
         goal = self._find_goals(state.bundle)[order.engine]
         status = state.statuses.get(order.engine)
-        has_room = (order.engine, order.bundle_version) not in self._without_room
-        if status is None or plan_change(goal, status, has_room=has_room) != (
+        has_capacity = (
+            order.engine,
+            order.bundle_version,
+        ) not in self._without_capacity
+        if status is None or plan_change(goal, status, has_capacity=has_capacity) != (
             order.change
         ):
             return OrderRefusal.CHANGED_MEANWHILE
@@ -176,7 +179,7 @@
             self._goals = derive_goals(bundle)
         return self._goals
 
-    def _is_late(self, order: Order) -> bool:
+    def _is_stale(self, order: Order) -> bool:
         elapsed_ms = max(
             self._clock.now_ms() - order.decided_ms,
             self._clock.wall_ms() - order.decided_wall_ms,
@@ -185,7 +188,7 @@
 
     def _owns_slot(self, state: FleetState) -> bool:
         plan = SlotPlan(state.bundle.weight_loads_per_minute)
-        number = plan.number_at(self._clock.wall_ms())
+        number = plan.find_usable_slot(self._clock.wall_ms())
         if number is None:
             return False
         return plan.is_owner(number, state.view, state.needing_slot)
@@ -193,14 +196,14 @@
     def note_outcome(self, order: Order, outcome: OrderOutcome) -> None:
         """Learn what became of an order that was sent."""
         if outcome is OrderOutcome.FENCED:
-            self._authority.renew(order.engine)
+            self._authority.start_new_term(order.engine)
         elif outcome is OrderOutcome.NO_ROOM:
-            self._without_room.add((order.engine, order.bundle_version))
+            self._without_capacity.add((order.engine, order.bundle_version))
         is_load = (
             outcome is OrderOutcome.ACCEPTED and order.change.action in LOAD_ACTIONS
         )
         wait_ms = self._settings.load_timeout_ms if is_load else 0.0
-        self._retries.note_given(order, wait_ms=wait_ms)
+        self._retries.note_sent(order, wait_ms=wait_ms)
 
     def note_pause(self) -> None:
         """Learn that this process has paused: others may have taken over."""
--- a/src/quetzaldeck/commands/plan.py
+++ b/src/quetzaldeck/commands/plan.py
@@ -19,15 +19,15 @@
 
 
 def plan_change(
-    goal: EngineGoal, status: EngineStatus, *, has_room: bool = True
+    goal: EngineGoal, status: EngineStatus, *, has_capacity: bool = True
 ) -> Change | None:
     """:returns: the next change, ``None`` if the engine is as it should be
 
-    :param has_room: ``False`` after the engine had no room for a load
+    :param has_capacity: ``False`` after the engine had no room for a load
     """
     missing = sorted(goal.loaded - status.loaded)
     surplus = _find_surplus(goal, status)
-    if missing and not has_room and surplus:
+    if missing and not has_capacity and surplus:
         return _unload(surplus[0])
     for loaded in missing:
         if not loaded.adapter:
@@ -84,11 +84,13 @@
     :param statuses: read just now
     """
     return tuple(
-        model for model in models if not _may_give_up(model, engine, goals, statuses)
+        model
+        for model in models
+        if not _may_stop_serving(model, engine, goals, statuses)
     )
 
 
-def _may_give_up(
+def _may_stop_serving(
     model: str,
     engine: str,
     goals: Mapping[str, EngineGoal],
@@ -96,20 +98,20 @@
 ) -> bool:
     serving = {s.engine: s for s in statuses if s.engine != engine and s.serves(model)}
     if any(
-        name in goals and _is_settled(model, goals[name], status)
+        name in goals and _has_reached_goal(model, goals[name], status)
         for name, status in serving.items()
     ):
         return True
-    wanted = [name for name, goal in goals.items() if _wants(model, goal)]
+    wanted = [name for name, goal in goals.items() if _should_serve(model, goal)]
     first = min(wanted, default=engine)
     return first != engine and first in serving
 
 
-def _wants(model: str, goal: EngineGoal) -> bool:
+def _should_serve(model: str, goal: EngineGoal) -> bool:
     return any(loaded.model == model for loaded in goal.loaded)
 
 
-def _is_settled(model: str, goal: EngineGoal, status: EngineStatus) -> bool:
+def _has_reached_goal(model: str, goal: EngineGoal, status: EngineStatus) -> bool:
     """:returns: whether the engine has of ``model`` what it should, and its role"""
     wanted = {loaded for loaded in goal.loaded if loaded.model == model}
     has_role = not goal.role or goal.role == status.role
--- a/src/quetzaldeck/commands/retries.py
+++ b/src/quetzaldeck/commands/retries.py
@@ -9,11 +9,11 @@
     from quetzaldeck.commands.order import Change, Order
     from quetzaldeck.commands.settings import CommandSettings
 
-BACKOFF = 2.0
+BACKOFF_FACTOR = 2.0
 
 
-class _Given(NamedTuple):
-    n_times: int
+class _SendState(NamedTuple):
+    n_sent: int
     next_ms: float
 
 
@@ -30,38 +30,39 @@
         self._clock = clock
         self._settings = settings
         self._bundle_version = 0
-        self._given: dict[tuple[str, str, Change], _Given] = {}
+        self._sent: dict[tuple[str, str, Change], _SendState] = {}
         self.n_repeated = 0
 
-    def start_bundle(self, version: int) -> None:
+    def reset_for_bundle(self, version: int) -> None:
         """Forget the past when another bundle has come in force."""
         if version != self._bundle_version:
             self._bundle_version = version
-            self._given.clear()
+            self._sent.clear()
 
-    def may_give(self, engine: str, incarnation: str, change: Change) -> bool:
+    def may_send(self, engine: str, incarnation: str, change: Change) -> bool:
         """:returns: whether the pause after the last time is over
 
         An engine that has started again has lost what it was loading: for it every
         change is a new one.
         """
-        given = self._given.get((engine, incarnation, change))
-        return given is None or self._clock.now_ms() >= given.next_ms
+        sent = self._sent.get((engine, incarnation, change))
+        return sent is None or self._clock.now_ms() >= sent.next_ms
 
-    def note_given(self, order: Order, *, wait_ms: float = 0.0) -> None:
+    def note_sent(self, order: Order, *, wait_ms: float = 0.0) -> None:
         """Note an order that was sent.
 
         :param wait_ms: how long its effect may take, before the pause
         """
         key = (order.engine, order.incarnation, order.change)
-        n_times = self._given[key].n_times if key in self._given else 0
-        if n_times:
+        n_sent = self._sent[key].n_sent if key in self._sent else 0
+        if n_sent:
             self.n_repeated += 1
         pause_ms = min(
-            self._settings.retry_ms * BACKOFF**n_times, self._settings.max_retry_ms
+            self._settings.retry_ms * BACKOFF_FACTOR**n_sent,
+            self._settings.max_retry_ms,
         )
         next_ms = self._clock.now_ms() + wait_ms + pause_ms
-        self._given[key] = _Given(n_times + 1, next_ms)
+        self._sent[key] = _SendState(n_sent + 1, next_ms)
 
 
 __all__ = ("OrderRetries",)
--- a/src/quetzaldeck/commands/slots.py
+++ b/src/quetzaldeck/commands/slots.py
@@ -31,7 +31,7 @@
     from quetzaldeck.membership import MembershipView
 
 MS_PER_MINUTE = 60_000.0
-GUARD_SHARE = 0.25
+GUARD_FRACTION = 0.25
 
 
 class SlotPlan:
@@ -43,10 +43,10 @@
     def __init__(self, loads_per_minute: float) -> None:
         self._slot_ms = MS_PER_MINUTE / loads_per_minute
 
-    def number_at(self, wall_ms: float) -> int | None:
+    def find_usable_slot(self, wall_ms: float) -> int | None:
         """:returns: number of the slot that may be used now, ``None`` near an edge"""
         number, offset_ms = divmod(wall_ms, self._slot_ms)
-        guard_ms = GUARD_SHARE * self._slot_ms
+        guard_ms = GUARD_FRACTION * self._slot_ms
         if guard_ms <= offset_ms < self._slot_ms - guard_ms:
             return int(number)
         return None
@@ -65,8 +65,8 @@
         }
         if not states:
             return False
-        side = choose_owner(f"side:{number}", states)
-        if states[side] is MemberState.SUSPECTED:
+        side_owner = choose_owner(f"side:{number}", states)
+        if states[side_owner] is MemberState.SUSPECTED:
             return False
         in_contact = {
             vm for vm, state in states.items() if state is not MemberState.SUSPECTED
--- a/src/quetzaldeck/dissemination/bundle_answer.py
+++ b/src/quetzaldeck/dissemination/bundle_answer.py
@@ -25,7 +25,7 @@
 
 MAX_BUNDLE_BYTES = 8 << 20
 _PATCH = b"p"
-_WHOLE = b"w"
+_FULL = b"w"
 
 
 class BundleRequest(NamedTuple):
@@ -49,20 +49,22 @@
 _PATCHED_DECODER = msgspec.json.Decoder(PatchedEnvelope)
 
 
-def encode_answer(envelope: Envelope, digest: int, former: Sequence[str]) -> bytes:
+def encode_answer(
+    envelope: Envelope, digest: int, former_payloads: Sequence[str]
+) -> bytes:
     """:returns: the envelope as a change of what the asker has, or whole
 
     :param digest: of the payload that the asker has
-    :param former: payloads held before, to make a change from
+    :param former_payloads: payloads held before, to make a change from
     """
-    for payload in former:
+    for payload in former_payloads:
         if digest_payload(payload) != digest:
             continue
         patch = make_patch(payload, envelope.payload)
         if patch is not None:
             patched = PatchedEnvelope(envelope.key_id, envelope.signature, patch)
             return _PATCH + zlib.compress(msgspec.json.encode(patched))
-    return _WHOLE + zlib.compress(encode_envelope(envelope))
+    return _FULL + zlib.compress(encode_envelope(envelope))
 
 
 def decode_answer(answer: bytes, payload: str | None) -> Envelope:
@@ -71,9 +73,9 @@
     :param payload: what this agent has in force, as told in its request
     :raises SignatureError: if the answer cannot be read
     """
-    kind, packed = answer[:1], answer[1:]
-    data = _unpack(packed)
-    if kind == _WHOLE:
+    kind, compressed = answer[:1], answer[1:]
+    data = _decompress(compressed)
+    if kind == _FULL:
         return decode_envelope(data)
     if kind != _PATCH or payload is None:
         msg = "the peer's answer is neither a bundle nor a change of the one held"
@@ -90,15 +92,15 @@
     return Envelope(patched.key_id, patched.signature, rebuilt)
 
 
-def _unpack(packed: bytes) -> bytes:
+def _decompress(compressed: bytes) -> bytes:
     # Bounded: a small answer must not grow to fill the agent's memory.
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        data = unpacker.decompress(packed, MAX_BUNDLE_BYTES)
+        data = decompressor.decompress(compressed, MAX_BUNDLE_BYTES)
     except zlib.error as error:
         msg = f"the peer's answer cannot be unpacked: {error}"
         raise SignatureError(msg) from error
-    if not unpacker.eof:
+    if not decompressor.eof:
         msg = f"the peer's bundle is cut off or over {MAX_BUNDLE_BYTES} bytes"
         raise SignatureError(msg)
     return data
--- a/src/quetzaldeck/dissemination/bundle_patch.py
+++ b/src/quetzaldeck/dissemination/bundle_patch.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-NAME = "name"
+NAME_KEY = "name"
 
 
 class ListPatch(NamedTuple):
@@ -48,14 +48,14 @@
         return None
     patch = BundlePatch({}, sorted(set(before) - set(after)), {})
     for key, value in after.items():
-        held = before.get(key)
-        if held == value and key in before:
+        old_value = before.get(key)
+        if old_value == value and key in before:
             continue
-        old_items, new_items = _index(held), _index(value)
+        old_items, new_items = _index_by_name(old_value), _index_by_name(value)
         if old_items is None or new_items is None:
             patch.values[key] = value
         else:
-            patch.lists[key] = _compare(old_items, new_items)
+            patch.lists[key] = _diff_items(old_items, new_items)
     return patch if apply_patch(old, patch) == new else None
 
 
@@ -66,7 +66,7 @@
         data.pop(key, None)
     data |= patch.values
     for key, change in patch.lists.items():
-        items = _index(data.get(key))
+        items = _index_by_name(data.get(key))
         if items is None:
             return None
         items |= change.changed
@@ -77,7 +77,7 @@
     return msgspec.json.encode(data, order="sorted").decode()
 
 
-def _compare(old: dict[str, Any], new: dict[str, Any]) -> ListPatch:
+def _diff_items(old: dict[str, Any], new: dict[str, Any]) -> ListPatch:
     changed = {
         name: item for name, item in new.items() if name not in old or old[name] != item
     }
@@ -85,12 +85,14 @@
     return ListPatch(order, changed)
 
 
-def _index(items: Any) -> dict[str, Any] | None:
+def _index_by_name(items: Any) -> dict[str, Any] | None:
     """:returns: the items by name, ``None`` if they are not all named, once each"""
     if not isinstance(items, list):
         return None
     named = {
-        item[NAME]: item for item in items if isinstance(item, dict) and NAME in item
+        item[NAME_KEY]: item
+        for item in items
+        if isinstance(item, dict) and NAME_KEY in item
     }
     return named if len(named) == len(items) else None
 
--- a/src/quetzaldeck/dissemination/store.py
+++ b/src/quetzaldeck/dissemination/store.py
@@ -51,15 +51,15 @@
 
 
 @dataclass
-class _Held:
+class _HeldRecord:
     record: Record
-    taken_ms: float
+    stored_ms: float
     n_bytes: int
     cursor: int
     n_sent: int = 0
 
     def remaining_ms(self, now_ms: float) -> float:
-        return self.record.remaining_ms - (now_ms - self.taken_ms)
+        return self.record.remaining_ms - (now_ms - self.stored_ms)
 
 
 class RecordStore:
@@ -80,7 +80,7 @@
         self._incarnation = incarnation
         self._clock = clock
         self._limits = limits or RecordLimits()
-        self._held: dict[RecordKey, _Held] = {}
+        self._held: dict[RecordKey, _HeldRecord] = {}
         self._n_put = 0
         self._cursor = 0
         self.dropped: Counter[str] = Counter()
@@ -103,7 +103,7 @@
             )
             raise RecordError(msg)
         self._n_put += 1
-        self._hold(
+        self._store_record(
             Record(
                 draft.kind,
                 draft.key,
@@ -127,44 +127,46 @@
         if record.vm == self._vm or record.remaining_ms <= 0:
             return False
         held = self._held.get((record.kind, record.key, record.vm))
-        if held is not None and not self._replaces(record, held):
+        if held is not None and not self._is_newer(record, held):
             return False
-        self._hold(record)
+        self._store_record(record)
         return True
 
-    def _replaces(self, record: Record, held: _Held) -> bool:
+    def _is_newer(self, record: Record, held: _HeldRecord) -> bool:
         if record.incarnation == held.record.incarnation:
             return record.sequence > held.record.sequence
         # Starts of one VM do not tell which is the later one. The fact that is
         # true for longer was said later, if its kind has one time to live.
         return record.remaining_ms > held.remaining_ms(self._clock.now_ms())
 
-    def _hold(self, record: Record) -> None:
+    def _store_record(self, record: Record) -> None:
         self._cursor += 1
         n_bytes = len(msgspec.json.encode(record))
-        self._held[record.kind, record.key, record.vm] = _Held(
+        self._held[record.kind, record.key, record.vm] = _HeldRecord(
             record, self._clock.now_ms(), n_bytes, self._cursor
         )
-        self._bound()
+        self._enforce_limit()
 
-    def _bound(self) -> None:
+    def _enforce_limit(self) -> None:
         if len(self._held) <= self._limits.max_records:
             return
         self.expire()
         if len(self._held) <= self._limits.max_records:
             return
         now_ms = self._clock.now_ms()
-        first = min(self._held, key=lambda key: self._held[key].remaining_ms(now_ms))
-        del self._held[first]
-        self.dropped[first[0]] += 1
+        first_to_expire = min(
+            self._held, key=lambda key: self._held[key].remaining_ms(now_ms)
+        )
+        del self._held[first_to_expire]
+        self.dropped[first_to_expire[0]] += 1
 
     def expire(self) -> None:
         """Drop what is no longer true."""
         now_ms = self._clock.now_ms()
-        ended = [
+        expired = [
             key for key, held in self._held.items() if held.remaining_ms(now_ms) <= 0
         ]
-        for key in ended:
+        for key in expired:
             del self._held[key]
 
     def list_since(self, cursor: int, kind: str | None = None) -> tuple[Record, ...]:
@@ -214,25 +216,25 @@
             for held in self._held.values()
             if held.remaining_ms(now_ms) > 0 and (wants_all or held.n_sent < max_sent)
         ]
-        n_left = math.inf if wants_all else self._limits.max_message_bytes
+        n_bytes_left = math.inf if wants_all else self._limits.max_message_bytes
         chosen = []
         for held in _interleave(due):
-            if held.n_bytes > n_left:
+            if held.n_bytes > n_bytes_left:
                 break
-            n_left -= held.n_bytes
+            n_bytes_left -= held.n_bytes
             held.n_sent += 1
             remaining_ms = round(held.remaining_ms(now_ms))
             chosen.append(held.record._replace(remaining_ms=remaining_ms))
         return tuple(chosen)
 
 
-def _interleave(due: list[_Held]) -> list[_Held]:
+def _interleave(due: list[_HeldRecord]) -> list[_HeldRecord]:
     """:returns: urgent records first, then one of each kind in turn
 
     A kind that changes often would else take up every message, since what has just
     changed was passed on least.
     """
-    by_kind: defaultdict[str, list[_Held]] = defaultdict(list)
+    by_kind: defaultdict[str, list[_HeldRecord]] = defaultdict(list)
     for held in sorted(due, key=lambda held: held.n_sent):
         by_kind[held.record.kind].append(held)
     in_turn = [
--- a/src/quetzaldeck/membership/__init__.py
+++ b/src/quetzaldeck/membership/__init__.py
@@ -1,8 +1,8 @@
-"""Membership: which entry VMs there are.
+"""Membership: which entry VMs exist and which of them are live.
 
-:class:`Membership` does no I/O: whoever embeds it feeds it the platform's list
-and its peers' messages, and sends what :meth:`Membership.take_updates` gives.
-See docs/design/membership.md.
+:class:`Membership` does no I/O: the agent passes it the platform's VM list and the
+messages of its peers, and sends the updates that :meth:`Membership.take_updates`
+returns. See docs/design/membership.md.
 
 >>> import random
 >>> from quetzaldeck.clock import ManualClock
@@ -17,10 +17,10 @@
 ...     random_state=random.Random(0),
 ...     settings=MembershipSettings(),
 ... )
->>> members.merge([describe("b"), describe("c")])  # news in a peer's message
+>>> members.merge([describe("b"), describe("c")])  # updates in a message from a peer
 >>> members.choose_probe().vm in ("b", "c")
 True
->>> members.note_probe_failure("b")  # b answered neither a probe nor a relay's probe
+>>> members.note_probe_failure("b")  # no answer, direct or through relays
 >>> [member.vm for member in members.view.list_live()]
 ['a', 'c']
 >>> members.note_message("b", "b.1")  # an authentic message from b itself
--- a/src/quetzaldeck/membership/confirmation.py
+++ b/src/quetzaldeck/membership/confirmation.py
@@ -1,4 +1,4 @@
-"""When a suspected VM may be declared dead."""
+"""Decides when a suspected VM is confirmed dead."""
 
 from __future__ import annotations
 
@@ -12,39 +12,40 @@
     from quetzaldeck.membership.record import MemberRecord
     from quetzaldeck.membership.settings import MembershipSettings
 
-PARTITION_SHARE = 0.25
+PARTITION_FRACTION = 0.25
 
 
-def is_due(
+def is_confirmation_due(
     record: MemberRecord,
     list_read_ms: float | None,
     now_ms: float,
     settings: MembershipSettings,
 ) -> bool:
-    """:returns: whether ``record`` has been suspected for long enough
+    """:returns: whether ``record`` has been suspected for long enough to confirm it
 
-    A VM that the list still names has to be silent for longer: the list lags, but
-    so may the suspicion of a VM that only paused.
+    The wait is longer while the platform's list still names the VM: the list lags
+    behind, but the VM may also just have been paused.
     """
     is_listed = record.is_listed or list_read_ms is None
     wait_ms = settings.confirm_listed_ms if is_listed else settings.confirm_ms
     return now_ms - record.since_ms >= wait_ms
 
 
-def is_withheld(
+def is_confirmation_withheld(
     record: MemberRecord,
     records: Collection[MemberRecord],
     now_ms: float,
     settings: MembershipSettings,
 ) -> bool:
-    """:returns: whether silence may be a partition's and not the VM's
+    """:returns: whether the silence may come from a partition rather than a crash
 
-    Without this a VM cut off from the others would declare them all dead. With
-    the list's word, of the same age as the long wait, a minority may go: that is a
-    zone which the platform has given up.
+    Otherwise a VM that is cut off from the others would declare them all dead. If
+    many members are suspected, but fewer than half, those that have been missing
+    from the platform's list for ``confirm_listed_ms`` are still confirmed: the
+    platform has then given up their zone.
     """
     n_suspected, n_members = _count_suspected(records)
-    if n_suspected <= max(1, PARTITION_SHARE * n_members):
+    if n_suspected <= max(1, PARTITION_FRACTION * n_members):
         return False
     if 2 * n_suspected >= n_members:
         return True
@@ -53,11 +54,14 @@
 
 
 def _count_suspected(records: Collection[MemberRecord]) -> tuple[int, int]:
-    """:returns: members that fell silent, and members not dead with this one"""
-    heard = [record for record in records if record.news.incarnation]
-    n_suspected = sum(record.state is MemberState.SUSPECTED for record in heard)
-    n_dead = sum(record.state is MemberState.DEAD for record in heard)
-    return n_suspected, len(heard) - n_dead + 1
+    """:returns: number of suspected members, and of members not dead, this VM included
+
+    VMs that are only known from the platform's list are not counted.
+    """
+    known = [record for record in records if record.update.incarnation]
+    n_suspected = sum(record.state is MemberState.SUSPECTED for record in known)
+    n_dead = sum(record.state is MemberState.DEAD for record in known)
+    return n_suspected, len(known) - n_dead + 1
 
 
-__all__ = ("is_due", "is_withheld")
+__all__ = ("is_confirmation_due", "is_confirmation_withheld")
--- a/src/quetzaldeck/membership/membership.py
+++ b/src/quetzaldeck/membership/membership.py
@@ -1,35 +1,39 @@
-"""Which entry VMs there are, as one agent sees it. No I/O.
-
-The platform's list says which VMs should exist, but late; messages from peers say
-which do exist, but a partition silences live ones. Neither alone declares a VM
-dead:
-
-* a VM that does not answer a probe, neither directly nor through relays, is
-  suspected and no longer counted as live, at once;
-* suspected for ``confirm_ms`` and off the list it is dead; while the list still
-  names it, only after ``confirm_listed_ms``;
-* while many members are suspected together this is taken for a partition: none of
-  them is confirmed by silence alone, and none at all if they are the majority;
-* a VM that said it is leaving and no longer answers is dead at once;
-* dead for ``forget_ms`` and off the list it is forgotten.
-
-Load pattern: each agent probes one peer an interval and passes on a bounded number
-of updates, so the traffic of a node does not grow with the fleet. Without it
-(all-to-all heartbeats) 410 nodes cost each of them 409 messages an interval.
-
-Grounds for the figures: a probe a second finds a dead VM in about a second, as
-some peer probes it; ten seconds of suspicion are ten times the time in which a
-live VM hears of its suspicion from any peer and takes it back.
+"""Tracks which entry VMs exist, as one agent sees them. No I/O.
+
+The platform's list names the VMs that should exist, but it lags behind. Messages
+from peers show which VMs are running, but a partition silences live ones. So both
+are needed to declare a VM dead:
+
+* a VM that answers a probe neither directly nor through relays is suspected and no
+  longer counts as live, at once;
+* a suspected VM is confirmed dead after ``confirm_ms`` if the list does not name
+  it, and after ``confirm_listed_ms`` if it does;
+* many members suspected at the same time are taken for a partition: none of them is
+  confirmed by silence alone, and none at all if they are half of the members or
+  more;
+* a VM that has announced that it is leaving and stops answering is dead at once;
+* a VM dead for ``forget_ms`` and not on the list is forgotten.
+
+Load pattern: each agent probes one peer per interval and passes on a bounded number
+of updates, so the traffic of a node does not grow with the fleet. With all-to-all
+heartbeats each of 410 nodes would send 409 messages per interval.
+
+Reasons for the defaults: with one probe per second by each agent, some peer probes a
+dead VM within about a second. Ten seconds of suspicion are ten times the time in
+which a live VM learns from any peer that it is suspected, and refutes it.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.membership.confirmation import is_due, is_withheld
-from quetzaldeck.membership.news import choose_updates
-from quetzaldeck.membership.record import MemberRecord, build_unheard
+from quetzaldeck.membership.confirmation import (
+    is_confirmation_due,
+    is_confirmation_withheld,
+)
+from quetzaldeck.membership.record import MemberRecord, build_listed_record
 from quetzaldeck.membership.update import MemberUpdate, is_newer
+from quetzaldeck.membership.update_selection import choose_updates
 from quetzaldeck.membership.view import Member, MembershipView, MemberState
 
 if TYPE_CHECKING:
@@ -44,9 +48,9 @@
 
 
 class Membership:
-    """Joins the platform's list with what peers say.
+    """Combines the platform's list with the updates of peers.
 
-    :param own_update: this agent: its VM, a fresh incarnation, its address and zone
+    :param own_update: describes this agent: VM, new incarnation, address and zone
     """
 
     def __init__(
@@ -72,85 +76,92 @@
 
     @property
     def own_update(self) -> MemberUpdate:
-        """:returns: what this agent says of itself"""
+        """:returns: the update in which this agent describes itself"""
         return self._own_update
 
     @property
     def n_known(self) -> int:
-        """:returns: members known, this VM included"""
+        """:returns: number of known members, this VM included"""
         return len(self._records) + 1
 
     @property
     def view(self) -> MembershipView:
-        """:returns: the members as of now"""
+        """:returns: a snapshot of the members"""
         now_ms = self._clock.now_ms()
-        me = self._own_update
+        own_update = self._own_update
         own = Member(
-            me.vm,
-            me.incarnation,
-            me.address,
-            me.availability_zone,
-            me.state,
+            own_update.vm,
+            own_update.incarnation,
+            own_update.address,
+            own_update.availability_zone,
+            own_update.state,
             now_ms,
             self._is_listed,
         )
         others = (record.to_member() for record in self._records.values())
         members = tuple(sorted((own, *others), key=lambda member: member.vm))
-        return MembershipView(me.vm, me.incarnation, members, self._list_read_ms)
+        return MembershipView(
+            own_update.vm, own_update.incarnation, members, self._list_read_ms
+        )
 
     def set_address(self, address: str) -> None:
-        """Say at which base URL peers reach this agent."""
+        """Set the base URL at which peers reach this agent."""
         self._own_update = self._own_update._replace(address=address)
 
     def find(self, vm: str) -> Member | None:
-        """:returns: what is believed of ``vm``, ``None`` if nothing"""
+        """:returns: the member ``vm``, ``None`` if it is unknown"""
         record = self._records.get(vm)
         return None if record is None else record.to_member()
 
     def apply_list(self, entries: Iterable[VmEntry]) -> None:
-        """Take the platform's list of entry VMs, as just read."""
+        """Apply the platform's list of entry VMs, as just read."""
         now_ms = self._clock.now_ms()
         self._list_read_ms = now_ms
         listed = {entry.vm: entry for entry in entries}
         self._is_listed = listed.pop(self._own_update.vm, None) is not None
         for vm, entry in listed.items():
             if vm not in self._records:
-                self._records[vm] = build_unheard(entry, now_ms)
+                self._records[vm] = build_listed_record(entry, now_ms)
         for vm, record in self._records.items():
             record.is_listed = vm in listed
             if record.is_listed:
                 record.unlisted_ms = None
             elif record.unlisted_ms is None:
                 record.unlisted_ms = now_ms
-            if vm in listed and not record.news.incarnation:
+            if vm in listed and not record.update.incarnation:
                 address = listed[vm].address
-                record.news = record.news._replace(address=address)
+                record.update = record.update._replace(address=address)
 
     def note_message(
         self, vm: str, incarnation: str, *, is_answer: bool = False
     ) -> None:
-        """Note an authentic message that came directly from a peer.
+        """Record an authenticated message received directly from a peer.
 
-        :param is_answer: whether it answers a message of this agent. It is then of
-            the start that runs now; a message that came in by itself may be late
+        :param is_answer: whether it answers a message of this agent. An answer always
+            comes from the current incarnation; other messages may arrive late and
+            come from a former one
         """
         record = self._records.get(vm)
-        if record is None or (incarnation in record.former and not is_answer):
+        if record is None or (
+            incarnation in record.former_incarnations and not is_answer
+        ):
             return
         now_ms = self._clock.now_ms()
-        news = record.news
-        if incarnation != news.incarnation:
-            news = news._replace(
-                incarnation=incarnation, generation=news.generation + 1, state_version=0
+        update = record.update
+        if incarnation != update.incarnation:
+            update = update._replace(
+                incarnation=incarnation,
+                generation=update.generation + 1,
+                state_version=0,
             )
-            record.take(news._replace(state=MemberState.LIVE), now_ms)
-        elif news.state in (MemberState.SUSPECTED, MemberState.DEAD):
+            record.replace_update(update._replace(state=MemberState.LIVE), now_ms)
+        elif update.state in (MemberState.SUSPECTED, MemberState.DEAD):
             state = MemberState.LEAVING if record.has_left else MemberState.LIVE
-            record.take(news._replace(state=state), now_ms)
+            record.replace_update(update._replace(state=state), now_ms)
         record.last_message_ms = now_ms
 
     def merge(self, updates: Iterable[MemberUpdate]) -> None:
-        """Take news that a peer passed on."""
+        """Merge updates that a peer passed on."""
         for update in updates:
             if update.vm == self._own_update.vm:
                 self._refute(update)
@@ -164,52 +175,57 @@
             if update.state is not MemberState.DEAD:
                 self._records[update.vm] = MemberRecord(update, now_ms)
             return
-        if update.incarnation in record.former or not update.incarnation:
+        if update.incarnation in record.former_incarnations or not update.incarnation:
             return
-        if is_newer(update, record.news):
-            record.take(update, now_ms)
+        if is_newer(update, record.update):
+            record.replace_update(update, now_ms)
 
     def _refute(self, update: MemberUpdate) -> None:
-        me = self._own_update
-        if update.incarnation != me.incarnation:
-            # Another start of this VM: this one is the current one, whatever the
-            # clocks of the two starts said.
-            if update.generation >= me.generation:
-                self._own_update = me._replace(generation=update.generation + 1)
+        own_update = self._own_update
+        if update.incarnation != own_update.incarnation:
+            # An update of another incarnation of this VM. This one is the current
+            # one, whatever the wall clocks of the two said.
+            if update.generation >= own_update.generation:
+                self._own_update = own_update._replace(generation=update.generation + 1)
                 self.n_refuted += 1
             return
-        if update.generation > me.generation:
-            # A peer that heard this start before any news of it has guessed its
-            # generation; what is said of it from now on must outrank the guess.
-            me = me._replace(generation=update.generation)
-            self._own_update = me
-        is_rumour = update.state in (MemberState.SUSPECTED, MemberState.DEAD)
-        if is_rumour and update.state_version >= me.state_version:
-            self._own_update = me._replace(state_version=update.state_version + 1)
+        if update.generation > own_update.generation:
+            # A peer that received a message of this incarnation before any update
+            # about it has guessed its generation. Further updates about it must
+            # outrank that guess.
+            own_update = own_update._replace(generation=update.generation)
+            self._own_update = own_update
+        is_reported_failed = update.state in (MemberState.SUSPECTED, MemberState.DEAD)
+        if is_reported_failed and update.state_version >= own_update.state_version:
+            self._own_update = own_update._replace(
+                state_version=update.state_version + 1
+            )
             self.n_refuted += 1
 
     def note_probe_failure(self, vm: str) -> None:
-        """Note that a VM answered neither a probe nor a relay's probe."""
+        """Record that a VM answered a probe neither directly nor through relays."""
         record = self._records.get(vm)
         if record is None:
             return
-        after = {
+        next_states = {
             MemberState.LIVE: MemberState.SUSPECTED,
             MemberState.LEAVING: MemberState.DEAD,
         }
-        state = after.get(record.state)
+        state = next_states.get(record.state)
         if state is not None:
-            record.take(record.news._replace(state=state), self._clock.now_ms())
+            record.replace_update(
+                record.update._replace(state=state), self._clock.now_ms()
+            )
 
     def leave(self) -> None:
-        """Say from now on that this VM is leaving."""
+        """Mark this VM as leaving in all further messages."""
         state = MemberState.LEAVING
         self._own_update = self._own_update._replace(
             state=state, state_version=self._own_update.state_version + 1
         )
 
     def tick(self) -> None:
-        """Confirm and forget what is due."""
+        """Confirm suspected members and forget dead ones whose time has come."""
         now_ms = self._clock.now_ms()
         for record in self._records.values():
             if record.state is MemberState.SUSPECTED:
@@ -225,19 +241,22 @@
             del self._records[vm]
 
     def _confirm(self, record: MemberRecord, now_ms: float) -> None:
-        if not is_due(record, self._list_read_ms, now_ms, self._settings):
+        if not is_confirmation_due(record, self._list_read_ms, now_ms, self._settings):
             return
-        if is_withheld(record, self._records.values(), now_ms, self._settings):
+        if is_confirmation_withheld(
+            record, self._records.values(), now_ms, self._settings
+        ):
             self.n_withheld += 1
             return
         self.n_confirmed += 1
-        record.take(record.news._replace(state=MemberState.DEAD), now_ms)
+        record.replace_update(record.update._replace(state=MemberState.DEAD), now_ms)
 
     def choose_probe(self) -> Member | None:
-        """:returns: the next VM to probe; each is met once in a rotation
+        """:returns: the next VM to probe; each one is probed once per rotation
 
-        Dead ones have their turn too: both sides of a partition that has healed
-        hold the other for dead, and would else never speak again.
+        Every ``N_PROBES_PER_DEAD``-th probe goes to a dead VM if there is one: after
+        a partition has healed, each side takes the other for dead, and without these
+        probes they would never contact each other again.
         """
         self._n_probes += 1
         if self._n_probes % N_PROBES_PER_DEAD == 0:
@@ -266,31 +285,37 @@
         return [
             vm
             for vm, record in self._records.items()
-            if record.state in states and record.news.address
+            if record.state in states and record.update.address
         ]
 
     def take_updates(self, recipient: str) -> tuple[MemberUpdate, ...]:
-        """:returns: what to tell ``recipient``, within the bound
+        """:returns: updates to send to ``recipient``, ``max_updates`` at most
 
-        The recipient also hears what is believed of itself, and can take it back.
+        If the recipient is not believed to be live, the update about itself is added
+        beyond that bound, so that it can refute it.
         """
         records = [
             record
             for vm, record in self._records.items()
-            if vm != recipient and record.news.incarnation
+            if vm != recipient and record.update.incarnation
         ]
         updates = choose_updates(
             records, self.n_known, self._settings.max_updates, self._random
         )
-        about = self._records.get(recipient)
-        if about is not None and about.state is not MemberState.LIVE:
-            updates.append(about.news)
+        recipient_record = self._records.get(recipient)
+        if (
+            recipient_record is not None
+            and recipient_record.state is not MemberState.LIVE
+        ):
+            updates.append(recipient_record.update)
         return tuple(updates)
 
     def list_updates(self) -> tuple[MemberUpdate, ...]:
-        """:returns: all that is known, for an agent that has just started"""
+        """:returns: the updates of all members, for an agent that has just started"""
         return tuple(
-            record.news for record in self._records.values() if record.news.incarnation
+            record.update
+            for record in self._records.values()
+            if record.update.incarnation
         )
 
 
--- a/src/quetzaldeck/membership/record.py
+++ b/src/quetzaldeck/membership/record.py
@@ -1,4 +1,4 @@
-"""What is held about one other VM."""
+"""State that an agent keeps about one other VM."""
 
 from __future__ import annotations
 
@@ -12,82 +12,88 @@
 if TYPE_CHECKING:
     from quetzaldeck.directory import VmEntry
 
-_UNHEARD_GENERATION = 0
-N_FORMER_KEPT = 8
+_UNKNOWN_GENERATION = 0
+MAX_FORMER_INCARNATIONS = 8
 
 
 @dataclass
 class MemberRecord:
-    """Belief about one VM; owned by :class:`Membership`.
-
-    :param news: newest update taken
-    :param since_ms: when its state was taken on
-    :param last_message_ms: last direct message of this incarnation; ``None``: none yet
-    :param n_sent: how often the news has been passed on
-    :param has_left: whether this incarnation has said that it is leaving
-    :param former: incarnations that were replaced; none of them comes back
+    """State of one other VM; owned by :class:`Membership`.
+
+    :param update: newest accepted update
+    :param since_ms: monotonic time since which the member has had its state
+    :param last_message_ms: time of the last direct message of this incarnation;
+        ``None`` if there was none
+    :param is_listed: whether the platform's list, as last read, names the VM
+    :param unlisted_ms: since when the list has not named it; ``None`` while it does
+    :param n_sent: how often the update has been sent to peers
+    :param has_left: whether this incarnation has announced that it is leaving
+    :param former_incarnations: the last incarnations that were replaced; updates
+        about them are ignored
     """
 
-    news: MemberUpdate
+    update: MemberUpdate
     since_ms: float
     last_message_ms: float | None = None
     is_listed: bool = False
     unlisted_ms: float | None = None
     n_sent: int = 0
     has_left: bool = False
-    former: deque[str] = field(default_factory=lambda: deque(maxlen=N_FORMER_KEPT))
+    former_incarnations: deque[str] = field(
+        default_factory=lambda: deque(maxlen=MAX_FORMER_INCARNATIONS)
+    )
 
     @property
     def state(self) -> MemberState:
-        """:returns: belief about the VM"""
-        return self.news.state
-
-    def take(self, news: MemberUpdate, now_ms: float) -> None:
-        """Replace what is held."""
-        if news.incarnation != self.news.incarnation:
-            if self.news.incarnation:
-                self.former.append(self.news.incarnation)
-            if news.incarnation in self.former:
-                self.former.remove(news.incarnation)
+        """:returns: state of the VM in the newest update"""
+        return self.update.state
+
+    def replace_update(self, update: MemberUpdate, now_ms: float) -> None:
+        """Replace the update and what depends on its incarnation and state."""
+        if update.incarnation != self.update.incarnation:
+            if self.update.incarnation:
+                self.former_incarnations.append(self.update.incarnation)
+            if update.incarnation in self.former_incarnations:
+                self.former_incarnations.remove(update.incarnation)
             self.last_message_ms = None
             self.has_left = False
-        if news.state is MemberState.LEAVING:
+        if update.state is MemberState.LEAVING:
             self.has_left = True
-        if news.state is not self.news.state:
+        if update.state is not self.update.state:
             self.since_ms = now_ms
-        self.news = news
+        self.update = update
         self.n_sent = 0
 
     def to_member(self) -> Member:
-        """:returns: the record as readers of the view see it"""
-        news = self.news
+        """:returns: the public form of this record, for :class:`MembershipView`"""
+        update = self.update
         return Member(
-            news.vm,
-            news.incarnation,
-            news.address,
-            news.availability_zone,
-            news.state,
+            update.vm,
+            update.incarnation,
+            update.address,
+            update.availability_zone,
+            update.state,
             self.last_message_ms,
             self.is_listed,
         )
 
 
-def build_unheard(entry: VmEntry, now_ms: float) -> MemberRecord:
-    """:returns: the record of a VM that the list names and no message came from
+def build_listed_record(entry: VmEntry, now_ms: float) -> MemberRecord:
+    """:returns: the record of a VM known only from the platform's list
 
-    The list says that it should run, nothing says that it does: it is probed, but
-    not counted as live.
+    The list says that the VM should exist, but no message shows that its agent is
+    running. So it is probed, but does not count as live.
     """
-    news = MemberUpdate(
+    update = MemberUpdate(
         entry.vm,
         "",
-        _UNHEARD_GENERATION,
+        _UNKNOWN_GENERATION,
         0,
         MemberState.SUSPECTED,
         entry.address,
         entry.availability_zone,
     )
-    return MemberRecord(news, now_ms)
+    return MemberRecord(update, now_ms)
 
 
-__all__ = ("MemberRecord", "build_unheard")
+__all__ = ("MemberRecord", "build_listed_record")
--- a/src/quetzaldeck/membership/update.py
+++ b/src/quetzaldeck/membership/update.py
@@ -1,4 +1,4 @@
-"""News about one member, as it travels between agents."""
+"""Updates about members, as agents send them to each other."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 
 class MemberUpdate(NamedTuple):
-    """What some agent believes about one start of an agent.
+    """State of one incarnation of a VM's agent, as some agent believes it to be.
 
-    :param generation: orders the starts of one VM: the wall clock in ms at the
-        start, raised by the agent itself if it hears of a higher one
-    :param state_version: counter that only that agent raises; a higher one is newer
+    :param generation: orders the incarnations of one VM: the wall clock in ms when
+        the agent started, raised by that agent if it learns of a higher one
+    :param state_version: counter that only that agent raises, to refute a suspicion
+        or to leave; the higher one is newer
     """
 
     vm: str
@@ -35,7 +36,7 @@
 
 
 def is_newer(update: MemberUpdate, held: MemberUpdate) -> bool:
-    """:returns: whether ``update`` replaces ``held``, which is of the same VM"""
+    """:returns: whether ``update`` is newer than ``held``, about the same VM"""
     if update.incarnation != held.incarnation:
         start = (update.generation, update.incarnation)
         return start > (held.generation, held.incarnation)
@@ -45,7 +46,7 @@
 
 
 def _rank(update: MemberUpdate) -> tuple[int, int, int]:
-    # Only the agent itself raises its generation too, so the higher one is newer.
+    # The generation, too, is raised only by its own agent: the higher one is newer.
     return update.generation, update.state_version, _STATE_ORDER[update.state]
 
 
--- a/src/quetzaldeck/membership/view.py
+++ b/src/quetzaldeck/membership/view.py
@@ -1,4 +1,4 @@
-"""What one VM believes about the other entry VMs."""
+"""Snapshot of the entry VMs, as one agent sees them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class MemberState(StrEnum):
-    """Belief about one VM."""
+    """State that an agent believes a VM to be in."""
 
     LIVE = "live"
     SUSPECTED = "suspected"
@@ -18,9 +18,10 @@
 class Member(NamedTuple):
     """One entry VM.
 
-    :param incarnation: id of the agent's current start; ``""`` if never heard
+    :param incarnation: id of the agent's current incarnation; ``""`` if unknown
     :param address: base URL of its agent
-    :param last_message_ms: monotonic time of its last message; ``None``: never heard
+    :param last_message_ms: monotonic time of the last direct message of this
+        incarnation; ``None`` if there was none
     :param is_listed: whether the platform's list, as last read, names it
     """
 
@@ -34,10 +35,10 @@
 
 
 class MembershipView(NamedTuple):
-    """The members at one moment, this VM included.
+    """All known members at one moment, this VM included.
 
     :param vm: this VM
-    :param incarnation: this agent's start
+    :param incarnation: current incarnation of this agent
     :param list_read_ms: monotonic time of the last read of the platform's list;
         ``None`` if it was never read
     """
--- a/tests/commands/test_commander.py
+++ b/tests/commands/test_commander.py
@@ -444,5 +444,5 @@
 def test_slots_are_not_used_near_their_edges() -> None:
     """Two clocks differ by a fifth of a slot: they must not meet in one slot."""
     plan = SlotPlan(60)
-    used = [plan.number_at(ms) for ms in range(0, 1_000, 50)]
+    used = [plan.find_usable_slot(ms) for ms in range(0, 1_000, 50)]
     assert used == [None] * 5 + [0] * 10 + [None] * 5
--- a/tests/membership/test_convergence.py
+++ b/tests/membership/test_convergence.py
@@ -1,4 +1,4 @@
-"""Agents that lose messages, crash, restart and are cut off agree in the end."""
+"""Agents converge on the same members after crashes, restarts and partitions."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 N_VMS = 12
 STEP_MS = 1_000.0
 N_EVENTS = 40
-QUIET_STEPS = 180
-LOSS = 0.1
-# Seeds that found a suspicion which its subject could not take back.
-FOUND_SEEDS = (24, 69, 97, 98, 129)
+SETTLING_STEPS = 180
+LOSS_RATE = 0.1
+# Seeds that once ended with a suspicion that the suspected VM could not refute.
+REGRESSION_SEEDS = (24, 69, 97, 98, 129)
 EVENTS = ("crash", "restart", "cut", "heal", "replace", "leave")
 SKEW_MS = 3_600_000
 
 
 class Node(NamedTuple):
-    """One start of an agent."""
+    """One incarnation of an agent."""
 
     vm: str
     incarnation: str
@@ -37,7 +37,7 @@
 
 
 class World:
-    """Exchanges one probe of each agent every second."""
+    """A fleet of agents in virtual time; each probes one peer per second."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -45,15 +45,15 @@
         self.nodes: dict[str, Node] = {}
         self.listed: dict[str, None] = {}
         self.cut_off: set[str] = set()
-        self.loss = LOSS
-        self.n_starts = 0
+        self.loss_rate = LOSS_RATE
+        self.n_started = 0
         for index in range(N_VMS):
             self.start(f"entry-{index}")
 
     def start(self, vm: str) -> None:
-        """Start an agent, on a host whose clock may be an hour off."""
-        self.n_starts += 1
-        incarnation = f"{vm}.{self.n_starts}"
+        """Start an agent on a host whose wall clock is off by up to an hour."""
+        self.n_started += 1
+        incarnation = f"{vm}.{self.n_started}"
         skew_ms = self.random.randint(-SKEW_MS, SKEW_MS)
         generation = round(self.clock.wall_ms()) + skew_ms
         me = MemberUpdate(
@@ -82,7 +82,7 @@
             del self.nodes[vm]
             del self.listed[vm]
             if kind == "replace":
-                self.start(f"entry-{N_VMS + self.n_starts}")
+                self.start(f"entry-{N_VMS + self.n_started}")
 
     def _leave(self, node: Node) -> None:
         node.membership.leave()
@@ -106,7 +106,7 @@
         return self._can_talk(node.vm, relay) and self._exchange(self.nodes[relay], vm)
 
     def _can_talk(self, one: str, other: str) -> bool:
-        if other not in self.nodes or self.random.random() < self.loss:
+        if other not in self.nodes or self.random.random() < self.loss_rate:
             return False
         return (one in self.cut_off) == (other in self.cut_off)
 
@@ -122,16 +122,16 @@
         node.membership.merge(answered)
         return True
 
-    def believed(self, node: Node) -> dict[str, str]:
+    def list_incarnations(self, node: Node) -> dict[str, str]:
         return {m.vm: m.incarnation for m in node.membership.view.list_live()}
 
 
-@pytest.mark.parametrize("seed", [*range(8), *FOUND_SEEDS])
-def test_all_live_agents_agree_once_it_is_quiet(seed: int) -> None:
-    """A tenth of the messages is lost while VMs crash, restart, leave and are cut off.
+@pytest.mark.parametrize("seed", [*range(8), *REGRESSION_SEEDS])
+def test_all_live_agents_agree_after_the_disturbances(seed: int) -> None:
+    """VMs crash, restart, leave and are cut off while a tenth of all messages is lost.
 
-    Whoever kept a dead VM, lost a live one or held on to an old start of one would
-    choose another commander, voter or reader than its peers, for good.
+    An agent that kept a dead VM, lost a live one or kept a former incarnation would
+    permanently choose another commander, voter or engine reader than its peers.
     """
     world = World(seed)
     for _ in range(N_EVENTS):
@@ -139,16 +139,16 @@
             world.step()
         world.disturb()
     world.cut_off = set()
-    world.loss = 0.0
-    for _ in range(QUIET_STEPS):
+    world.loss_rate = 0.0
+    for _ in range(SETTLING_STEPS):
         world.step()
     actual = {node.vm: node.incarnation for node in world.nodes.values()}
     for node in world.nodes.values():
-        assert world.believed(node) == actual
+        assert world.list_incarnations(node) == actual
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_cut_kills_nobody_that_the_list_names(seed: int) -> None:
+def test_a_partition_confirms_no_listed_vm_dead(seed: int) -> None:
     world = World(seed)
     for _ in range(30):
         world.step()
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""What one agent believes about the others, on a clock that the test moves."""
+"""Membership as seen by a single agent, in virtual time."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
     return tuple(VmEntry(vm, "entry", f"http://{vm}") for vm in vms)
 
 
-def make_membership(clock: ManualClock, *heard: str, vm: str = "a") -> Membership:
+def make_membership(clock: ManualClock, *peers: str, vm: str = "a") -> Membership:
     membership = Membership(
         make_update(vm), clock=clock, random_state=random.Random(0), settings=SETTINGS
     )
-    membership.apply_list(make_list(vm, *heard))
-    for peer in heard:
+    membership.apply_list(make_list(vm, *peers))
+    for peer in peers:
         membership.merge([make_update(peer)])
         membership.note_message(peer, f"{peer}.1")
     return membership
@@ -54,7 +54,7 @@
     return None if member is None else member.state
 
 
-def test_a_listed_vm_is_live_only_once_heard(clock: ManualClock) -> None:
+def test_a_listed_vm_is_live_only_after_its_first_message(clock: ManualClock) -> None:
     membership = make_membership(clock)
     membership.apply_list(make_list("a", "b"))
     assert state_of(membership, "b") is SUSPECTED
@@ -86,8 +86,8 @@
     assert state_of(membership, "b") is None
 
 
-def test_a_list_that_drops_a_vm_in_contact_kills_nobody(clock: ManualClock) -> None:
-    """The platform's list loses live VMs, by a fault of its own."""
+def test_a_vm_in_contact_stays_live_when_the_list_drops_it(clock: ManualClock) -> None:
+    """Guards against the loss of live VMs when the platform's list is faulty."""
     membership = make_membership(clock, "b", "c")
     membership.apply_list(make_list("a"))
     clock.advance(SETTINGS.confirm_listed_ms)
@@ -95,11 +95,11 @@
     assert state_of(membership, "b") is LIVE
 
 
-def test_a_partition_is_not_a_mass_death(clock: ManualClock) -> None:
-    """A VM is cut off from all others for an hour.
+def test_a_cut_off_vm_confirms_no_peer_dead(clock: ManualClock) -> None:
+    """A VM is cut off from all others for an hour, and the list names only itself.
 
-    Silence alone would make it declare the whole fleet dead and act for it:
-    command every engine, count every quorum as its own.
+    If it declared the whole fleet dead because of the silence, it would command
+    every engine and be a majority of its own.
     """
     peers = ("b", "c", "d", "e", "f", "g")
     membership = make_membership(clock, *peers)
@@ -113,11 +113,11 @@
     assert membership.n_withheld
 
 
-def test_a_lost_zone_goes_only_with_the_list(clock: ManualClock) -> None:
-    """A third of the fleet falls silent together: a lost zone or a partition.
+def test_a_silent_zone_is_dead_only_once_unlisted(clock: ManualClock) -> None:
+    """Two of seven VMs fall silent together: a lost zone or a partition.
 
-    While the list names them they are suspected, however long; once it has not
-    for the long wait they are dead.
+    They stay suspected for as long as the list names them, and are dead once it has
+    not named them for ``confirm_listed_ms``.
     """
     peers = ("b", "c", "d", "e", "f", "g")
     membership = make_membership(clock, *peers)
@@ -133,8 +133,8 @@
     assert state_of(membership, "d") is LIVE
 
 
-def test_a_suspected_vm_takes_the_suspicion_back(clock: ManualClock) -> None:
-    """B's link to a is broken; others reach b. b hears of the suspicion from them."""
+def test_a_suspected_vm_refutes_the_suspicion(clock: ManualClock) -> None:
+    """Agent a cannot reach b, but b receives the suspicion and refutes it."""
     a, b = make_membership(clock, "b", "c"), make_membership(clock, "a", "c", vm="b")
     a.note_probe_failure("b")
     b.merge(a.take_updates("b"))
@@ -143,14 +143,14 @@
     assert state_of(a, "b") is LIVE
 
 
-def test_a_suspicion_with_a_guessed_generation_is_taken_back(
+def test_a_suspicion_with_a_guessed_generation_is_refuted(
     clock: ManualClock,
 ) -> None:
-    """B restarts on a host whose clock is behind; a hears it before any news of it.
+    """B restarts on a host whose clock is behind; its message precedes its update.
 
-    a guesses a generation above that of b's last start, then suspects b. b's own
-    word, of a lower generation, would never outrank that: b, live, would count as
-    suspected until somebody happened to speak to it.
+    Agent a guesses a generation above that of b's former incarnation and then
+    suspects b. The update of b itself, with a lower generation, would never outrank
+    that guess: b would count as suspected until it sent a message directly to a.
     """
     a, b = make_membership(clock), make_membership(clock, "a", vm="b")
     a.merge([make_update("b", "b.90")])
@@ -162,18 +162,20 @@
     assert state_of(a, "b") is LIVE
 
 
-def test_an_old_suspicion_does_not_come_back(clock: ManualClock) -> None:
+def test_an_outdated_suspicion_is_ignored(clock: ManualClock) -> None:
     membership = make_membership(clock, "b")
     membership.merge([make_update("b", state_version=1)])
     membership.merge([make_update("b", state_version=0, state=DEAD)])
     assert state_of(membership, "b") is LIVE
 
 
-def test_a_new_incarnation_replaces_the_old_one_for_good(clock: ManualClock) -> None:
-    """A VM id is used again; then a message of the old start arrives late.
+def test_a_former_incarnation_does_not_replace_its_successor(
+    clock: ManualClock,
+) -> None:
+    """A VM id is reused, then a message of the former incarnation arrives late.
 
-    Were it taken, readers would see the old incarnation as the current one, and
-    what the new one owns would be taken for left behind.
+    If it were accepted, the former incarnation would count as the current one, and
+    whatever the new one owns on engines would count as abandoned.
     """
     membership = make_membership(clock, "b")
     membership.note_message("b", "b.2")
@@ -184,11 +186,11 @@
     assert member.incarnation == "b.2"
 
 
-def test_a_start_with_a_clock_that_is_behind_wins(clock: ManualClock) -> None:
-    """A VM comes back on a host whose clock is behind that of the old host.
+def test_a_new_incarnation_with_a_slow_clock_wins(clock: ManualClock) -> None:
+    """A VM restarts on a host whose clock is behind that of its former host.
 
-    Peers would hold on to the old start, the later one by the clock, until the
-    new one raises its generation above it.
+    By the clock the former incarnation is the later one: peers would keep it if the
+    new one did not raise its generation above it.
     """
     b = make_membership(clock, "a", vm="b")
     b.merge([make_update("b", "b.9")])
@@ -215,8 +217,8 @@
     assert state_of(a, "b") is LIVE
 
 
-def test_a_healed_partition_speaks_again(clock: ManualClock) -> None:
-    """Both sides hold each other for dead; without probes of the dead they stay so."""
+def test_dead_members_are_still_probed(clock: ManualClock) -> None:
+    """After a partition each side takes the other for dead until it probes it."""
     membership = make_membership(clock, "b", "c", "d", "e")
     membership.note_probe_failure("b")
     clock.advance(SETTINGS.confirm_listed_ms)
@@ -226,7 +228,7 @@
     assert "b" in {member.vm for member in probed if member is not None}
 
 
-def test_choose_probe_meets_each_once_in_a_rotation(clock: ManualClock) -> None:
+def test_choose_probe_returns_each_member_once_per_rotation(clock: ManualClock) -> None:
     membership = make_membership(clock, "b", "c", "d", "e")
     probed = [membership.choose_probe() for _ in range(4)]
     assert sorted(m.vm for m in probed if m is not None) == ["b", "c", "d", "e"]
@@ -243,14 +245,14 @@
     assert len(sent) == len(peers) - 1
 
 
-def test_a_direct_message_before_any_news_does_not_let_the_dead_start_win(
+def test_an_update_of_a_former_incarnation_does_not_replace_a_direct_message(
     clock: ManualClock,
 ) -> None:
-    """A fresh agent hears b, just restarted, before it has any news of b.
+    """A new agent gets a message of b, just restarted, before any update about b.
 
-    A peer then passes on the news of b's last start, which it still believes in.
-    Were it taken, the agent would hold the dead start for the current one and
-    refuse the messages of the live one as those of an old start.
+    A peer then passes on an outdated update about the former incarnation of b. If
+    it were accepted, the agent would take that one for the current one and ignore
+    the messages of the running one as those of a former one.
     """
     membership = make_membership(clock)
     membership.apply_list(make_list("a", "b"))
@@ -263,11 +265,11 @@
     assert member.state is LIVE
 
 
-def test_an_answer_tells_which_start_is_the_current_one(clock: ManualClock) -> None:
-    """News of the wrong start was taken, whatever the reason.
+def test_an_answer_decides_which_incarnation_is_current(clock: ManualClock) -> None:
+    """An update about the wrong incarnation was accepted, for whatever reason.
 
-    A message that comes in may be late, an answer to one's own request cannot: the
-    next probe puts it right.
+    An unsolicited message may be late, but the answer to a request of this agent
+    comes from the running incarnation, so the next probe corrects the record.
     """
     membership = make_membership(clock, "b")
     membership.merge([make_update("b", "b.2")])
