--- a/src/quetzaldeck/dissemination/__init__.py
+++ b/src/quetzaldeck/dissemination/__init__.py
@@ -1,7 +1,7 @@
-"""Versioned dissemination: small records and bundle versions between agents.
+"""Versioned dissemination: how records and bundles reach all agents by gossip.
 
-:class:`RecordStore` does no I/O. To spread a fact, put it with a time to live and
-put it again before it ends; to read, list the values of its kind. Gateways reach
+:class:`RecordStore` does no I/O. To publish a record, put it with a time to live and
+put it again before it expires; to read, list the values of its kind. Gateways access
 the store through their exchange with the agent. See docs/design/membership.md.
 
 >>> from quetzaldeck.clock import ManualClock
@@ -9,7 +9,7 @@
 >>> clock = ManualClock()
 >>> a, b = (RecordStore(vm, f"{vm}.1", clock) for vm in "ab")
 >>> a.put(RecordDraft("usage", "club", value=7, ttl_ms=1_000))
->>> new = b.merge(a.take_records(n_members=2))  # sent in whatever messages there are
+>>> new = b.merge(a.take_records(n_members=2))  # sent along with gossip
 >>> b.list_values("usage", int)
 (7,)
 >>> clock.advance(1_000)
--- a/src/quetzaldeck/dissemination/bundle_answer.py
+++ b/src/quetzaldeck/dissemination/bundle_answer.py
@@ -1,4 +1,4 @@
-"""How a bundle travels between agents."""
+"""Encoding of a bundle for other agents: as a patch, or in full."""
 
 from __future__ import annotations
 
@@ -24,6 +24,7 @@
     from collections.abc import Sequence
 
 MAX_BUNDLE_BYTES = 8 << 20
+"""Size of a decompressed answer above which it is refused."""
 _PATCH = b"p"
 _FULL = b"w"
 
@@ -31,15 +32,15 @@
 class BundleRequest(NamedTuple):
     """Asks a peer for its bundle.
 
-    :param digest: of the payload that the sender has; 0 if it has none, or wants
-        the bundle whole
+    :param digest: digest of the payload that the sender has; 0 if it has none or
+        requests the full bundle
     """
 
     digest: int
 
 
 class PatchedEnvelope(NamedTuple):
-    """An envelope whose payload is told as a change."""
+    """An envelope with a patch in place of its payload."""
 
     key_id: str
     signature: str
@@ -52,10 +53,10 @@
 def encode_answer(
     envelope: Envelope, digest: int, former_payloads: Sequence[str]
 ) -> bytes:
-    """:returns: the envelope as a change of what the asker has, or whole
+    """:returns: the envelope as a patch of the requester's bundle, or in full
 
-    :param digest: of the payload that the asker has
-    :param former_payloads: payloads held before, to make a change from
+    :param digest: digest of the payload that the requester has
+    :param former_payloads: payloads formerly in force here, to build patches from
     """
     for payload in former_payloads:
         if digest_payload(payload) != digest:
@@ -70,38 +71,41 @@
 def decode_answer(answer: bytes, payload: str | None) -> Envelope:
     """:returns: the envelope in an answer; its signature is not checked here
 
-    :param payload: what this agent has in force, as told in its request
-    :raises SignatureError: if the answer cannot be read
+    :param payload: the payload that this agent has in force, whose digest it sent in
+        its request
+    :raises SignatureError: if the answer cannot be decoded
     """
     kind, compressed = answer[:1], answer[1:]
     data = _decompress(compressed)
     if kind == _FULL:
         return decode_envelope(data)
     if kind != _PATCH or payload is None:
-        msg = "the peer's answer is neither a bundle nor a change of the one held"
+        msg = (
+            "the peer's answer is neither a full bundle nor a patch of the one in force"
+        )
         raise SignatureError(msg)
     try:
         patched = _PATCHED_DECODER.decode(data)
     except msgspec.DecodeError as error:
-        msg = f"this is not a change of a bundle: {error}"
+        msg = f"the peer's answer is not a valid bundle patch: {error}"
         raise SignatureError(msg) from error
     rebuilt = apply_patch(payload, patched.patch)
     if rebuilt is None:
-        msg = "the peer's change is not one of the bundle held"
+        msg = "the peer's patch does not apply to the bundle in force"
         raise SignatureError(msg)
     return Envelope(patched.key_id, patched.signature, rebuilt)
 
 
 def _decompress(compressed: bytes) -> bytes:
-    # Bounded: a small answer must not grow to fill the agent's memory.
+    # Bounded, so that a small answer cannot decompress into all of the memory.
     decompressor = zlib.decompressobj()
     try:
         data = decompressor.decompress(compressed, MAX_BUNDLE_BYTES)
     except zlib.error as error:
-        msg = f"the peer's answer cannot be unpacked: {error}"
+        msg = f"the peer's answer cannot be decompressed: {error}"
         raise SignatureError(msg) from error
     if not decompressor.eof:
-        msg = f"the peer's bundle is cut off or over {MAX_BUNDLE_BYTES} bytes"
+        msg = f"the peer's answer is truncated or over {MAX_BUNDLE_BYTES} bytes"
         raise SignatureError(msg)
     return data
 
--- a/src/quetzaldeck/dissemination/bundle_patch.py
+++ b/src/quetzaldeck/dissemination/bundle_patch.py
@@ -1,11 +1,11 @@
-"""What changed from one bundle to the next, to be sent in place of the whole.
+"""Patches between bundle versions, to be sent in place of full bundles.
 
-Load pattern: 2,400 changes of configuration a day, most of them of a customer or
-two, in a bundle of up to a megabyte. Sent whole, they exceed what a node may spend on
-control; what changed is a few hundred bytes.
+Load pattern: 2,400 configuration changes a day, most of them for one or two customers,
+in a bundle of up to a megabyte. In full they would exceed the control traffic that a
+node may use; a patch takes a few hundred bytes.
 
-A patch rebuilds the payload byte by byte, or it is not used: whoever makes it tries
-it first, and whoever applies it checks the signature over the result as always.
+A patch has to reproduce the payload byte for byte: the sender applies it before using
+it, and the recipient verifies the signature of the result like that of any bundle.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class ListPatch(NamedTuple):
-    """Change of a list whose items have names.
+    """Changes to a list of named items.
 
-    :param order: names in the new order, ``None`` if the names are the same ones
-    :param changed: items that are new or different, by name
+    :param order: names in their new order; ``None`` if names and order are unchanged
+    :param changed: new and changed items, by name
     """
 
     order: list[str] | None
@@ -29,11 +29,11 @@
 
 
 class BundlePatch(NamedTuple):
-    """Change of a payload.
+    """Changes to a payload, which is a JSON object.
 
-    :param values: members that are new or different
-    :param removed: members that are gone
-    :param lists: members that are lists of named items
+    :param values: new and changed members, as whole values
+    :param removed: names of removed members
+    :param lists: changes to members that are lists of named items
     """
 
     values: dict[str, Any]
@@ -42,7 +42,7 @@
 
 
 def make_patch(old: str, new: str) -> BundlePatch | None:
-    """:returns: the patch from ``old`` to ``new``, ``None`` if it would not do"""
+    """:returns: the patch from ``old`` to ``new``, ``None`` if none reproduces it"""
     before, after = msgspec.json.decode(old), msgspec.json.decode(new)
     if not isinstance(before, dict) or not isinstance(after, dict):
         return None
@@ -60,7 +60,7 @@
 
 
 def apply_patch(old: str, patch: BundlePatch) -> str | None:
-    """:returns: the new payload, ``None`` if the patch is not one of ``old``"""
+    """:returns: the new payload, ``None`` if the patch does not apply to ``old``"""
     data = msgspec.json.decode(old)
     for key in patch.removed:
         data.pop(key, None)
@@ -86,7 +86,7 @@
 
 
 def _index_by_name(items: Any) -> dict[str, Any] | None:
-    """:returns: the items by name, ``None`` if they are not all named, once each"""
+    """:returns: the items by name, ``None`` unless all have names, each a unique one"""
     if not isinstance(items, list):
         return None
     named = {
--- a/src/quetzaldeck/dissemination/gossip.py
+++ b/src/quetzaldeck/dissemination/gossip.py
@@ -1,4 +1,4 @@
-"""The message that agents exchange at each probe."""
+"""Messages that agents exchange to probe each other."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 
 
 class GossipMessage(NamedTuple):
-    """One side of an exchange; request and answer are alike.
-
-    :param sender: the sender
-    :param wants_all: whether the sender has just started and knows nothing yet
-    :param bundle_version: version in force at the sender; 0: none
-    :param bundle_digest: digest of its payload
+    """Request or answer of one gossip exchange; both have the same form.
+
+    :param sender: the sender's update about itself
+    :param wants_all: whether the sender asks for all members and records, since it has
+        just started
+    :param bundle_version: version of the bundle in force at the sender; 0 if none
+    :param bundle_digest: digest of that bundle's payload
+    :param updates: what the sender knows about other members
+    :param records: records that the sender passes on
     """
 
     sender: MemberUpdate
@@ -26,14 +29,14 @@
 
 
 class RelayRequest(NamedTuple):
-    """Asks a peer to probe a VM that does not answer the sender."""
+    """Asks a peer to probe a VM that did not answer the sender's own probe."""
 
     vm: str
     address: str
 
 
 class RelayAnswer(NamedTuple):
-    """What came of the probe."""
+    """Whether the VM answered the probe of the relay."""
 
     is_reached: bool
 
--- a/src/quetzaldeck/dissemination/record.py
+++ b/src/quetzaldeck/dissemination/record.py
@@ -1,4 +1,4 @@
-"""Small facts that each VM spreads about itself."""
+"""Records: small facts that each VM publishes to all others by gossip."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class Record(NamedTuple):
-    """A fact as it travels.
-
-    :param kind: what it is about, e.g. ``usage`` or ``crash``
-    :param key: what of that kind, e.g. a customer
-    :param vm: the VM that said it; only that VM changes it
-    :param incarnation: start of the agent that said it
-    :param sequence: of that agent; a higher one replaces a lower one
-    :param remaining_ms: time left until it is no longer true
-    :param is_urgent: passed on at once, not at the next interval
-    :param value: JSON value; ``None`` takes the record back
+    """A record as sent between agents.
+
+    :param kind: kind of fact, e.g. ``usage`` or ``crash``
+    :param key: what the fact is about, e.g. a customer
+    :param vm: VM that owns the record; only this one changes it
+    :param incarnation: incarnation of the owner's agent
+    :param sequence: counter of that agent; a higher one replaces a lower one
+    :param remaining_ms: time left until the record expires
+    :param is_urgent: whether to pass it on at once, not with the next probe
+    :param value: JSON value; ``None`` withdraws the record
     """
 
     kind: str
@@ -29,9 +29,9 @@
 
 
 class RecordDraft(NamedTuple):
-    """A fact that a VM wants spread; see :class:`Record` for the fields.
+    """A record to be published by its owner; see :class:`Record` for the fields.
 
-    :param ttl_ms: how long it is true, unless it is put again
+    :param ttl_ms: time after which it expires, unless it is put again
     """
 
     kind: str
--- a/src/quetzaldeck/dissemination/store.py
+++ b/src/quetzaldeck/dissemination/store.py
@@ -1,19 +1,20 @@
-"""Records of all VMs, as one agent holds them. No I/O.
+"""Store of the records of all VMs, as one agent knows them. No I/O.
 
 Load pattern: each VM has a few small facts that all others need soon: the load of
-the upstreams it polls, how much each customer uses, which requests crashed an
-engine. Without it every VM would ask every other one, or every upstream, and the
+the upstreams it polls, the usage of each customer, the requests that crashed an
+engine. Without gossip every VM would ask every other one, or every upstream, and the
 traffic of a node would grow with the fleet.
 
-A record belongs to one VM, so there is nothing to agree on: the owner's highest
-sequence wins, whatever way it came. It ends by its own time to live, counted by
-each holder's monotonic clock from the time left when it was passed on, so clocks
-that disagree do no harm; it then may only be late by its travelling time.
+Each record is owned by one VM, so no consensus is needed: the owner's highest
+sequence number wins, by whatever route it arrives. A record expires by its time to
+live. Each agent counts the remaining time down on its own monotonic clock and passes
+on what is left, so wall clocks need not agree; a record expires late by no more than
+its time in transit.
 
-Bounds: a value over ``max_value_bytes`` is refused to its owner; ``max_records``
-are held, those that end first are dropped (and counted by kind); a message carries
-``max_message_bytes`` of records, those passed on least go first and no
-kind waits for another one.
+Limits: a value over ``max_value_bytes`` is refused when its owner puts it. Of more
+than ``max_records`` records those that expire first are dropped, and counted by kind.
+A message carries up to ``max_message_bytes`` of records, least often sent ones first;
+kinds take turns, so that none waits for another.
 """
 
 from __future__ import annotations
@@ -35,11 +36,13 @@
     from quetzaldeck.dissemination.record import RecordDraft
 
 SENDS_PER_DOUBLING = 2
+"""How often an agent sends a record, for each doubling of the fleet size."""
+
 RecordKey = tuple[str, str, str]
 
 
 class RecordLimits(NamedTuple):
-    """Bounds of a store."""
+    """Limits of a store, as described in the head of the module."""
 
     max_records: int = 4_096
     max_value_bytes: int = 1_024
@@ -47,7 +50,7 @@
 
 
 class RecordError(ValueError):
-    """A record that cannot be spread."""
+    """Raised for a record that is too large to be published."""
 
 
 @dataclass
@@ -63,10 +66,10 @@
 
 
 class RecordStore:
-    """Holds the newest record of each (kind, key, VM).
+    """Stores the newest record for each (kind, key, VM).
 
-    :param vm: this VM, whose records only this store changes
-    :param incarnation: this start of its agent
+    :param vm: this VM; peers cannot change its records
+    :param incarnation: current incarnation of its agent
     """
 
     def __init__(
@@ -87,19 +90,19 @@
 
     @property
     def cursor(self) -> int:
-        """:returns: number of the last change, for :meth:`list_since`"""
+        """:returns: sequence number of the last change, for :meth:`list_since`"""
         return self._cursor
 
     def put(self, draft: RecordDraft) -> None:
-        """Say a fact about this VM, or say it anew.
+        """Publish a record of this VM, or renew it.
 
         :raises RecordError: if the value is too large
         """
         n_bytes = len(msgspec.json.encode(draft.value))
         if n_bytes > self._limits.max_value_bytes:
             msg = (
-                f"record {draft.kind}/{draft.key} has {n_bytes} bytes; "
-                f"at most {self._limits.max_value_bytes} are spread"
+                f"value of record {draft.kind}/{draft.key} has {n_bytes} bytes; "
+                f"the limit is {self._limits.max_value_bytes}"
             )
             raise RecordError(msg)
         self._n_put += 1
@@ -117,9 +120,9 @@
         )
 
     def merge(self, records: Iterable[Record]) -> tuple[Record, ...]:
-        """Take records that a peer passed on.
+        """Merge records that a peer passed on.
 
-        :returns: those that were new
+        :returns: those that were stored, being newer than what was known
         """
         return tuple(record for record in records if self._merge_one(record))
 
@@ -135,8 +138,8 @@
     def _is_newer(self, record: Record, held: _HeldRecord) -> bool:
         if record.incarnation == held.record.incarnation:
             return record.sequence > held.record.sequence
-        # Starts of one VM do not tell which is the later one. The fact that is
-        # true for longer was said later, if its kind has one time to live.
+        # Incarnations have no order. All records of a kind have the same time to
+        # live, so the one with more time left was published later.
         return record.remaining_ms > held.remaining_ms(self._clock.now_ms())
 
     def _store_record(self, record: Record) -> None:
@@ -161,7 +164,7 @@
         self.dropped[first_to_expire[0]] += 1
 
     def expire(self) -> None:
-        """Drop what is no longer true."""
+        """Remove expired records."""
         now_ms = self._clock.now_ms()
         expired = [
             key for key, held in self._held.items() if held.remaining_ms(now_ms) <= 0
@@ -170,7 +173,7 @@
             del self._held[key]
 
     def list_since(self, cursor: int, kind: str | None = None) -> tuple[Record, ...]:
-        """:returns: records of other VMs changed after ``cursor``, still true"""
+        """:returns: unexpired records of other VMs that changed after ``cursor``"""
         now_ms = self._clock.now_ms()
         return tuple(
             held.record._replace(remaining_ms=round(held.remaining_ms(now_ms)))
@@ -182,10 +185,10 @@
         )
 
     def list_values(self, kind: str, of_type: Any) -> tuple[Any, ...]:
-        """:returns: all values of a kind, this VM's too, as ``of_type``
+        """:returns: all values of a kind, also those of this VM, as ``of_type``
 
-        A value that is not of the type, as an agent of another release may send
-        it, is left out and counted as dropped.
+        Values that do not convert to the type, such as those from an agent of another
+        release, are left out and counted as dropped.
         """
         values = []
         now_ms = self._clock.now_ms()
@@ -204,10 +207,11 @@
     def take_records(
         self, n_members: int, *, wants_all: bool = False
     ) -> tuple[Record, ...]:
-        """:returns: what to pass on in one message
+        """:returns: records to send in one message
 
-        :param n_members: of the fleet; a record is passed on O(log) times by each
-        :param wants_all: for an agent that has just started: all there is
+        :param n_members: fleet size; each agent sends a record O(log n) times
+        :param wants_all: whether to return all records, without a limit, for an agent
+            that has just started
         """
         now_ms = self._clock.now_ms()
         max_sent = SENDS_PER_DOUBLING * math.ceil(math.log2(n_members + 1))
@@ -229,10 +233,10 @@
 
 
 def _interleave(due: list[_HeldRecord]) -> list[_HeldRecord]:
-    """:returns: urgent records first, then one of each kind in turn
+    """:returns: urgent records first, then the kinds in turn
 
-    A kind that changes often would else take up every message, since what has just
-    changed was passed on least.
+    Without the turns a kind that changes often would fill every message, since records
+    that have just changed are the least often sent ones.
     """
     by_kind: defaultdict[str, list[_HeldRecord]] = defaultdict(list)
     for held in sorted(due, key=lambda held: held.n_sent):
--- a/tests/dissemination/test_bundle_answer.py
+++ b/tests/dissemination/test_bundle_answer.py
@@ -1,4 +1,4 @@
-"""A bundle as it travels between agents."""
+"""Bundles sent between agents, as a patch or in full."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("name", CHANGES)
-def test_a_change_rebuilds_the_bundle_as_signed(
+def test_a_patch_reproduces_the_signed_bundle(
     name: str, key_pair: tuple[str, str]
 ) -> None:
     old = sign_bundle(make_bundle(1), "ops", key_pair[0])
@@ -52,41 +52,41 @@
     assert decode_answer(answer, old.payload) == new
 
 
-def test_a_change_of_one_customer_is_small(key_pair: tuple[str, str]) -> None:
-    """2,400 changes a day of a whole bundle are more than a node may spend."""
+def test_a_patch_for_one_customer_is_small(key_pair: tuple[str, str]) -> None:
+    """Guards the control traffic: 2,400 full bundles a day exceed a node's share."""
     old = sign_bundle(make_bundle(1), "ops", key_pair[0])
     new = sign_bundle(CHANGES["one customer"], "ops", key_pair[0])
-    change = encode_answer(new, digest_payload(old.payload), [old.payload])
-    whole = encode_answer(new, 0, [old.payload])
-    assert decode_answer(whole, None) == new
-    assert len(change) < 1_000 < len(whole)
+    patch = encode_answer(new, digest_payload(old.payload), [old.payload])
+    full = encode_answer(new, 0, [old.payload])
+    assert decode_answer(full, None) == new
+    assert len(patch) < 1_000 < len(full)
 
 
-def test_a_change_of_another_bundle_does_not_pass(key_pair: tuple[str, str]) -> None:
-    """What the asker holds is not what the peer made the change from.
+def test_a_patch_of_another_bundle_is_refused(key_pair: tuple[str, str]) -> None:
+    """The requester's bundle is not the one from which the peer built the patch.
 
-    Whatever is rebuilt then differs from what was signed, so it is not taken.
+    The rebuilt payload then differs from the signed one, so its signature is invalid.
     """
     old = sign_bundle(make_bundle(1), "ops", key_pair[0])
     new = sign_bundle(CHANGES["one customer"], "ops", key_pair[0])
     answer = encode_answer(new, digest_payload(old.payload), [old.payload])
     other = sign_bundle(make_bundle(1, 5), "ops", key_pair[0])
     assert decode_answer(answer, other.payload).payload != new.payload
-    with pytest.raises(SignatureError, match="neither a bundle nor a change"):
+    with pytest.raises(SignatureError, match="neither a full bundle nor a patch"):
         decode_answer(answer, None)
 
 
 @pytest.mark.parametrize(
     ("answer", "message"),
     [
-        (b"", "cut off"),
-        (b"w", "cut off"),
-        (b"wxx", "cannot be unpacked"),
+        (b"", "truncated"),
+        (b"w", "truncated"),
+        (b"wxx", "cannot be decompressed"),
         (b"w" + zlib.compress(bytes(9 << 20)), "over 8388608 bytes"),
-        (b"p" + zlib.compress(b"{}"), "not a change of a bundle"),
-        (b"z" + zlib.compress(b"{}"), "neither a bundle nor a change"),
+        (b"p" + zlib.compress(b"{}"), "not a valid bundle patch"),
+        (b"z" + zlib.compress(b"{}"), "neither a full bundle nor a patch"),
     ],
 )
-def test_an_unreadable_answer_is_refused(answer: bytes, message: str) -> None:
+def test_an_undecodable_answer_is_refused(answer: bytes, message: str) -> None:
     with pytest.raises(SignatureError, match=message):
         decode_answer(answer, "{}")
--- a/tests/dissemination/test_record_store.py
+++ b/tests/dissemination/test_record_store.py
@@ -1,4 +1,4 @@
-"""Records that VMs spread about themselves."""
+"""Records that VMs publish, merge and pass on."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     return RecordStore(vm, f"{vm}.1", clock, RecordLimits(**limits))
 
 
-def draft(
+def make_draft(
     key: str, n_tokens: int = 0, ttl_ms: int = 1_000, *, is_urgent: bool = False
 ) -> RecordDraft:
     return RecordDraft("usage", key, Usage(n_tokens), ttl_ms, is_urgent)
 
 
-def test_a_record_reaches_others_and_ends(clock: ManualClock) -> None:
+def test_a_record_reaches_others_and_expires(clock: ManualClock) -> None:
     a, b, c = (make_store(clock, vm) for vm in "abc")
-    a.put(draft("club", 7))
+    a.put(make_draft("club", 7))
     clock.advance(400)
     b.merge(a.take_records(3))
     clock.advance(400)
@@ -43,41 +43,43 @@
     assert c.list_values("usage", Usage) == ()
 
 
-def test_the_highest_sequence_wins_whatever_the_order(clock: ManualClock) -> None:
+def test_the_highest_sequence_wins_in_any_order_of_arrival(clock: ManualClock) -> None:
     a, b = make_store(clock, "a"), make_store(clock, "b")
-    a.put(draft("club", 1))
+    a.put(make_draft("club", 1))
     first = a.take_records(2)
-    a.put(draft("club", 2))
+    a.put(make_draft("club", 2))
     second = a.take_records(2)
     b.merge(second)
     assert b.merge(first) == ()
     assert b.list_values("usage", Usage) == (Usage(2),)
 
 
-def test_a_vm_alone_changes_its_records(clock: ManualClock) -> None:
+def test_only_the_owner_changes_a_record(clock: ManualClock) -> None:
     a, b = make_store(clock, "a"), make_store(clock, "b")
-    a.put(draft("club", 1))
+    a.put(make_draft("club", 1))
     forged = a.take_records(2)[0]._replace(sequence=99, value=[5])
     assert a.merge([forged]) == ()
     b.merge([forged])
     assert a.list_values("usage", Usage) == (Usage(1),)
 
 
-def test_take_keeps_its_bound_and_puts_urgent_first(clock: ManualClock) -> None:
+def test_take_records_obeys_its_limit_and_returns_urgent_ones_first(
+    clock: ManualClock,
+) -> None:
     store = make_store(clock, "a", max_message_bytes=300)
     for index in range(50):
-        store.put(draft(f"club-{index}"))
-    store.put(draft("hot", is_urgent=True))
+        store.put(make_draft(f"club-{index}"))
+    store.put(make_draft("hot", is_urgent=True))
     taken = store.take_records(7)
     assert taken[0].key == "hot"
     assert len(taken) < 10
     assert len(store.take_records(7, wants_all=True)) == 51
 
 
-def test_the_store_drops_what_ends_first(clock: ManualClock) -> None:
+def test_a_full_store_drops_the_records_that_expire_first(clock: ManualClock) -> None:
     store = make_store(clock, "a", max_records=3)
     for index in range(5):
-        store.put(draft(f"club-{index}", index, ttl_ms=1_000 + index))
+        store.put(make_draft(f"club-{index}", index, ttl_ms=1_000 + index))
     held = store.list_values("usage", Usage)
     assert held == (Usage(2), Usage(3), Usage(4))
     assert store.dropped["usage"] == 2
@@ -85,13 +87,13 @@
 
 def test_put_refuses_a_large_value(clock: ManualClock) -> None:
     store = make_store(clock, "a")
-    with pytest.raises(RecordError, match="at most 1024 are spread"):
+    with pytest.raises(RecordError, match="the limit is 1024"):
         store.put(RecordDraft("usage", "club", "x" * 2_000, 1_000))
 
 
-def test_list_since_gives_each_change_once(clock: ManualClock) -> None:
+def test_list_since_returns_each_change_once(clock: ManualClock) -> None:
     a, b = make_store(clock, "a"), make_store(clock, "b")
-    a.put(draft("club", 1))
+    a.put(make_draft("club", 1))
     b.merge(a.take_records(2))
     assert len(b.list_since(0)) == 1
     assert b.list_since(b.cursor) == ()
