--- a/src/quetzaldeck/commands/__init__.py
+++ b/src/quetzaldeck/commands/__init__.py
@@ -1,8 +1,8 @@
-"""Commands to engines: who gives them, which, and when.
+"""Commands to engines: which VM sends them, which ones and when.
 
-:class:`Commander` does no I/O: whoever embeds it gives it the members, the bundle
-and the engines' reports, sends the order that it decides on, and tells it the
-outcome. See docs/design/commands.md.
+:class:`Commander` does no I/O: the agent passes it the members, the bundle and the
+engines' reports, sends the order that it decides on and reports the outcome back. See
+docs/design/commands.md.
 
 >>> from quetzaldeck.bundle import Bundle, ModelSpec, UpstreamSpec
 >>> from quetzaldeck.clock import ManualClock
--- a/src/quetzaldeck/commands/authority.py
+++ b/src/quetzaldeck/commands/authority.py
@@ -1,22 +1,23 @@
-"""Whether this VM may command an engine, and with which fencing token. No I/O.
-
-There is no vote. The commander of an engine is chosen by rendezvous hashing over
-the live VMs; VMs that believe in different ones may both take themselves for it for
-a while. What keeps this harmless:
-
-* both derive the same orders from the same bundle, and an engine that is as it
-  should be gets none;
-* a VM in contact with no more than half of the members commands nothing: its bundle
-  may be old, and an engine would be torn between two versions;
-* the token is (bundle version, term), the term being the wall clock at which the VM
-  took the engine over. A later commander has a higher one, so orders of an earlier
-  one that are late are refused, without anything ever being written;
-* an engine that ignores tokens is left alone by a new commander for
-  ``takeover_ms``: as long as an order of the previous one may still be under way.
-
-Grounds for the figures: an order is dropped ``authority_ms`` (2 s) after it was
-decided and its sending ends 2 s later; a dead commander is suspected within about
-two seconds in a fleet of any size. Fifteen seconds are more than twice the sum.
+"""Decides whether this VM may command an engine, with which fencing token. No I/O.
+
+There is no election. The commander of an engine is chosen by rendezvous hashing over
+the live VMs, so VMs with different views of the members may both act as its commander
+for a while. This does no harm, because:
+
+* both derive the same orders from the same bundle, and an engine that has reached its
+  goal gets none;
+* a VM in contact with no more than half of the members sends no orders: its bundle
+  may be outdated, and the engine would alternate between two versions;
+* the fencing token is (bundle version, term); the term is the wall clock at the time
+  when the VM took the engine over. A later commander has a higher token, so engines
+  refuse late orders of a former one, and no state has to be persisted;
+* to an engine that ignores tokens a new commander sends nothing for ``takeover_ms``,
+  the time for which an order of the former commander may still be in flight.
+
+Reasons for the defaults: an order is dropped ``authority_ms`` (2 s) after the
+decision, sending it takes at most 2 s more, and a dead commander is suspected within
+about 2 s in a fleet of any size. The 15 s of ``takeover_ms`` are more than twice the
+sum.
 """
 
 from __future__ import annotations
@@ -33,12 +34,13 @@
 
 FIRST_TERM_STEP_MS = 1_000
 MAX_DOUBLINGS = 20
+"""Bound on the exponent of the step, which doubles with each refused token."""
 
 
 class Term(NamedTuple):
-    """One time of commanding an engine.
+    """Period during which this VM is the commander of an engine.
 
-    :param started_ms: monotonic time at which it began
+    :param started_ms: monotonic time of its start
     :param number: second part of the fencing token
     :param n_refused: how often the engine refused this VM's tokens
     """
@@ -51,10 +53,10 @@
 def has_majority(view: MembershipView) -> bool:
     """:returns: whether more than half of the members not dead are in contact
 
-    VMs that the list names and that were never heard count as out of contact.
+    VMs that are only known from the platform's list count as out of contact.
     """
     if view.list_read_ms is None:
-        # Whoever has never read the list does not know who is missing.
+        # Without the list it is unknown how many members are missing.
         return False
     known = [m for m in view.members if m.state is not MemberState.DEAD]
     n_in_contact = sum(member.state is not MemberState.SUSPECTED for member in known)
@@ -62,7 +64,7 @@
 
 
 class CommandAuthority:
-    """Terms of this VM as the commander of engines."""
+    """Tracks of which engines this VM is the commander, and its terms."""
 
     def __init__(self, vm: str, clock: Clock, settings: CommandSettings) -> None:
         self._vm = vm
@@ -74,14 +76,14 @@
         self._commanders: dict[str, str] = {}
 
     def update(self, engines: frozenset[str], view: MembershipView) -> None:
-        """Take terms up and lay them down, as the members are now."""
+        """Start and end terms according to the current members."""
         live = frozenset(member.vm for member in view.list_live())
         may_command = has_majority(view) and self._vm in live
         for engine in engines:
-            is_commanders = (
+            is_commander = (
                 may_command and self._choose_commander(engine, live) == self._vm
             )
-            if not is_commanders:
+            if not is_commander:
                 self._terms.pop(engine, None)
             elif engine not in self._terms:
                 self._terms[engine] = Term(
@@ -91,7 +93,7 @@
             del self._terms[engine]
 
     def _choose_commander(self, engine: str, live: frozenset[str]) -> str:
-        # 410 VMs and 780 engines are 320,000 hashes: once a change, not a round.
+        # 410 VMs and 780 engines take 320,000 hashes: cached until the VMs change.
         if live != self._commanders_chosen_from:
             self._commanders_chosen_from = live
             self._commanders.clear()
@@ -112,10 +114,10 @@
         return bundle_version, term.number
 
     def start_new_term(self, engine: str) -> None:
-        """Begin a new term after the engine refused the token of the last one.
+        """Start a new term after the engine refused the token of the current one.
 
-        The previous commander's clock was ahead: the next token is above the last
-        one by a growing step, until the engine accepts it.
+        The wall clock of the former commander was ahead: each new token exceeds the
+        last one by a step that doubles, until the engine accepts it.
         """
         term = self._terms.get(engine)
         if term is None:
@@ -125,10 +127,10 @@
         self._terms[engine] = Term(term.started_ms, number, term.n_refused + 1)
 
     def note_pause(self) -> None:
-        """Lay all terms down after a pause, and command nothing for a while.
+        """End all terms after a pause, and send no orders for ``takeover_ms``.
 
-        Others may have taken over, and the members and the bundle known here are
-        from before the pause: peers get the time to tell what has changed.
+        Other VMs may have taken over, and the members and the bundle known here date
+        from before the pause; the wait lets gossip bring them up to date.
         """
         self._terms.clear()
         self._no_orders_until_ms = self._clock.now_ms() + self._settings.takeover_ms
--- a/src/quetzaldeck/commands/commander.py
+++ b/src/quetzaldeck/commands/commander.py
@@ -1,7 +1,7 @@
-"""What one VM orders of the engines it commands. No I/O.
+"""Decides which orders one VM sends to the engines that it commands. No I/O.
 
-The agent feeds it the members, the bundle and the engines' reports, sends the order
-it gives, after reading the engines concerned once more, and tells it the outcome.
+The agent passes it the members, the bundle and the engines' reports. Before it sends
+an order it reads the affected engines once more; then it reports the outcome back.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class OrderOutcome(StrEnum):
-    """What became of an order, as counted."""
+    """Outcome of an order that was sent, as reported in metrics."""
 
     ACCEPTED = "accepted"
     NOT_FOLLOWED = "not_followed"
@@ -38,7 +38,7 @@
 
 
 class OrderRefusal(StrEnum):
-    """Why an order is not sent after all, as counted."""
+    """Why an order is withheld after its decision, as reported in metrics."""
 
     PAUSED = "paused"
     BUNDLE_CHANGED = "bundle_changed"
@@ -49,10 +49,11 @@
 
 
 class FleetState(NamedTuple):
-    """What a decision is based on.
+    """State on which a decision is based.
 
-    :param needing_slot: VMs that need a slot
-    :param leaving: upstreams that leave; they serve no model for long
+    :param needing_slot: VMs that have announced that they need a slot
+    :param leaving: upstreams that are leaving: they get no orders and do not count
+        as replicas
     """
 
     view: MembershipView
@@ -63,7 +64,10 @@
 
 
 class Commander:
-    """Decides for one VM; see the modules it joins for the reasons."""
+    """Decides the orders of one VM.
+
+    Combines authority, goals, slots and retries; their modules give the reasons.
+    """
 
     def __init__(self, vm: str, clock: Clock, settings: CommandSettings) -> None:
         self._clock = clock
@@ -77,27 +81,27 @@
 
     @property
     def needs_slot(self) -> bool:
-        """:returns: whether an order waits for a slot; to be announced to peers"""
+        """:returns: whether this VM has orders to send, to be announced to peers"""
         return self._needs_slot
 
     @property
     def n_repeated(self) -> int:
-        """:returns: orders that had to be given again"""
+        """:returns: number of orders that had to be sent again"""
         return self._retries.n_repeated
 
     def decide(self, state: FleetState) -> Order | None:
-        """:returns: the next order to send, ``None`` if there is none now"""
+        """:returns: the next order to send, ``None`` if none can be sent now"""
         bundle = state.bundle
         self._retries.reset_for_bundle(bundle.version)
         goals = self._find_goals(bundle)
         self._authority.update(frozenset(goals), state.view)
-        wanted = [
+        orders = [
             order
             for name in sorted(goals)
             if (order := self._plan_order(name, state)) is not None
         ]
-        self._needs_slot = bool(wanted)
-        for order in wanted:
+        self._needs_slot = bool(orders)
+        for order in orders:
             if self.find_refusal(order, state) is None:
                 return order
         return None
@@ -128,13 +132,13 @@
         )
 
     def find_refusal(self, order: Order, state: FleetState) -> OrderRefusal | None:
-        """Check an order against the state as of now, immediately before sending.
+        """Check an order against the current state, immediately before it is sent.
 
-        A process can pause between any two steps; what it decided may be an hour
-        old when it goes on. Both clocks are read: the monotonic one stands still
-        while some hosts are suspended.
+        The process may be paused between any two steps, so that a decision is an hour
+        old when it resumes. Both clocks are compared, since on some hosts the
+        monotonic one stops while they are suspended.
 
-        :returns: why it must not be sent, ``None`` if it may
+        :returns: why the order must not be sent, ``None`` if it may be
         """
         if self._is_stale(order):
             return OrderRefusal.PAUSED
@@ -160,16 +164,18 @@
             order.change
         ):
             return OrderRefusal.CHANGED_MEANWHILE
-        fresh = [
+        recent = [
             other
             for other in state.statuses.values()
             if other.age_ms <= self._settings.status_ms
             and other.engine not in state.leaving
         ]
-        lost = list_lost_models(order.change, goal, status)
+        lost_models = list_lost_models(order.change, goal, status)
         served = {model.name for model in state.bundle.models}
         goals = self._find_goals(state.bundle)
-        if find_unsafe_models(served.intersection(lost), order.engine, goals, fresh):
+        if find_unsafe_models(
+            served.intersection(lost_models), order.engine, goals, recent
+        ):
             return OrderRefusal.LAST_REPLICA
         return None
 
@@ -194,7 +200,7 @@
         return plan.is_owner(number, state.view, state.needing_slot)
 
     def note_outcome(self, order: Order, outcome: OrderOutcome) -> None:
-        """Learn what became of an order that was sent."""
+        """Record the outcome of an order that was sent."""
         if outcome is OrderOutcome.FENCED:
             self._authority.start_new_term(order.engine)
         elif outcome is OrderOutcome.NO_ROOM:
@@ -206,15 +212,15 @@
         self._retries.note_sent(order, wait_ms=wait_ms)
 
     def note_pause(self) -> None:
-        """Learn that this process has paused: others may have taken over."""
+        """Record that this process was paused: other VMs may have taken over."""
         self._authority.note_pause()
 
 
 def list_engines_to_read(order: Order, bundle: Bundle) -> Collection[str]:
     """:returns: engines to read once more before the order is sent
 
-    The engine itself, and for an order that takes models away also all others that
-    should serve them: reports that came by gossip may be seconds old.
+    These are the engine itself and, unless the order is a load, all engines that
+    should serve its models: their reports arrived by gossip and may be seconds old.
     """
     if order.change.action in LOAD_ACTIONS:
         return (order.engine,)
--- a/src/quetzaldeck/commands/order.py
+++ b/src/quetzaldeck/commands/order.py
@@ -1,4 +1,4 @@
-"""One change of one engine, as a commander wants it."""
+"""Orders that commanders send to engines."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Action(StrEnum):
-    """What an engine is told to do."""
+    """Kinds of commands to an engine."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -19,7 +19,10 @@
 
 
 class Change(NamedTuple):
-    """A change, without who orders it and when."""
+    """Change to an engine, independent of who orders it and when.
+
+    The fields that an action does not use are empty.
+    """
 
     action: Action
     model: str = ""
@@ -29,13 +32,13 @@
 
 
 class Order(NamedTuple):
-    """A change that was decided on at one moment.
+    """A change that a commander decided to send.
 
-    :param incarnation: start of the engine that the decision was about
+    :param incarnation: incarnation of the engine for which it was decided
     :param token: fencing token; tokens compare like tuples
-    :param bundle_version: bundle that wants it
+    :param bundle_version: version of the bundle that requires the change
     :param decided_ms: monotonic time of the decision
-    :param decided_wall_ms: wall clock of the decision
+    :param decided_wall_ms: wall clock at the decision
     """
 
     engine: str
--- a/src/quetzaldeck/commands/plan.py
+++ b/src/quetzaldeck/commands/plan.py
@@ -1,9 +1,9 @@
-"""The next change that brings an engine nearer to its goal. No I/O.
+"""Plans the next change that brings an engine closer to its goal. No I/O.
 
-New weights are loaded beside the old ones, which serve until the new ones can; only
-then the old ones are unloaded. So a roll-out of a new version takes no replica away.
-An engine that has no room for both says so, and is then unloaded first, if another
-engine serves the model meanwhile.
+New weights are loaded next to the old ones, which serve until the new ones can, and
+are unloaded only then. So the roll-out of a new version costs no replica. An engine
+that lacks the memory for both refuses the load; its old weights are then unloaded
+first, provided that another engine serves the model meanwhile.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 def plan_change(
     goal: EngineGoal, status: EngineStatus, *, has_capacity: bool = True
 ) -> Change | None:
-    """:returns: the next change, ``None`` if the engine is as it should be
+    """:returns: the next change, ``None`` if the engine has reached its goal
 
-    :param has_capacity: ``False`` after the engine had no room for a load
+    :param has_capacity: ``False`` after the engine lacked the memory for a load
     """
     missing = sorted(goal.loaded - status.loaded)
     surplus = _find_surplus(goal, status)
@@ -42,7 +42,7 @@
 
 
 def is_done(change: Change, status: EngineStatus) -> bool:
-    """:returns: whether an engine shows the effect of ``change``"""
+    """:returns: whether an engine's report shows the effect of ``change``"""
     if change.action is Action.CHANGE_ROLE:
         return status.role == change.role
     is_loaded = (change.model, change.version, change.adapter) in status.loaded
@@ -54,12 +54,12 @@
 ) -> tuple[str, ...]:
     """:returns: models that the engine no longer serves once ``change`` is done"""
     if change.action is Action.UNLOAD_MODEL:
-        others = {
+        loaded_versions = {
             loaded.version
             for loaded in status.loaded
             if loaded.model == change.model and not loaded.adapter
         }
-        return () if others - {change.version} else (change.model,)
+        return () if loaded_versions - {change.version} else (change.model,)
     if change.action is Action.CHANGE_ROLE:
         return tuple(sorted({loaded.model for loaded in status.loaded}))
     return ()
@@ -71,17 +71,17 @@
     goals: Mapping[str, EngineGoal],
     statuses: Collection[EngineStatus],
 ) -> tuple[str, ...]:
-    """:returns: those of ``models`` that ``engine`` may not give up now
+    """:returns: those of ``models`` that ``engine`` must not stop serving now
 
-    Without this two commanders, each seeing the other engine serve, could take the
-    last two replicas of a model at the same moment. Slots make that rare; this
-    makes it impossible for commanders of one bundle, whatever they believe:
+    Otherwise two commanders, each seeing the other one's engine serve, could unload
+    the last two replicas of a model at the same moment. Slots make that unlikely; this
+    rule rules it out for commanders with the same bundle, whatever members they see:
 
-    * an engine that is as it should be for the model gets no command, so it goes on
-      serving: while there is one, the others may give the model up;
-    * before there is one, all may but the first by name, while that one serves.
+    * an engine that has reached its goal for the model gets no orders and keeps
+      serving, so while there is one, the other engines may stop;
+    * until then all but the first one by name may stop, while that one serves.
 
-    :param statuses: read just now
+    :param statuses: reports read just before the order is sent
     """
     return tuple(
         model
@@ -112,14 +112,14 @@
 
 
 def _has_reached_goal(model: str, goal: EngineGoal, status: EngineStatus) -> bool:
-    """:returns: whether the engine has of ``model`` what it should, and its role"""
+    """:returns: whether the engine has its role and all weights of ``model``"""
     wanted = {loaded for loaded in goal.loaded if loaded.model == model}
     has_role = not goal.role or goal.role == status.role
     return bool(wanted) and wanted <= status.loaded and has_role
 
 
 def _find_surplus(goal: EngineGoal, status: EngineStatus) -> list[LoadedModel]:
-    """:returns: models to unload; their adapters go with them"""
+    """:returns: models to unload; unloading one also unloads its adapters"""
     wanted = {(loaded.model, loaded.version) for loaded in goal.loaded}
     return sorted(
         loaded
--- a/src/quetzaldeck/commands/settings.py
+++ b/src/quetzaldeck/commands/settings.py
@@ -1,4 +1,4 @@
-"""Times of commands to engines."""
+"""Settings of commands to engines: intervals and time-outs."""
 
 from __future__ import annotations
 
@@ -8,35 +8,43 @@
 
 
 class CommandSettings(NamedTuple):
-    """When a commander may act."""
+    """When a commander may send orders, and how long it waits."""
 
     interval_ms: Annotated[
-        int, Option("Time between two looks at the engines.", unit="ms", minimum=20)
+        int,
+        Option(
+            "Interval at which the state of the engines is checked.",
+            unit="ms",
+            minimum=20,
+        ),
     ] = 1_000
     authority_ms: Annotated[
         int,
-        Option("A decision older than this is not sent.", unit="ms", minimum=10),
+        Option("Age above which a decided command is not sent.", unit="ms", minimum=10),
     ] = 2_000
     send_timeout_ms: Annotated[
-        int, Option("Bound on the answer to a command.", unit="ms", minimum=10)
+        int, Option("Time-out of a command.", unit="ms", minimum=10)
     ] = 2_000
     takeover_ms: Annotated[
         int,
         Option(
-            "Wait of a new commander of an engine that ignores fencing tokens.",
+            "Time for which a new commander of an engine that ignores fencing "
+            "tokens sends it nothing.",
             unit="ms",
         ),
     ] = 15_000
     status_ms: Annotated[
-        int, Option("An engine's report older than this is not used.", unit="ms")
+        int, Option("Age above which the report of an engine is ignored.", unit="ms")
     ] = 5_000
     load_timeout_ms: Annotated[
-        int, Option("Longest wait for the weights of one load.", unit="ms")
+        int, Option("Longest time that an engine may take for one load.", unit="ms")
     ] = 900_000
     retry_ms: Annotated[
-        int, Option("First pause after a command that changed nothing.", unit="ms")
+        int, Option("First backoff after a command without effect.", unit="ms")
     ] = 5_000
-    max_retry_ms: Annotated[int, Option("Longest such pause.", unit="ms")] = 600_000
+    max_retry_ms: Annotated[
+        int, Option("Longest backoff after a command without effect.", unit="ms")
+    ] = 600_000
 
 
 __all__ = ("CommandSettings",)
--- a/src/quetzaldeck/commands/slots.py
+++ b/src/quetzaldeck/commands/slots.py
@@ -1,22 +1,22 @@
-"""Which VM may start a load, or take a replica away, at what time. No I/O.
+"""Time slots: which VM may send an order at what time. No I/O.
 
-Load pattern: a new model version is rolled to every engine, from a weight store
-that allows so many loads a minute, by commanders that share no state. Without
-slots each commander would start its loads at once, and two of them could unload
-the last two replicas of a model together.
+Load pattern: commanders that share no state roll a new model version out to every
+engine, from a weight store that allows a limited number of loads per minute. Without
+slots each commander would start all its loads at once, and two commanders could
+unload the last two replicas of a model at the same time.
 
-Time is cut into slots, one for each load that the store allows. The wall clock
-tells every commander the number of the slot, and a hash of the number tells whose
-it is. In a fleet where all know the same members, each slot has one owner:
+Time is divided into slots, one for each load that the store allows. The wall clock
+gives every commander the number of the current slot, and a hash of the number selects
+its owner. While all VMs know the same members, each slot has exactly one owner:
 
-* the hash first picks a member among all that are not dead, suspected ones too. If
-  the member is out of contact the slot belongs to the other side of a partition;
-  so the sides share the rate instead of each using all of it;
-* among the VMs in contact it goes to one that has announced that it needs a slot,
-  so that none is left unused while one commander alone has loads to start.
+* the hash first selects one of the members that are not dead, suspected ones included.
+  If that member is out of contact, the slot belongs to the other side of a partition;
+  so the sides share the rate, rather than each of them using all of it;
+* of the VMs in contact, one that has announced that it needs a slot becomes the owner,
+  so that no slot is wasted while only one commander has loads to start.
 
-An order is started in the middle of a slot only: clocks that differ by less than a
-quarter of a slot never put two orders into one.
+Orders are sent in the middle half of a slot only, so two orders never fall into the
+same slot as long as clocks differ by less than a quarter of a slot.
 """
 
 from __future__ import annotations
@@ -32,19 +32,20 @@
 
 MS_PER_MINUTE = 60_000.0
 GUARD_FRACTION = 0.25
+"""Part of a slot at its start, and again at its end, in which no order is sent."""
 
 
 class SlotPlan:
-    """Slots of one length.
+    """Assigns slots of equal length to VMs.
 
-    :param loads_per_minute: of the weight store, over the whole fleet
+    :param loads_per_minute: limit of the weight store for the whole fleet
     """
 
     def __init__(self, loads_per_minute: float) -> None:
         self._slot_ms = MS_PER_MINUTE / loads_per_minute
 
     def find_usable_slot(self, wall_ms: float) -> int | None:
-        """:returns: number of the slot that may be used now, ``None`` near an edge"""
+        """:returns: number of the current slot, ``None`` close to its start or end"""
         number, offset_ms = divmod(wall_ms, self._slot_ms)
         guard_ms = GUARD_FRACTION * self._slot_ms
         if guard_ms <= offset_ms < self._slot_ms - guard_ms:
@@ -54,9 +55,9 @@
     def is_owner(
         self, number: int, view: MembershipView, needing_slot: Collection[str]
     ) -> bool:
-        """:returns: whether the slot is this VM's
+        """:returns: whether this VM owns the slot
 
-        :param needing_slot: VMs that need a slot, this one included or not
+        :param needing_slot: VMs that need a slot; this VM counts as one in any case
         """
         states = {
             member.vm: member.state
--- a/src/quetzaldeck/commands/state.py
+++ b/src/quetzaldeck/commands/state.py
@@ -1,4 +1,4 @@
-"""What an engine should have and what it reports."""
+"""Goals of engines, derived from the bundle, and the state that they report."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class LoadedModel(NamedTuple):
-    """Weights on an engine.
+    """Weights of a model or adapter that are loaded on an engine.
 
-    :param adapter: ``""`` for the model itself
+    :param adapter: name of the adapter; ``""`` for the model itself
     """
 
     model: str
@@ -22,9 +22,11 @@
 
 
 class EngineGoal(NamedTuple):
-    """What the bundle wants of one engine.
+    """State that the bundle requires of one engine.
 
-    :param role: ``""`` if any role will do
+    :param loaded: weights that it should have, and no others
+    :param role: role that it should have; ``""`` if any will do
+    :param checks_fencing: whether it refuses orders with outdated fencing tokens
     """
 
     engine: str
@@ -34,9 +36,9 @@
 
 
 class EngineStatus(NamedTuple):
-    """What an engine reported.
+    """State that an engine reported.
 
-    :param incarnation: start of the engine
+    :param incarnation: incarnation of the engine
     :param age_ms: age of the report
     """
 
@@ -54,17 +56,17 @@
 def parse_loaded(names: tuple[str, ...]) -> frozenset[LoadedModel]:
     """:returns: the weights named ``model:version`` or ``model:version:adapter``
 
-    Names of another form are left out: they are nothing that a command can name.
+    Names of other forms are left out, since no command can refer to them.
     """
     parts = (tuple(name.split(SEPARATOR)) for name in names)
     return frozenset(LoadedModel(*part) for part in parts if len(part) in (2, 3))
 
 
 def derive_goals(bundle: Bundle) -> dict[str, EngineGoal]:
-    """:returns: the goal of each engine in ``bundle``, by its name
+    """:returns: the goal of each engine in ``bundle``, by the engine's name
 
-    It is a function of the bundle alone: two commanders that hold the same bundle
-    want the same of an engine, whatever else they believe.
+    The goals depend on the bundle alone, so two commanders with the same bundle agree
+    on the goal of an engine even if their views of the fleet differ.
     """
     versions = {model.name: model for model in bundle.models}
     return {
--- a/tests/commands/test_commander.py
+++ b/tests/commands/test_commander.py
@@ -1,4 +1,4 @@
-"""Commanders, engines and their clocks, all moved by the tests."""
+"""Commanders and simulated engines in virtual time."""
 
 from __future__ import annotations
 
@@ -68,9 +68,9 @@
 
 
 class Engine:
-    """An engine that loads at once.
+    """Engine that completes each load immediately.
 
-    :param max_models: models that it has room for
+    :param max_models: number of models that fit into its memory
     """
 
     def __init__(self, *, checks_fencing: bool = True, max_models: int = 9) -> None:
@@ -100,7 +100,7 @@
 
 
 class Node(NamedTuple):
-    """A VM that commands, with what it believes."""
+    """A commanding VM with its own view of the members and its own bundle."""
 
     commander: Commander
     view: MembershipView
@@ -108,14 +108,14 @@
 
 
 class World:
-    """Commanders in front of engines; one look of each VM every step."""
+    """Commanders and engines; each VM decides once per step."""
 
     def __init__(self, clock: ManualClock, engines: dict[str, Engine]) -> None:
         self.clock = clock
         self.engines = engines
         self.nodes: dict[str, Node] = {}
         self.load_times_ms: list[float] = []
-        self.least_serving = len(engines)
+        self.min_serving = len(engines)
         self.n_fenced = 0
 
     def add(self, vm: str, bundle: Bundle, live: Iterable[str] = VMS) -> Node:
@@ -136,7 +136,7 @@
     def run(self, duration_ms: float) -> None:
         for _ in range(round(duration_ms / STEP_MS)):
             self.clock.advance(STEP_MS)
-            # All decide before any of them acts: nobody sees the others' orders.
+            # All decide before any of them acts, so none sees the others' orders.
             decided = [
                 (node, order)
                 for node in self.nodes.values()
@@ -152,11 +152,11 @@
         if order.change.action is Action.LOAD_MODEL:
             self.load_times_ms.append(self.clock.now_ms())
         n_serving = sum(bool(engine.loaded) for engine in self.engines.values())
-        self.least_serving = min(self.least_serving, n_serving)
+        self.min_serving = min(self.min_serving, n_serving)
 
 
 def find_contested(one: str, other: str) -> str:
-    """:returns: an engine that each takes for its own if it misses the other"""
+    """:returns: an engine that each VM commands if it does not see the other one"""
     for number in range(1_000):
         name = f"contested-{number}"
         owners = {
@@ -176,8 +176,8 @@
     return {f"engine-{n}": Engine(**kwargs) for n in range(n_engines)}  # type: ignore[arg-type]
 
 
-def first_order(world: World, vm: str) -> Order:
-    """:returns: the first order of a VM, not carried out"""
+def find_first_order(world: World, vm: str) -> Order:
+    """:returns: the first order that a VM decides on, without sending it"""
     node = world.nodes[vm]
     for _ in range(400):
         order = node.commander.decide(world.state_of(node))
@@ -224,7 +224,7 @@
         (Change(Action.CHANGE_ROLE, role="prefill"), set(), "", False),
     ],
 )
-def test_is_done_reads_the_effect_back(
+def test_is_done_checks_the_reported_effect(
     change: Change, loaded: set[LoadedModel], role: str, *, expected: bool
 ) -> None:
     status = EngineStatus("e", "1", frozenset(loaded), role, 0.0)
@@ -234,7 +234,7 @@
 def test_a_roll_out_reaches_every_engine_within_the_stores_limit(
     clock: ManualClock,
 ) -> None:
-    """Seven commanders roll a version to 17 engines; the store allows 60 a minute."""
+    """Seven commanders roll out to 17 engines; the store allows 60 loads a minute."""
     world = World(clock, make_engines(17))
     for vm in VMS:
         world.add(vm, make_bundle(2, world.engines))
@@ -246,29 +246,29 @@
 
 
 @pytest.mark.parametrize("n_engines", [1, 2, 5])
-def test_the_last_replica_is_never_taken(clock: ManualClock, n_engines: int) -> None:
-    """Engines have room for one version only, so the old one must go first.
+def test_the_last_replica_is_never_unloaded(clock: ManualClock, n_engines: int) -> None:
+    """Engines have memory for one version only, so the old one is unloaded first.
 
-    Two commanders unload the last two replicas at the same moment, each seeing the
-    other one serve: callers of the model find no engine until a load has ended.
+    Guards against two commanders that unload the last two replicas at the same time,
+    each seeing the other one serve: the model is then unavailable until a load ends.
     """
     world = World(clock, make_engines(n_engines, max_models=1))
     for vm in VMS:
         world.add(vm, make_bundle(2, world.engines))
     world.run(300_000)
-    assert world.least_serving >= 1
+    assert world.min_serving >= 1
     expected = {OLD} if n_engines == 1 else {NEW}
     assert all(engine.loaded == expected for engine in world.engines.values())
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_last_replica_is_never_taken_whatever_is_believed(
+def test_the_last_replica_is_never_unloaded_with_differing_views(
     clock: ManualClock, seed: int
 ) -> None:
-    """Each VM believes in other members than its peers, and they change all the time.
+    """Each VM has its own view of the members, and all views change every second.
 
-    So slots have several owners and engines several commanders, which all decide on
-    the same reports and act at once.
+    So slots have several owners and engines have several commanders, which all decide
+    on the same reports and act at the same time.
     """
     random_state = random.Random(seed)
     world = World(clock, make_engines(2 + seed % 3, max_models=1))
@@ -280,30 +280,30 @@
             view = make_view(vm, [name for name in VMS if name not in away])
             world.nodes[vm] = node._replace(view=view)
         world.run(1_000)
-        assert world.least_serving >= 1
+        assert world.min_serving >= 1
     assert all(engine.loaded == {NEW} for engine in world.engines.values())
 
 
-def test_two_commanders_of_one_bundle_do_not_flap_an_engine(
+def test_two_commanders_with_one_bundle_change_an_engine_once(
     clock: ManualClock,
 ) -> None:
-    """Two VMs miss each other and both take themselves for the engine's commander."""
+    """Two VMs do not see each other and both act as the engine's commander."""
     world = World(clock, {find_contested("entry-1", "entry-2"): Engine()})
-    for vm, missed in (("entry-1", "entry-2"), ("entry-2", "entry-1")):
-        world.add(vm, make_bundle(2, world.engines), list_without(missed))
+    for vm, unseen in (("entry-1", "entry-2"), ("entry-2", "entry-1")):
+        world.add(vm, make_bundle(2, world.engines), list_without(unseen))
     world.run(300_000)
     (engine,) = world.engines.values()
     assert engine.states == [{OLD}, {OLD, NEW}, {NEW}]
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
-def test_a_minority_with_an_old_bundle_commands_nothing(
+def test_a_minority_with_an_old_bundle_sends_no_orders(
     clock: ManualClock, *, checks_fencing: bool
 ) -> None:
-    """Three of seven VMs are cut off with bundle 2 while the others roll bundle 3.
+    """Three of seven VMs are cut off with bundle 2 while the others roll out bundle 3.
 
-    Both sides reach the engines. Were both to command, each engine would be turned
-    over between the versions for as long as the cut lasts.
+    Both sides reach the engines. If both sent orders, each engine would alternate
+    between the versions for as long as the partition lasts.
     """
     world = World(clock, make_engines(4, checks_fencing=checks_fencing))
     sides = ((VMS[:3], 2), (VMS[3:], 3))
@@ -317,50 +317,53 @@
         assert engine.loaded == {LoadedModel("plan", "3")}
 
 
-def add_rivals(world: World, *, checks_fencing: bool) -> None:
-    rivals = (("entry-1", "entry-2", 3), ("entry-2", "entry-1", 2))
-    for vm, missed, version in rivals:
+def add_conflicting_commanders(world: World, *, checks_fencing: bool) -> None:
+    commanders = (("entry-1", "entry-2", 3), ("entry-2", "entry-1", 2))
+    for vm, unseen, version in commanders:
         bundle = make_bundle(version, world.engines, checks_fencing=checks_fencing)
-        world.add(vm, bundle, list_without(missed))
+        world.add(vm, bundle, list_without(unseen))
 
 
-def test_an_old_bundle_in_the_majority_is_fenced(clock: ManualClock) -> None:
-    """A VM that missed a bundle takes itself for a commander in a full fleet."""
+def test_orders_of_an_old_bundle_in_the_majority_are_fenced(clock: ManualClock) -> None:
+    """A VM that missed a bundle acts as a commander although it has a majority."""
     engine = Engine()
     world = World(clock, {find_contested("entry-1", "entry-2"): engine})
-    add_rivals(world, checks_fencing=True)
+    add_conflicting_commanders(world, checks_fencing=True)
     world.run(3_600_000)
     assert world.n_fenced
     assert engine.loaded == {LoadedModel("plan", "3")}
     assert len(engine.changes) <= 4
 
 
-def test_an_engine_that_ignores_tokens_is_not_turned_over_for_ever(
+def test_backoff_limits_the_loads_of_an_engine_that_ignores_tokens(
     clock: ManualClock,
 ) -> None:
-    """The same, and the engine takes any token; the stale VM is never told.
+    """Two commanders with different bundles, and an engine that accepts any token.
 
-    Each repetition doubles the pause, so an hour of it costs the engine few loads
-    where one look a second would cost it hundreds.
+    The outdated commander never learns of the newer bundle. As each repetition doubles
+    the backoff, an hour of this costs the engine few loads; one order per second would
+    cost it hundreds.
     """
     engine = Engine(checks_fencing=False)
     world = World(clock, {find_contested("entry-1", "entry-2"): engine})
-    add_rivals(world, checks_fencing=False)
+    add_conflicting_commanders(world, checks_fencing=False)
     world.run(3_600_000)
     assert 4 < len(engine.changes) <= 60
 
 
-def test_a_commander_that_paused_sends_nothing_stale(clock: ManualClock) -> None:
-    """A commander stops between its decision and the sending, for a minute.
+def test_a_paused_commander_does_not_send_its_outdated_order(
+    clock: ManualClock,
+) -> None:
+    """A commander is paused for a minute between its decision and the sending.
 
-    Meanwhile another VM took over and a newer bundle was rolled. On waking it goes
-    on where it stopped: the old order would undo the new version.
+    Meanwhile another VM may have taken over and rolled out a newer bundle. Sent after
+    the pause, the old order would undo the new version.
     """
     world = World(clock, make_engines(1))
     for vm in VMS:
         world.add(vm, make_bundle(2, world.engines))
     owner = choose_owner("engine-0", VMS)
-    order = first_order(world, owner)
+    order = find_first_order(world, owner)
     node = world.nodes[owner]
     clock.advance(60_000)
     refusal = node.commander.find_refusal(order, world.state_of(node))
@@ -378,7 +381,7 @@
     world = World(clock, make_engines(1))
     owner = choose_owner("engine-0", VMS)
     node = world.add(owner, make_bundle(2, world.engines))
-    order = first_order(world, owner)
+    order = find_first_order(world, owner)
     state = world.state_of(node)
     newer = state._replace(bundle=make_bundle(3, world.engines))
     assert node.commander.find_refusal(order, newer) is OrderRefusal.BUNDLE_CHANGED
@@ -387,7 +390,7 @@
     assert refusal is OrderRefusal.NOT_COMMANDER
 
 
-def test_an_engine_that_ignores_tokens_waits_out_the_last_commander(
+def test_a_new_commander_waits_if_the_engine_ignores_tokens(
     clock: ManualClock,
 ) -> None:
     world = World(clock, make_engines(1, checks_fencing=False))
@@ -399,13 +402,13 @@
     assert world.engines["engine-0"].loaded == {NEW}
 
 
-def test_a_commander_whose_clock_is_behind_is_obeyed_in_the_end(
+def test_a_commander_whose_clock_is_behind_is_accepted_eventually(
     clock: ManualClock,
 ) -> None:
-    """The last commander's clock was two minutes ahead, so its token is as well.
+    """The former commander's clock was two minutes ahead, and so was its token.
 
-    Without a new term after each refusal the engine would not be commanded until
-    the clocks have caught up.
+    Without a new term after each refusal the engine would refuse all orders until the
+    clocks have caught up.
     """
     world = World(clock, make_engines(1))
     ahead = (2, round(clock.wall_ms()) + 120_000)
@@ -417,7 +420,7 @@
     assert world.engines["engine-0"].token > ahead
 
 
-def test_a_slot_has_one_owner_also_in_a_partition() -> None:
+def test_a_slot_has_one_owner_even_in_a_partition() -> None:
     plan = SlotPlan(60)
     sides = (VMS[:3], VMS[3:])
     owned = Counter[str]()
@@ -441,8 +444,8 @@
     assert all(plan.is_owner(number, view, {"entry-3"}) for number in range(100))
 
 
-def test_slots_are_not_used_near_their_edges() -> None:
-    """Two clocks differ by a fifth of a slot: they must not meet in one slot."""
+def test_slots_are_not_used_near_their_start_and_end() -> None:
+    """Clocks that differ by a fifth of a slot must not put two orders into one."""
     plan = SlotPlan(60)
     used = [plan.find_usable_slot(ms) for ms in range(0, 1_000, 50)]
     assert used == [None] * 5 + [0] * 10 + [None] * 5
