--- a/src/quetzaldeck/commands/plan.py
+++ b/src/quetzaldeck/commands/plan.py
@@ -102,8 +102,8 @@
         for name, status in serving.items()
     ):
         return True
-    wanted = [name for name, goal in goals.items() if _should_serve(model, goal)]
-    first = min(wanted, default=engine)
+    designated = [name for name, goal in goals.items() if _should_serve(model, goal)]
+    first = min(designated, default=engine)
     return first != engine and first in serving
 
 
@@ -113,18 +113,18 @@
 
 def _has_reached_goal(model: str, goal: EngineGoal, status: EngineStatus) -> bool:
     """:returns: whether the engine has its role and all weights of ``model``"""
-    wanted = {loaded for loaded in goal.loaded if loaded.model == model}
+    required = {loaded for loaded in goal.loaded if loaded.model == model}
     has_role = not goal.role or goal.role == status.role
-    return bool(wanted) and wanted <= status.loaded and has_role
+    return bool(required) and required <= status.loaded and has_role
 
 
 def _find_surplus(goal: EngineGoal, status: EngineStatus) -> list[LoadedModel]:
     """:returns: models to unload; unloading one also unloads its adapters"""
-    wanted = {(loaded.model, loaded.version) for loaded in goal.loaded}
+    required = {(loaded.model, loaded.version) for loaded in goal.loaded}
     return sorted(
         loaded
         for loaded in status.loaded
-        if not loaded.adapter and (loaded.model, loaded.version) not in wanted
+        if not loaded.adapter and (loaded.model, loaded.version) not in required
     )
 
 
--- a/src/quetzaldeck/commands/settings.py
+++ b/src/quetzaldeck/commands/settings.py
@@ -37,7 +37,10 @@
         int, Option("Age above which the report of an engine is ignored.", unit="ms")
     ] = 5_000
     load_timeout_ms: Annotated[
-        int, Option("Longest time that an engine may take for one load.", unit="ms")
+        int,
+        Option(
+            "Longest wait for a load to finish before it is ordered again.", unit="ms"
+        ),
     ] = 900_000
     retry_ms: Annotated[
         int, Option("First backoff after a command without effect.", unit="ms")
--- a/src/quetzaldeck/membership/update.py
+++ b/src/quetzaldeck/membership/update.py
@@ -35,14 +35,14 @@
 }
 
 
-def is_newer(update: MemberUpdate, held: MemberUpdate) -> bool:
-    """:returns: whether ``update`` is newer than ``held``, about the same VM"""
-    if update.incarnation != held.incarnation:
-        start = (update.generation, update.incarnation)
-        return start > (held.generation, held.incarnation)
-    if held.state is MemberState.LEAVING:
+def is_newer(update: MemberUpdate, current: MemberUpdate) -> bool:
+    """:returns: whether ``update`` is newer than ``current``, about the same VM"""
+    if update.incarnation != current.incarnation:
+        order = (update.generation, update.incarnation)
+        return order > (current.generation, current.incarnation)
+    if current.state is MemberState.LEAVING:
         return update.state is MemberState.DEAD
-    return _rank(update) > _rank(held)
+    return _rank(update) > _rank(current)
 
 
 def _rank(update: MemberUpdate) -> tuple[int, int, int]:
--- a/tests/commands/test_commander.py
+++ b/tests/commands/test_commander.py
@@ -67,7 +67,7 @@
     return Bundle(version, 1, models, upstreams=upstreams)
 
 
-class Engine:
+class SimulatedEngine:
     """Engine that completes each load immediately.
 
     :param max_models: number of models that fit into its memory
@@ -81,7 +81,7 @@
         self.changes: list[Change] = []
         self.states = [{OLD}]
 
-    def take(self, order: Order) -> OrderOutcome:
+    def handle(self, order: Order) -> OrderOutcome:
         if order.token < self.token and self.checks_fencing:
             return OrderOutcome.FENCED
         change = order.change
@@ -107,10 +107,10 @@
     bundle: Bundle
 
 
-class World:
+class SimulatedFleet:
     """Commanders and engines; each VM decides once per step."""
 
-    def __init__(self, clock: ManualClock, engines: dict[str, Engine]) -> None:
+    def __init__(self, clock: ManualClock, engines: dict[str, SimulatedEngine]) -> None:
         self.clock = clock
         self.engines = engines
         self.nodes: dict[str, Node] = {}
@@ -146,7 +146,7 @@
                 self._act(node, order)
 
     def _act(self, node: Node, order: Order) -> None:
-        outcome = self.engines[order.engine].take(order)
+        outcome = self.engines[order.engine].handle(order)
         self.n_fenced += outcome is OrderOutcome.FENCED
         node.commander.note_outcome(order, outcome)
         if order.change.action is Action.LOAD_MODEL:
@@ -160,8 +160,8 @@
     for number in range(1_000):
         name = f"contested-{number}"
         owners = {
-            choose_owner(name, [vm for vm in VMS if vm != away])
-            for away in (one, other)
+            choose_owner(name, [vm for vm in VMS if vm != unseen])
+            for unseen in (one, other)
         }
         if owners == {one, other}:
             return name
@@ -172,18 +172,18 @@
     return [name for name in VMS if name != vm]
 
 
-def make_engines(n_engines: int, **kwargs: int | bool) -> dict[str, Engine]:
-    return {f"engine-{n}": Engine(**kwargs) for n in range(n_engines)}  # type: ignore[arg-type]
+def make_engines(n_engines: int, **kwargs: int | bool) -> dict[str, SimulatedEngine]:
+    return {f"engine-{n}": SimulatedEngine(**kwargs) for n in range(n_engines)}  # type: ignore[arg-type]
 
 
-def find_first_order(world: World, vm: str) -> Order:
+def find_first_order(fleet: SimulatedFleet, vm: str) -> Order:
     """:returns: the first order that a VM decides on, without sending it"""
-    node = world.nodes[vm]
+    node = fleet.nodes[vm]
     for _ in range(400):
-        order = node.commander.decide(world.state_of(node))
+        order = node.commander.decide(fleet.state_of(node))
         if order is not None:
             return order
-        world.clock.advance(STEP_MS)
+        fleet.clock.advance(STEP_MS)
     raise AssertionError(vm)
 
 
@@ -192,17 +192,17 @@
         "e", frozenset({NEW, NEW._replace(adapter="x")}), "", checks_fencing=True
     )
     loaded = {OLD}
-    done = []
+    actions = []
     while (
         change := plan_change(goal, EngineStatus("e", "1", frozenset(loaded), "", 0))
     ) is not None:
-        done.append(change.action)
+        actions.append(change.action)
         weights = LoadedModel(change.model, change.version, change.adapter)
         if change.action is Action.UNLOAD_MODEL:
             loaded.discard(weights)
         else:
             loaded.add(weights)
-    assert done == [Action.LOAD_MODEL, Action.LOAD_ADAPTER, Action.UNLOAD_MODEL]
+    assert actions == [Action.LOAD_MODEL, Action.LOAD_ADAPTER, Action.UNLOAD_MODEL]
     assert loaded == goal.loaded
 
 
@@ -235,13 +235,13 @@
     clock: ManualClock,
 ) -> None:
     """Seven commanders roll out to 17 engines; the store allows 60 loads a minute."""
-    world = World(clock, make_engines(17))
+    fleet = SimulatedFleet(clock, make_engines(17))
     for vm in VMS:
-        world.add(vm, make_bundle(2, world.engines))
-    world.run(120_000)
-    assert all(engine.loaded == {NEW} for engine in world.engines.values())
-    per_minute = Counter(int(at_ms // 60_000) for at_ms in world.load_times_ms)
-    assert len(world.load_times_ms) == 17
+        fleet.add(vm, make_bundle(2, fleet.engines))
+    fleet.run(120_000)
+    assert all(engine.loaded == {NEW} for engine in fleet.engines.values())
+    per_minute = Counter(int(at_ms // 60_000) for at_ms in fleet.load_times_ms)
+    assert len(fleet.load_times_ms) == 17
     assert max(per_minute.values()) <= 60
 
 
@@ -252,13 +252,13 @@
     Guards against two commanders that unload the last two replicas at the same time,
     each seeing the other one serve: the model is then unavailable until a load ends.
     """
-    world = World(clock, make_engines(n_engines, max_models=1))
+    fleet = SimulatedFleet(clock, make_engines(n_engines, max_models=1))
     for vm in VMS:
-        world.add(vm, make_bundle(2, world.engines))
-    world.run(300_000)
-    assert world.min_serving >= 1
+        fleet.add(vm, make_bundle(2, fleet.engines))
+    fleet.run(300_000)
+    assert fleet.min_serving >= 1
     expected = {OLD} if n_engines == 1 else {NEW}
-    assert all(engine.loaded == expected for engine in world.engines.values())
+    assert all(engine.loaded == expected for engine in fleet.engines.values())
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -271,28 +271,30 @@
     on the same reports and act at the same time.
     """
     random_state = random.Random(seed)
-    world = World(clock, make_engines(2 + seed % 3, max_models=1))
+    fleet = SimulatedFleet(clock, make_engines(2 + seed % 3, max_models=1))
     for vm in VMS:
-        world.add(vm, make_bundle(2, world.engines))
+        fleet.add(vm, make_bundle(2, fleet.engines))
     for _ in range(120):
-        for vm, node in world.nodes.items():
-            away = set(random_state.sample(VMS, random_state.randint(0, 3))) - {vm}
-            view = make_view(vm, [name for name in VMS if name not in away])
-            world.nodes[vm] = node._replace(view=view)
-        world.run(1_000)
-        assert world.min_serving >= 1
-    assert all(engine.loaded == {NEW} for engine in world.engines.values())
+        for vm, node in fleet.nodes.items():
+            unseen = set(random_state.sample(VMS, random_state.randint(0, 3))) - {vm}
+            view = make_view(vm, [name for name in VMS if name not in unseen])
+            fleet.nodes[vm] = node._replace(view=view)
+        fleet.run(1_000)
+        assert fleet.min_serving >= 1
+    assert all(engine.loaded == {NEW} for engine in fleet.engines.values())
 
 
 def test_two_commanders_with_one_bundle_change_an_engine_once(
     clock: ManualClock,
 ) -> None:
     """Two VMs do not see each other and both act as the engine's commander."""
-    world = World(clock, {find_contested("entry-1", "entry-2"): Engine()})
+    fleet = SimulatedFleet(
+        clock, {find_contested("entry-1", "entry-2"): SimulatedEngine()}
+    )
     for vm, unseen in (("entry-1", "entry-2"), ("entry-2", "entry-1")):
-        world.add(vm, make_bundle(2, world.engines), list_without(unseen))
-    world.run(300_000)
-    (engine,) = world.engines.values()
+        fleet.add(vm, make_bundle(2, fleet.engines), list_without(unseen))
+    fleet.run(300_000)
+    (engine,) = fleet.engines.values()
     assert engine.states == [{OLD}, {OLD, NEW}, {NEW}]
 
 
@@ -305,32 +307,32 @@
     Both sides reach the engines. If both sent orders, each engine would alternate
     between the versions for as long as the partition lasts.
     """
-    world = World(clock, make_engines(4, checks_fencing=checks_fencing))
+    fleet = SimulatedFleet(clock, make_engines(4, checks_fencing=checks_fencing))
     sides = ((VMS[:3], 2), (VMS[3:], 3))
     for side, version in sides:
         for vm in side:
-            bundle = make_bundle(version, world.engines, checks_fencing=checks_fencing)
-            world.add(vm, bundle, side)
-    world.run(300_000)
-    for engine in world.engines.values():
+            bundle = make_bundle(version, fleet.engines, checks_fencing=checks_fencing)
+            fleet.add(vm, bundle, side)
+    fleet.run(300_000)
+    for engine in fleet.engines.values():
         assert len(engine.changes) == 2
         assert engine.loaded == {LoadedModel("plan", "3")}
 
 
-def add_conflicting_commanders(world: World, *, checks_fencing: bool) -> None:
+def add_conflicting_commanders(fleet: SimulatedFleet, *, checks_fencing: bool) -> None:
     commanders = (("entry-1", "entry-2", 3), ("entry-2", "entry-1", 2))
     for vm, unseen, version in commanders:
-        bundle = make_bundle(version, world.engines, checks_fencing=checks_fencing)
-        world.add(vm, bundle, list_without(unseen))
+        bundle = make_bundle(version, fleet.engines, checks_fencing=checks_fencing)
+        fleet.add(vm, bundle, list_without(unseen))
 
 
 def test_orders_of_an_old_bundle_in_the_majority_are_fenced(clock: ManualClock) -> None:
     """A VM that missed a bundle acts as a commander although it has a majority."""
-    engine = Engine()
-    world = World(clock, {find_contested("entry-1", "entry-2"): engine})
-    add_conflicting_commanders(world, checks_fencing=True)
-    world.run(3_600_000)
-    assert world.n_fenced
+    engine = SimulatedEngine()
+    fleet = SimulatedFleet(clock, {find_contested("entry-1", "entry-2"): engine})
+    add_conflicting_commanders(fleet, checks_fencing=True)
+    fleet.run(3_600_000)
+    assert fleet.n_fenced
     assert engine.loaded == {LoadedModel("plan", "3")}
     assert len(engine.changes) <= 4
 
@@ -344,10 +346,10 @@
     the backoff, an hour of this costs the engine few loads; one order per second would
     cost it hundreds.
     """
-    engine = Engine(checks_fencing=False)
-    world = World(clock, {find_contested("entry-1", "entry-2"): engine})
-    add_conflicting_commanders(world, checks_fencing=False)
-    world.run(3_600_000)
+    engine = SimulatedEngine(checks_fencing=False)
+    fleet = SimulatedFleet(clock, {find_contested("entry-1", "entry-2"): engine})
+    add_conflicting_commanders(fleet, checks_fencing=False)
+    fleet.run(3_600_000)
     assert 4 < len(engine.changes) <= 60
 
 
@@ -359,31 +361,31 @@
     Meanwhile another VM may have taken over and rolled out a newer bundle. Sent after
     the pause, the old order would undo the new version.
     """
-    world = World(clock, make_engines(1))
+    fleet = SimulatedFleet(clock, make_engines(1))
     for vm in VMS:
-        world.add(vm, make_bundle(2, world.engines))
+        fleet.add(vm, make_bundle(2, fleet.engines))
     owner = choose_owner("engine-0", VMS)
-    order = find_first_order(world, owner)
-    node = world.nodes[owner]
+    order = find_first_order(fleet, owner)
+    node = fleet.nodes[owner]
     clock.advance(60_000)
-    refusal = node.commander.find_refusal(order, world.state_of(node))
+    refusal = node.commander.find_refusal(order, fleet.state_of(node))
     assert refusal is OrderRefusal.PAUSED
     node.commander.note_pause()
     until_ms = clock.now_ms() + SETTINGS.takeover_ms
     while clock.now_ms() < until_ms:
-        assert node.commander.decide(world.state_of(node)) is None
+        assert node.commander.decide(fleet.state_of(node)) is None
         clock.advance(STEP_MS)
 
 
 def test_an_order_is_dropped_when_the_bundle_or_the_commander_changed(
     clock: ManualClock,
 ) -> None:
-    world = World(clock, make_engines(1))
+    fleet = SimulatedFleet(clock, make_engines(1))
     owner = choose_owner("engine-0", VMS)
-    node = world.add(owner, make_bundle(2, world.engines))
-    order = find_first_order(world, owner)
-    state = world.state_of(node)
-    newer = state._replace(bundle=make_bundle(3, world.engines))
+    node = fleet.add(owner, make_bundle(2, fleet.engines))
+    order = find_first_order(fleet, owner)
+    state = fleet.state_of(node)
+    newer = state._replace(bundle=make_bundle(3, fleet.engines))
     assert node.commander.find_refusal(order, newer) is OrderRefusal.BUNDLE_CHANGED
     cut_off = state._replace(view=make_view(owner, [owner]))
     refusal = node.commander.find_refusal(order, cut_off)
@@ -393,13 +395,13 @@
 def test_a_new_commander_waits_if_the_engine_ignores_tokens(
     clock: ManualClock,
 ) -> None:
-    world = World(clock, make_engines(1, checks_fencing=False))
+    fleet = SimulatedFleet(clock, make_engines(1, checks_fencing=False))
     for vm in VMS:
-        world.add(vm, make_bundle(2, world.engines, checks_fencing=False))
-    world.run(SETTINGS.takeover_ms - STEP_MS)
-    assert not world.engines["engine-0"].changes
-    world.run(60_000)
-    assert world.engines["engine-0"].loaded == {NEW}
+        fleet.add(vm, make_bundle(2, fleet.engines, checks_fencing=False))
+    fleet.run(SETTINGS.takeover_ms - STEP_MS)
+    assert not fleet.engines["engine-0"].changes
+    fleet.run(60_000)
+    assert fleet.engines["engine-0"].loaded == {NEW}
 
 
 def test_a_commander_whose_clock_is_behind_is_accepted_eventually(
@@ -410,14 +412,14 @@
     Without a new term after each refusal the engine would refuse all orders until the
     clocks have caught up.
     """
-    world = World(clock, make_engines(1))
+    fleet = SimulatedFleet(clock, make_engines(1))
     ahead = (2, round(clock.wall_ms()) + 120_000)
-    world.engines["engine-0"].token = ahead
+    fleet.engines["engine-0"].token = ahead
     for vm in VMS:
-        world.add(vm, make_bundle(2, world.engines))
-    world.run(600_000)
-    assert world.engines["engine-0"].loaded == {NEW}
-    assert world.engines["engine-0"].token > ahead
+        fleet.add(vm, make_bundle(2, fleet.engines))
+    fleet.run(600_000)
+    assert fleet.engines["engine-0"].loaded == {NEW}
+    assert fleet.engines["engine-0"].token > ahead
 
 
 def test_a_slot_has_one_owner_even_in_a_partition() -> None:
--- a/tests/membership/test_convergence.py
+++ b/tests/membership/test_convergence.py
@@ -36,7 +36,7 @@
     membership: Membership
 
 
-class World:
+class SimulatedFleet:
     """A fleet of agents in virtual time; each probes one peer per second."""
 
     def __init__(self, seed: int) -> None:
@@ -114,12 +114,12 @@
         if not self._can_talk(node.vm, vm):
             return False
         peer = self.nodes[vm]
-        asked = (node.membership.own_update, *node.membership.take_updates(vm))
+        request = (node.membership.own_update, *node.membership.take_updates(vm))
         peer.membership.note_message(node.vm, node.incarnation)
-        peer.membership.merge(asked)
-        answered = (peer.membership.own_update, *peer.membership.take_updates(node.vm))
+        peer.membership.merge(request)
+        answer = (peer.membership.own_update, *peer.membership.take_updates(node.vm))
         node.membership.note_message(vm, peer.incarnation, is_answer=True)
-        node.membership.merge(answered)
+        node.membership.merge(answer)
         return True
 
     def list_incarnations(self, node: Node) -> dict[str, str]:
@@ -133,28 +133,28 @@
     An agent that kept a dead VM, lost a live one or kept a former incarnation would
     permanently choose another commander, voter or engine reader than its peers.
     """
-    world = World(seed)
+    fleet = SimulatedFleet(seed)
     for _ in range(N_EVENTS):
-        for _ in range(world.random.randint(0, 10)):
-            world.step()
-        world.disturb()
-    world.cut_off = set()
-    world.loss_rate = 0.0
+        for _ in range(fleet.random.randint(0, 10)):
+            fleet.step()
+        fleet.disturb()
+    fleet.cut_off = set()
+    fleet.loss_rate = 0.0
     for _ in range(SETTLING_STEPS):
-        world.step()
-    actual = {node.vm: node.incarnation for node in world.nodes.values()}
-    for node in world.nodes.values():
-        assert world.list_incarnations(node) == actual
+        fleet.step()
+    actual = {node.vm: node.incarnation for node in fleet.nodes.values()}
+    for node in fleet.nodes.values():
+        assert fleet.list_incarnations(node) == actual
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_partition_confirms_no_listed_vm_dead(seed: int) -> None:
-    world = World(seed)
+    fleet = SimulatedFleet(seed)
     for _ in range(30):
-        world.step()
-    world.cut_off = {"entry-0", "entry-1", "entry-2", "entry-3"}
+        fleet.step()
+    fleet.cut_off = {"entry-0", "entry-1", "entry-2", "entry-3"}
     for _ in range(900):
-        world.step()
-    for node in world.nodes.values():
+        fleet.step()
+    for node in fleet.nodes.values():
         states = {member.state for member in node.membership.view.members}
         assert MemberState.DEAD not in states
