--- a/src/quetzaldeck/commands/commander.py
+++ b/src/quetzaldeck/commands/commander.py
@@ -1,7 +1,7 @@
-"""What one VM orders of the engines it commands. No I/O.
+"""Decides which orders one VM sends to the engines that it commands. No I/O.
 
-The agent feeds it the members, the bundle and the engines' reports, sends the order
-it gives, after reading the engines concerned once more, and tells it the outcome.
+The agent passes it the members, the bundle and the engines' reports. Before it sends
+an order it reads the affected engines once more; then it reports the outcome back.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from quetzaldeck.bundle.document import Bundle
 from quetzaldeck.commands.authority import CommandAuthority
-from quetzaldeck.commands.order import LOADS, Order
+from quetzaldeck.commands.order import LOAD_ACTIONS, Order
 from quetzaldeck.commands.plan import find_unsafe_models, list_lost_models, plan_change
 from quetzaldeck.commands.retries import OrderRetries
 from quetzaldeck.commands.slots import SlotPlan
@@ -27,7 +27,7 @@
 
 
 class OrderOutcome(StrEnum):
-    """What became of an order, as counted."""
+    """Outcome of an order that was sent, as reported in metrics."""
 
     ACCEPTED = "accepted"
     NOT_FOLLOWED = "not_followed"
@@ -38,7 +38,7 @@
 
 
 class OrderRefusal(StrEnum):
-    """Why an order is not sent after all, as counted."""
+    """Why an order is withheld after its decision, as reported in metrics."""
 
     PAUSED = "paused"
     BUNDLE_CHANGED = "bundle_changed"
@@ -49,60 +49,64 @@
 
 
 class FleetState(NamedTuple):
-    """What a decision is based on.
+    """State on which a decision is based.
 
-    :param announced: VMs that need a slot
-    :param leaving: upstreams that leave; they serve no model for long
+    :param needing_slot: VMs that have announced that they need a slot
+    :param leaving: upstreams that are leaving: they get no orders and do not count
+        as replicas
     """
 
     view: MembershipView
     bundle: Bundle
     statuses: Mapping[str, EngineStatus]
-    announced: frozenset[str]
+    needing_slot: frozenset[str]
     leaving: frozenset[str] = frozenset()
 
 
 class Commander:
-    """Decides for one VM; see the modules it joins for the reasons."""
+    """Decides the orders of one VM.
+
+    Combines authority, goals, slots and retries; their modules give the reasons.
+    """
 
     def __init__(self, vm: str, clock: Clock, settings: CommandSettings) -> None:
         self._clock = clock
         self._settings = settings
         self._authority = CommandAuthority(vm, clock, settings)
         self._retries = OrderRetries(clock, settings)
-        self._without_room: set[tuple[str, int]] = set()
+        self._without_capacity: set[tuple[str, int]] = set()
         self._needs_slot = False
         self._goals_version = 0
         self._goals: dict[str, EngineGoal] = {}
 
     @property
     def needs_slot(self) -> bool:
-        """:returns: whether an order waits for a slot; to be announced to peers"""
+        """:returns: whether this VM has orders to send, to be announced to peers"""
         return self._needs_slot
 
     @property
     def n_repeated(self) -> int:
-        """:returns: orders that had to be given again"""
+        """:returns: number of orders that had to be sent again"""
         return self._retries.n_repeated
 
     def decide(self, state: FleetState) -> Order | None:
-        """:returns: the next order to send, ``None`` if there is none now"""
+        """:returns: the next order to send, ``None`` if none can be sent now"""
         bundle = state.bundle
-        self._retries.start_bundle(bundle.version)
+        self._retries.reset_for_bundle(bundle.version)
         goals = self._find_goals(bundle)
         self._authority.update(frozenset(goals), state.view)
-        wanted = [
+        orders = [
             order
             for name in sorted(goals)
-            if (order := self._want(name, state)) is not None
+            if (order := self._plan_order(name, state)) is not None
         ]
-        self._needs_slot = bool(wanted)
-        for order in wanted:
+        self._needs_slot = bool(orders)
+        for order in orders:
             if self.find_refusal(order, state) is None:
                 return order
         return None
 
-    def _want(self, engine: str, state: FleetState) -> Order | None:
+    def _plan_order(self, engine: str, state: FleetState) -> Order | None:
         bundle = state.bundle
         goal = self._find_goals(bundle)[engine]
         status = state.statuses.get(engine)
@@ -111,11 +115,11 @@
             return None
         if status.age_ms > self._settings.status_ms:
             return None
-        has_room = (engine, bundle.version) not in self._without_room
-        change = plan_change(goal, status, has_room=has_room)
+        has_capacity = (engine, bundle.version) not in self._without_capacity
+        change = plan_change(goal, status, has_capacity=has_capacity)
         if change is None:
             return None
-        if not self._retries.may_give(engine, status.incarnation, change):
+        if not self._retries.may_send(engine, status.incarnation, change):
             return None
         return Order(
             engine,
@@ -128,15 +132,15 @@
         )
 
     def find_refusal(self, order: Order, state: FleetState) -> OrderRefusal | None:
-        """Check an order against the state as of now, immediately before sending.
+        """Check an order against the current state, immediately before it is sent.
 
-        A process can pause between any two steps; what it decided may be an hour
-        old when it goes on. Both clocks are read: the monotonic one stands still
-        while some hosts are suspended.
+        The process may be paused between any two steps, so that a decision is an hour
+        old when it resumes. Both clocks are compared, since on some hosts the
+        monotonic one stops while they are suspended.
 
-        :returns: why it must not be sent, ``None`` if it may
+        :returns: why the order must not be sent, ``None`` if it may be
         """
-        if self._is_late(order):
+        if self._is_stale(order):
             return OrderRefusal.PAUSED
         if order.bundle_version != state.bundle.version:
             return OrderRefusal.BUNDLE_CHANGED
@@ -152,21 +156,26 @@
     def _check_engines(self, order: Order, state: FleetState) -> OrderRefusal | None:
         goal = self._find_goals(state.bundle)[order.engine]
         status = state.statuses.get(order.engine)
-        has_room = (order.engine, order.bundle_version) not in self._without_room
-        if status is None or plan_change(goal, status, has_room=has_room) != (
+        has_capacity = (
+            order.engine,
+            order.bundle_version,
+        ) not in self._without_capacity
+        if status is None or plan_change(goal, status, has_capacity=has_capacity) != (
             order.change
         ):
             return OrderRefusal.CHANGED_MEANWHILE
-        fresh = [
+        recent = [
             other
             for other in state.statuses.values()
             if other.age_ms <= self._settings.status_ms
             and other.engine not in state.leaving
         ]
-        lost = list_lost_models(order.change, goal, status)
+        lost_models = list_lost_models(order.change, goal, status)
         served = {model.name for model in state.bundle.models}
         goals = self._find_goals(state.bundle)
-        if find_unsafe_models(served.intersection(lost), order.engine, goals, fresh):
+        if find_unsafe_models(
+            served.intersection(lost_models), order.engine, goals, recent
+        ):
             return OrderRefusal.LAST_REPLICA
         return None
 
@@ -176,7 +185,7 @@
             self._goals = derive_goals(bundle)
         return self._goals
 
-    def _is_late(self, order: Order) -> bool:
+    def _is_stale(self, order: Order) -> bool:
         elapsed_ms = max(
             self._clock.now_ms() - order.decided_ms,
             self._clock.wall_ms() - order.decided_wall_ms,
@@ -185,33 +194,35 @@
 
     def _owns_slot(self, state: FleetState) -> bool:
         plan = SlotPlan(state.bundle.weight_loads_per_minute)
-        number = plan.number_at(self._clock.wall_ms())
+        number = plan.find_usable_slot(self._clock.wall_ms())
         if number is None:
             return False
-        return plan.is_owner(number, state.view, state.announced)
+        return plan.is_owner(number, state.view, state.needing_slot)
 
     def note_outcome(self, order: Order, outcome: OrderOutcome) -> None:
-        """Learn what became of an order that was sent."""
+        """Record the outcome of an order that was sent."""
         if outcome is OrderOutcome.FENCED:
-            self._authority.renew(order.engine)
+            self._authority.start_new_term(order.engine)
         elif outcome is OrderOutcome.NO_ROOM:
-            self._without_room.add((order.engine, order.bundle_version))
-        is_load = outcome is OrderOutcome.ACCEPTED and order.change.action in LOADS
+            self._without_capacity.add((order.engine, order.bundle_version))
+        is_load = (
+            outcome is OrderOutcome.ACCEPTED and order.change.action in LOAD_ACTIONS
+        )
         wait_ms = self._settings.load_timeout_ms if is_load else 0.0
-        self._retries.note_given(order, wait_ms=wait_ms)
+        self._retries.note_sent(order, wait_ms=wait_ms)
 
     def note_pause(self) -> None:
-        """Learn that this process has paused: others may have taken over."""
+        """Record that this process was paused: other VMs may have taken over."""
         self._authority.note_pause()
 
 
-def list_concerned(order: Order, bundle: Bundle) -> Collection[str]:
+def list_engines_to_read(order: Order, bundle: Bundle) -> Collection[str]:
     """:returns: engines to read once more before the order is sent
 
-    The engine itself, and for an order that takes models away also all others that
-    should serve them: reports that came by gossip may be seconds old.
+    These are the engine itself and, unless the order is a load, all engines that
+    should serve its models: their reports arrived by gossip and may be seconds old.
     """
-    if order.change.action in LOADS:
+    if order.change.action in LOAD_ACTIONS:
         return (order.engine,)
     models = {
         model
@@ -231,5 +242,5 @@
     "FleetState",
     "OrderOutcome",
     "OrderRefusal",
-    "list_concerned",
+    "list_engines_to_read",
 )
