--- a/src/quetzaldeck/agent/claim_desk.py
+++ b/src/quetzaldeck/agent/claim_desk.py
@@ -10,12 +10,12 @@
 from quetzaldeck.agent.claim_holds import ClaimHolds
 from quetzaldeck.claims import (
     Claim,
-    ClaimBook,
-    ClaimRound,
-    HoldState,
+    ClaimState,
+    ClaimTracker,
     Release,
     Vote,
     VoteRequest,
+    VoteTally,
     hash_claim_key,
     read_key_time,
 )
@@ -69,7 +69,7 @@
         self._settings = settings
         self._metrics = metrics
         self._random = random_state
-        self._book = ClaimBook(clock, settings)
+        self._book = ClaimTracker(clock, settings)
         self._holds = ClaimHolds(
             vm=vm,
             book=self._book,
@@ -81,7 +81,7 @@
         self._orders: dict[str, Claim] = {}
 
     @property
-    def book(self) -> ClaimBook:
+    def book(self) -> ClaimTracker:
         """:returns: this VM's claims"""
         return self._book
 
@@ -152,7 +152,7 @@
             await asyncio.sleep(self._random.uniform(0.2, 1) * BACKOFF_MS / 1_000)
         return self._refuse(_no_quorum(counted))
 
-    async def _hold_round(self, order: ClaimOrder, n_round: int) -> ClaimRound:
+    async def _hold_round(self, order: ClaimOrder, n_round: int) -> VoteTally:
         """Ask the voters; a round that is not won is given up at once."""
         claim = Claim(
             hash_claim_key(order.customer, order.key),
@@ -165,7 +165,7 @@
             del self._orders[next(iter(self._orders))]
         self._orders[order.order_id] = claim
         self._book.begin(claim)
-        counted = ClaimRound(claim)
+        counted = VoteTally(claim)
         request = VoteRequest(claim, read_key_time(order.key))
         counted.add(self._groups.find(claim.key).vote(request))
         await self._ask_voters(counted, request)
@@ -173,9 +173,9 @@
             await self._abandon(order.order_id)
         return counted
 
-    async def _ask_voters(self, counted: ClaimRound, request: VoteRequest) -> None:
+    async def _ask_voters(self, counted: VoteTally, request: VoteRequest) -> None:
         asked = frozenset({self._vm})
-        wanted = self._groups.find(request.claim.key).electors
+        wanted = self._groups.find(request.claim.key).voters_to_ask
         while wanted and not counted.is_won:
             asked |= wanted
             votes = self._peers.ask_each(
@@ -193,7 +193,7 @@
         if claim is None:
             return
         self._book.abandon(claim.claim_id)
-        if self._book.find(claim.claim_id).state is HoldState.ABANDONED:
+        if self._book.find(claim.claim_id).state is ClaimState.ABANDONED:
             self._release(claim)
         await self._holds.notify()
 
@@ -203,7 +203,7 @@
         voter.release(release)
         self._peers.start(
             self._peers.ask_all(
-                voter.electors,
+                voter.voters_to_ask,
                 "claim-release",
                 _encode(release),
                 self._settings.vote_timeout_ms,
@@ -211,7 +211,7 @@
         )
 
     async def _attach(
-        self, counted: ClaimRound, deadline_ms: float
+        self, counted: VoteTally, deadline_ms: float
     ) -> ClaimDecision | None:
         """Wait for the holders' end of the call.
 
@@ -222,9 +222,9 @@
             hold = await self._holds.read(holder, deadline_ms)
             if hold.answer is not None:
                 return ClaimDecision(ClaimVerdict.ANSWERED, answer=hold.answer)
-            if hold.state is HoldState.ABANDONED:
+            if hold.state is ClaimState.ABANDONED:
                 self._release(holder)
-            elif hold.state is HoldState.FINISHED:
+            elif hold.state is ClaimState.FINISHED:
                 return self._refuse(Failure(Reason.KEY_FINISHED, Ran.UNKNOWN))
             else:
                 detail = f"VM {holder.vm} holds the key; its answer is not known here"
@@ -238,7 +238,7 @@
         return ClaimDecision(ClaimVerdict.REFUSED, failure=failure)
 
 
-def _no_quorum(counted: ClaimRound) -> Failure:
+def _no_quorum(counted: VoteTally) -> Failure:
     why = "; ".join(counted.reasons) or "too few voters answered"
     retry_after_ms = max(counted.retry_after_ms, RETRY_AFTER_MS)
     detail = f"no majority of VMs could confirm that the call has not run: {why}"
--- a/src/quetzaldeck/agent/claim_holds.py
+++ b/src/quetzaldeck/agent/claim_holds.py
@@ -7,15 +7,15 @@
 
 import msgspec
 
-from quetzaldeck.claims import Claim, Hold, HoldState
-from quetzaldeck.claims.wire import AnswerHandover, HoldRequest
+from quetzaldeck.claims import Claim, ClaimState, ClaimStatus
+from quetzaldeck.claims.claimant_messages import AnswerHandover, ClaimStatusRequest
 from quetzaldeck.http import decode_body
 
 if TYPE_CHECKING:
     import random
 
     from quetzaldeck.agent.claim_peers import ClaimPeers
-    from quetzaldeck.claims import ClaimBook, ClaimSettings
+    from quetzaldeck.claims import ClaimSettings, ClaimTracker
     from quetzaldeck.clock import Clock
     from quetzaldeck.peers import PeerIdentity
 
@@ -25,8 +25,8 @@
 N_ANSWER_KEEPERS = 2
 """VMs that take over the answers of one that leaves: one may leave right after it."""
 
-_HOLD = msgspec.json.Decoder(Hold)
-_HOLD_REQUEST = msgspec.json.Decoder(HoldRequest)
+_HOLD = msgspec.json.Decoder(ClaimStatus)
+_HOLD_REQUEST = msgspec.json.Decoder(ClaimStatusRequest)
 _HANDOVER = msgspec.json.Decoder(AnswerHandover)
 _encode = msgspec.json.encode
 
@@ -42,7 +42,7 @@
         self,
         *,
         vm: str,
-        book: ClaimBook,
+        book: ClaimTracker,
         peers: ClaimPeers,
         clock: Clock,
         settings: ClaimSettings,
@@ -75,21 +75,25 @@
             if n_keepers == N_ANSWER_KEEPERS:
                 return
 
-    async def read(self, holder: Claim, deadline_ms: float) -> Hold:
+    async def read(self, holder: Claim, deadline_ms: float) -> ClaimStatus:
         """:returns: where a claim stands, once its call has ended or time is up"""
         left_ms = deadline_ms - self._clock.now_ms() - 2 * ATTACH_MARGIN_MS
-        request = HoldRequest(holder.claim_id, max(0.0, left_ms))
+        request = ClaimStatusRequest(holder.claim_id, max(0.0, left_ms))
         if holder.vm == self._vm:
             return await self._wait_hold(request)
         timeout_ms = request.wait_ms + ATTACH_MARGIN_MS
         body = _encode(request)
         reply = await self._peers.ask(holder.vm, "claim-hold", body, timeout_ms)
-        hold = Hold(HoldState.UNKNOWN) if reply is None else decode_body(reply, _HOLD)
-        if hold.state is not HoldState.UNKNOWN:
+        hold = (
+            ClaimStatus(ClaimState.UNKNOWN)
+            if reply is None
+            else decode_body(reply, _HOLD)
+        )
+        if hold.state is not ClaimState.UNKNOWN:
             return hold
         return await self._find_kept(holder)
 
-    async def _find_kept(self, holder: Claim) -> Hold:
+    async def _find_kept(self, holder: Claim) -> ClaimStatus:
         """:returns: the claim's end from a VM that took it over, if there is one"""
         own = self._book.find(holder.claim_id)
         if own.answer is not None:
@@ -97,14 +101,14 @@
         replies = await self._peers.ask_all(
             self._peers.list_vms() - {holder.vm},
             "claim-hold",
-            _encode(HoldRequest(holder.claim_id)),
+            _encode(ClaimStatusRequest(holder.claim_id)),
             self._settings.vote_timeout_ms,
         )
         holds = [decode_body(reply, _HOLD) for reply in replies]
         kept = [hold for hold in holds if hold.answer is not None]
-        return kept[0] if kept else Hold(HoldState.UNKNOWN)
+        return kept[0] if kept else ClaimStatus(ClaimState.UNKNOWN)
 
-    async def _wait_hold(self, request: HoldRequest) -> Hold:
+    async def _wait_hold(self, request: ClaimStatusRequest) -> ClaimStatus:
         try:
             async with asyncio.timeout(request.wait_ms / 1_000), self._changed:
                 await self._changed.wait_for(
@@ -116,7 +120,7 @@
 
     def _is_open(self, claim_id: str) -> bool:
         state = self._book.find(claim_id).state
-        return state in (HoldState.CLAIMING, HoldState.WON)
+        return state in (ClaimState.CLAIMING, ClaimState.WON)
 
     async def notify(self) -> None:
         """Wake those who wait for the end of a claim held here."""
@@ -128,7 +132,7 @@
 
     async def _take_answers(self, sender: PeerIdentity, body: bytes) -> bytes:
         for claim, answer in decode_body(body, _HANDOVER).answers:
-            self._book.take_over(claim, answer)
+            self._book.import_answer(claim, answer)
         return b""
 
 
--- a/src/quetzaldeck/agent/voter_groups.py
+++ b/src/quetzaldeck/agent/voter_groups.py
@@ -69,12 +69,12 @@
             msg = f"group {group}: give all VMs the same claims.n_groups"
             raise ValueError(msg)
         voter = self._make(group)
-        voter.observe(self.build_view(group))
+        voter.update_view(self.build_view(group))
         return voter
 
     def list_active(self) -> tuple[int, ...]:
         """:returns: groups in which this VM votes, is waited for, or should vote"""
-        needed = {group for group, voter in self._voters.items() if voter.takes_part}
+        needed = {group for group, voter in self._voters.items() if voter.must_sync}
         return tuple(sorted(needed.union(self.list_wanted())))
 
     def list_wanted(self) -> tuple[int, ...]:
@@ -94,7 +94,7 @@
         listed = frozenset(m.vm for m in view.members if m.is_listed)
         if view.list_read_ms is None:
             return FleetView(listed, wanted=chosen)
-        demands = self._make(group).chain.demands
+        demands = self._make(group).chain.required_sets
         seated = {seat.vm for item in demands for seat in item.members}
         alive = self._list_alive(view, seated)
         is_small = len(self._zones) <= self._settings.max_voters
--- a/src/quetzaldeck/agent/voter_task.py
+++ b/src/quetzaldeck/agent/voter_task.py
@@ -139,9 +139,11 @@
             _encode(request),
             self._settings.vote_timeout_ms,
         )
-        before = voter.chain.base
-        voter.take_round(request, [decode_body(reply, _REPLY) for reply in replies])
-        base = voter.chain.base
+        before = voter.chain.committed
+        voter.process_replies(
+            request, [decode_body(reply, _REPLY) for reply in replies]
+        )
+        base = voter.chain.committed
         if base is not None and base != before:
             vms = ",".join(sorted(seat.vm for seat in base.members))
             log_event("claim_voters_changed", group=voter.group, vms=vms)
@@ -149,7 +151,11 @@
 
     def _note_state(self) -> None:
         seated = [voter for voter in self._groups.voters if voter.can_vote]
-        sizes = [len(v.chain.base.members) for v in seated if v.chain.base is not None]
+        sizes = [
+            len(v.chain.committed.members)
+            for v in seated
+            if v.chain.committed is not None
+        ]
         self._metrics.claim_voters.set(min(sizes, default=0))
         is_settled = bool(seated) and all(voter.is_settled for voter in seated)
         self._metrics.claim_is_settled.set(is_settled)
@@ -158,8 +164,8 @@
 
     async def _answer_sync(self, sender: PeerIdentity, body: bytes) -> bytes:
         request = decode_body(body, _SYNC)
-        if request.seat.vm != sender.vm:
-            msg = f"{sender.vm} speaks for the seat of {request.seat.vm}"
+        if request.voter_id.vm != sender.vm:
+            msg = f"{sender.vm} speaks for the seat of {request.voter_id.vm}"
             raise ValueError(msg)
         voter = self._groups.get(request.group)
         before = voter.state
--- a/src/quetzaldeck/claims/chain.py
+++ b/src/quetzaldeck/claims/chain.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable, Sequence
 
-    from quetzaldeck.claims.seat import Seat
+    from quetzaldeck.claims.voter_id import VoterId
 
 
 class Commit(NamedTuple):
@@ -30,61 +30,65 @@
 
     target: VoterSet
     adopters: tuple[SyncReply, ...]
-    is_blind: bool
+    loses_grants: bool
 
 
 class VoterSetChain:
     """The base that a voter votes in, and the sets adopted on top of it."""
 
     def __init__(self) -> None:
-        self._base: VoterSet | None = None
-        self._targets: tuple[VoterSet, ...] = ()
+        self._committed: VoterSet | None = None
+        self._pending: tuple[VoterSet, ...] = ()
 
     @property
-    def base(self) -> VoterSet | None:
+    def committed(self) -> VoterSet | None:
         """:returns: the oldest set that still counts; ``None`` before the first"""
-        return self._base
+        return self._committed
 
     @property
-    def targets(self) -> tuple[VoterSet, ...]:
+    def pending(self) -> tuple[VoterSet, ...]:
         """:returns: the sets adopted later, in order"""
-        return self._targets
+        return self._pending
 
     @property
-    def top(self) -> VoterSet | None:
+    def newest(self) -> VoterSet | None:
         """:returns: the newest set"""
-        return self._targets[-1] if self._targets else self._base
+        return self._pending[-1] if self._pending else self._committed
 
     @property
-    def demands(self) -> tuple[VoterSet, ...]:
+    def required_sets(self) -> tuple[VoterSet, ...]:
         """:returns: the sets in each of which a claimant needs a majority"""
-        return () if self._base is None else (self._base, *self._targets)
+        return () if self._committed is None else (self._committed, *self._pending)
 
     def adopt(self, proposal: VoterSet) -> None:
         """Adopt the newest set merged with ``proposal``."""
-        top = self.top
-        if top is None:
+        newest = self.newest
+        if newest is None:
             return
-        merged = top.merge(proposal)
-        if merged != top and merged.members:
-            self._targets = (*self._targets, merged)
+        merged = newest.merge(proposal)
+        if merged != newest and merged.members:
+            self._pending = (*self._pending, merged)
 
-    def replace_base(self, base: VoterSet, targets: Sequence[VoterSet] = ()) -> None:
+    def set_committed(
+        self, committed: VoterSet, pending: Sequence[VoterSet] = ()
+    ) -> None:
         """Vote in ``base`` from now on; adopted sets that go beyond it stay.
 
         :param targets: sets that the voter who told of ``base`` has adopted
         """
-        top = self.top
-        self._targets = tuple(
-            target for target in self._targets if target.covers(base) and target != base
+        newest = self.newest
+        self._pending = tuple(
+            target
+            for target in self._pending
+            if target.covers(committed) and target != committed
         )
-        self._base = base
-        for proposal in (top, *targets):
+        self._committed = committed
+        for proposal in (newest, *pending):
             if proposal is not None:
                 self.adopt(proposal)
 
     def find_commit(
-        self, replies: Sequence[SyncReply], vacated: Collection[Seat]
+        self, replies: Sequence[SyncReply], retired: Collection[VoterId]
     ) -> Commit | None:
         """Find the newest adopted set that may replace the base.
 
@@ -92,17 +96,19 @@
         :param vacated: seats that are proved to be empty and may be counted;
             a commit that needs them is blind
         """
-        for target in reversed(self._targets):
-            adopters = tuple(reply for reply in replies if target in _sets_of(reply))
-            seats = {reply.seat for reply in adopters}
-            crossed = self._list_crossed(target, adopters)
-            if _has_quorums(crossed, seats):
-                return Commit(target, adopters, is_blind=False)
-            if _has_quorums(crossed, seats.union(vacated)):
-                return Commit(target, adopters, is_blind=True)
+        for target in reversed(self._pending):
+            adopters = tuple(
+                reply for reply in replies if target in _list_reply_sets(reply)
+            )
+            voter_ids = {reply.voter_id for reply in adopters}
+            superseded = self._list_superseded(target, adopters)
+            if _has_quorums(superseded, voter_ids):
+                return Commit(target, adopters, loses_grants=False)
+            if _has_quorums(superseded, voter_ids.union(retired)):
+                return Commit(target, adopters, loses_grants=True)
         return None
 
-    def _list_crossed(
+    def _list_superseded(
         self, target: VoterSet, adopters: Iterable[SyncReply]
     ) -> set[VoterSet]:
         """:returns: every older set that may be a base somewhere
@@ -111,9 +117,9 @@
         voters that know nothing of the target. Crossing it unasked would leave
         two bases with majorities that share nobody.
         """
-        sets = set(self.demands)
+        sets = set(self.required_sets)
         for reply in adopters:
-            sets.update(_sets_of(reply))
+            sets.update(_list_reply_sets(reply))
         return {
             voter_set
             for voter_set in sets
@@ -121,12 +127,14 @@
         }
 
 
-def _sets_of(reply: SyncReply) -> tuple[VoterSet, ...]:
-    return () if reply.base is None else (reply.base, *reply.targets)
+def _list_reply_sets(reply: SyncReply) -> tuple[VoterSet, ...]:
+    return () if reply.committed is None else (reply.committed, *reply.pending)
 
 
-def _has_quorums(voter_sets: Iterable[VoterSet], seats: Collection[Seat]) -> bool:
-    return all(voter_set.has_quorum(seats) for voter_set in voter_sets)
+def _has_quorums(
+    voter_sets: Iterable[VoterSet], voter_ids: Collection[VoterId]
+) -> bool:
+    return all(voter_set.has_quorum(voter_ids) for voter_set in voter_sets)
 
 
 __all__ = ("Commit", "VoterSetChain")
--- a/src/quetzaldeck/claims/book.py
+++ b/src/quetzaldeck/claims/claim_tracker.py
@@ -13,7 +13,7 @@
     from quetzaldeck.clock import Clock
 
 
-class HoldState(StrEnum):
+class ClaimState(StrEnum):
     """State of a claim at its claimant."""
 
     CLAIMING = "claiming"
@@ -34,23 +34,23 @@
     body: bytes
 
 
-class Hold(NamedTuple):
+class ClaimStatus(NamedTuple):
     """A claim at its claimant.
 
     :param answer: set if the call finished and its answer is still kept
     """
 
-    state: HoldState
+    state: ClaimState
     answer: KeptAnswer | None = None
 
 
 class _Entry(NamedTuple):
     claim: Claim
-    hold: Hold
+    claim_status: ClaimStatus
     expires_ms: float
 
 
-class ClaimBook:
+class ClaimTracker:
     """Follows each claim from its first vote to its answer.
 
     An abandoned claim stays abandoned: whoever was told that it will not run may
@@ -61,8 +61,8 @@
         self._clock = clock
         self._settings = settings
         self._entries: OrderedDict[str, _Entry] = OrderedDict()
-        self._kept: OrderedDict[str, int] = OrderedDict()
-        self._n_kept_bytes = 0
+        self._answer_sizes: OrderedDict[str, int] = OrderedDict()
+        self._n_answer_bytes = 0
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -74,75 +74,75 @@
             self._drop_oldest()
         expires_ms = self._clock.now_ms() + self._settings.window_ms
         self._entries[claim.claim_id] = _Entry(
-            claim, Hold(HoldState.CLAIMING), expires_ms
+            claim, ClaimStatus(ClaimState.CLAIMING), expires_ms
         )
 
     def win(self, claim_id: str) -> bool:
         """:returns: whether the claim may now be run; not if it was abandoned"""
-        if self.find(claim_id).state is not HoldState.CLAIMING:
+        if self.find(claim_id).state is not ClaimState.CLAIMING:
             return False
-        self._set(claim_id, Hold(HoldState.WON))
+        self._set(claim_id, ClaimStatus(ClaimState.WON))
         return True
 
     def abandon(self, claim_id: str) -> None:
         """Give a claim up; the caller of this must know that nothing was run."""
-        if self.find(claim_id).state is not HoldState.FINISHED:
-            self._set(claim_id, Hold(HoldState.ABANDONED))
+        if self.find(claim_id).state is not ClaimState.FINISHED:
+            self._set(claim_id, ClaimStatus(ClaimState.ABANDONED))
 
     def finish(self, claim_id: str, answer: KeptAnswer | None) -> None:
         """Keep the answer of a claim, as far as there is room.
 
         :param answer: ``None`` if the call may have run but no answer came
         """
-        if self.find(claim_id).state is not HoldState.WON:
+        if self.find(claim_id).state is not ClaimState.WON:
             return
-        if answer is None or not self._make_room(len(answer.body)):
-            self._set(claim_id, Hold(HoldState.FINISHED))
+        if answer is None or not self._evict_answers(len(answer.body)):
+            self._set(claim_id, ClaimStatus(ClaimState.FINISHED))
             return
-        self._kept[claim_id] = len(answer.body)
-        self._n_kept_bytes += len(answer.body)
-        self._set(claim_id, Hold(HoldState.FINISHED, answer))
+        self._answer_sizes[claim_id] = len(answer.body)
+        self._n_answer_bytes += len(answer.body)
+        self._set(claim_id, ClaimStatus(ClaimState.FINISHED, answer))
 
-    def find(self, claim_id: str) -> Hold:
+    def find(self, claim_id: str) -> ClaimStatus:
         """:returns: where a claim stands"""
         self._expire()
         entry = self._entries.get(claim_id)
-        return Hold(HoldState.UNKNOWN) if entry is None else entry.hold
+        return ClaimStatus(ClaimState.UNKNOWN) if entry is None else entry.claim_status
 
     def list_finished(self) -> tuple[tuple[Claim, KeptAnswer], ...]:
         """:returns: finished claims whose answers are kept, oldest first"""
         self._expire()
         return tuple(
-            (entry.claim, entry.hold.answer)
+            (entry.claim, entry.claim_status.answer)
             for entry in self._entries.values()
-            if entry.hold.answer is not None
+            if entry.claim_status.answer is not None
         )
 
-    def take_over(self, claim: Claim, answer: KeptAnswer) -> None:
+    def import_answer(self, claim: Claim, answer: KeptAnswer) -> None:
         """Keep the answer of a VM that leaves."""
-        if self.find(claim.claim_id).state is HoldState.UNKNOWN:
+        if self.find(claim.claim_id).state is ClaimState.UNKNOWN:
             self.begin(claim)
             self.win(claim.claim_id)
             self.finish(claim.claim_id, answer)
 
-    def _set(self, claim_id: str, hold: Hold) -> None:
+    def _set(self, claim_id: str, status: ClaimStatus) -> None:
         entry = self._entries.get(claim_id)
         if entry is not None:
-            self._entries[claim_id] = entry._replace(hold=hold)
+            self._entries[claim_id] = entry._replace(claim_status=status)
 
-    def _make_room(self, n_bytes: int) -> bool:
+    def _evict_answers(self, n_bytes: int) -> bool:
         """Drop the oldest answers until ``n_bytes`` fit."""
         bound = self._settings.max_held_bytes
         if n_bytes > min(self._settings.max_answer_bytes, bound):
             return False
-        while self._kept and self._n_kept_bytes + n_bytes > bound:
-            claim_id = next(iter(self._kept))
+        while self._answer_sizes and self._n_answer_bytes + n_bytes > bound:
+            claim_id = next(iter(self._answer_sizes))
             self._drop_answer(claim_id)
-            self._set(claim_id, Hold(HoldState.FINISHED))
+            self._set(claim_id, ClaimStatus(ClaimState.FINISHED))
         return True
 
     def _drop_answer(self, claim_id: str) -> None:
-        self._n_kept_bytes -= self._kept.pop(claim_id, 0)
+        self._n_answer_bytes -= self._answer_sizes.pop(claim_id, 0)
 
     def _expire(self) -> None:
         now_ms = self._clock.now_ms()
@@ -158,4 +158,4 @@
         self._drop_answer(claim_id)
 
 
-__all__ = ("ClaimBook", "Hold", "HoldState", "KeptAnswer")
+__all__ = ("ClaimState", "ClaimStatus", "ClaimTracker", "KeptAnswer")
--- a/src/quetzaldeck/claims/wire.py
+++ b/src/quetzaldeck/claims/claimant_messages.py
@@ -4,11 +4,11 @@
 
 from typing import NamedTuple
 
-from quetzaldeck.claims.book import KeptAnswer
+from quetzaldeck.claims.claim_tracker import KeptAnswer
 from quetzaldeck.claims.messages import Claim
 
 
-class HoldRequest(NamedTuple):
+class ClaimStatusRequest(NamedTuple):
     """Asks a claimant where its claim stands; it answers when that changes.
 
     :param wait_ms: longest time to wait for the end of a call that runs
@@ -24,4 +24,4 @@
     answers: tuple[tuple[Claim, KeptAnswer], ...]
 
 
-__all__ = ("AnswerHandover", "HoldRequest")
+__all__ = ("AnswerHandover", "ClaimStatusRequest")
--- a/src/quetzaldeck/claims/messages.py
+++ b/src/quetzaldeck/claims/messages.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from quetzaldeck.claims.seat import Seat
+from quetzaldeck.claims.voter_id import VoterId
 from quetzaldeck.claims.voter_set import VoterSet
 
 
@@ -54,9 +54,9 @@
     :param retry_after_ms: when an abstaining voter expects to vote again
     """
 
-    seat: Seat
+    voter_id: VoterId
     verdict: Verdict
-    demands: tuple[frozenset[Seat], ...] = ()
+    required_sets: tuple[frozenset[VoterId], ...] = ()
     holders: tuple[Claim, ...] = ()
     retry_after_ms: float = 0.0
     why: str = ""
@@ -76,18 +76,18 @@
     """
 
     claim: Claim
-    left_ms: float
+    remaining_ms: float
 
 
-class Blindness(NamedTuple):
+class LostGrants(NamedTuple):
     """What a voter cannot know: grants from before a moment, all lost.
 
     :param since_wall_ms: keys made before this wall time may have been granted
     :param left_ms: time until such grants no longer matter
     """
 
-    since_wall_ms: float
-    left_ms: float
+    before_wall_ms: float
+    remaining_ms: float
 
 
 class SyncRequest(NamedTuple):
@@ -100,10 +100,10 @@
     :param group: the group of keys that is voted on
     """
 
-    seat: Seat
-    base: VoterSet | None
-    targets: tuple[VoterSet, ...] = ()
-    wants_seat: bool = False
+    voter_id: VoterId
+    committed: VoterSet | None
+    pending: tuple[VoterSet, ...] = ()
+    wants_to_vote: bool = False
     wants_claims: bool = False
     group: int = 0
 
@@ -116,20 +116,20 @@
     :param claims: snapshot, if it was asked for
     """
 
-    seat: Seat
-    base: VoterSet | None
-    targets: tuple[VoterSet, ...]
+    voter_id: VoterId
+    committed: VoterSet | None
+    pending: tuple[VoterSet, ...]
     listed: frozenset[str]
     voters: frozenset[str]
     has_claims: bool = False
     claims: tuple[HeldClaim, ...] = ()
-    blindness: Blindness | None = None
+    lost_grants: LostGrants | None = None
 
 
 __all__ = (
-    "Blindness",
     "Claim",
     "HeldClaim",
+    "LostGrants",
     "Release",
     "SyncReply",
     "SyncRequest",
--- a/src/quetzaldeck/claims/table.py
+++ b/src/quetzaldeck/claims/table.py
@@ -36,10 +36,10 @@
         self._expire()
         return tuple(self._by_key.get(key, {}).values())
 
-    def add(self, claim: Claim, left_ms: float | None = None) -> None:
+    def add(self, claim: Claim, remaining_ms: float | None = None) -> None:
         """Remember a claim; one that is known keeps the later expiry."""
-        left_ms = self._window_ms if left_ms is None else left_ms
-        expires_ms = self._clock.now_ms() + left_ms
+        remaining_ms = self._window_ms if remaining_ms is None else remaining_ms
+        expires_ms = self._clock.now_ms() + remaining_ms
         known = self._expiries.get(claim.claim_id)
         if known is not None and known[1] >= expires_ms:
             return
@@ -68,7 +68,7 @@
     def merge(self, claims: Iterable[HeldClaim]) -> None:
         """Take over the claims of another voter's snapshot."""
         for held in claims:
-            self.add(held.claim, held.left_ms)
+            self.add(held.claim, held.remaining_ms)
 
     def _expire(self) -> None:
         """Forget from the oldest on.
--- a/src/quetzaldeck/claims/round.py
+++ b/src/quetzaldeck/claims/vote_tally.py
@@ -10,10 +10,10 @@
     from collections.abc import Iterable
 
     from quetzaldeck.claims.messages import Claim, Vote
-    from quetzaldeck.claims.seat import Seat
+    from quetzaldeck.claims.voter_id import VoterId
 
 
-class ClaimRound:
+class VoteTally:
     """Counts votes; the claimant's own view of the fleet plays no part in it.
 
     A claimant that has just started, or reads a stale list, could take a few VMs
@@ -24,7 +24,7 @@
 
     def __init__(self, claim: Claim) -> None:
         self._claim = claim
-        self._votes: dict[Seat, Vote] = {}
+        self._votes: dict[VoterId, Vote] = {}
 
     @property
     def claim(self) -> Claim:
@@ -32,23 +32,28 @@
         return self._claim
 
     @property
-    def grants(self) -> frozenset[Seat]:
+    def grants(self) -> frozenset[VoterId]:
         """:returns: seats that granted the claim"""
-        return frozenset(self._list_seats(Verdict.GRANTED))
+        return frozenset(self._list_voter_ids(Verdict.GRANTED))
 
     @property
     def is_won(self) -> bool:
         """:returns: whether every demand of every granting voter is met"""
         grants = self.grants
-        demands = {demand for seat in grants for demand in self._votes[seat].demands}
-        return bool(demands) and all(
-            2 * len(demand & grants) > len(demand) for demand in demands
+        required_sets = {
+            required_set
+            for voter_id in grants
+            for required_set in self._votes[voter_id].required_sets
+        }
+        return bool(required_sets) and all(
+            2 * len(required_set & grants) > len(required_set)
+            for required_set in required_sets
         )
 
     @property
     def has_conflict(self) -> bool:
         """:returns: whether the key is held for another body"""
-        return any(self._list_seats(Verdict.CONFLICT))
+        return any(self._list_voter_ids(Verdict.CONFLICT))
 
     @property
     def holders(self) -> tuple[Claim, ...]:
@@ -72,20 +77,20 @@
 
     def add(self, vote: Vote) -> None:
         """Count a vote; a repeated one changes nothing."""
-        self._votes.setdefault(vote.seat, vote)
+        self._votes.setdefault(vote.voter_id, vote)
 
     def list_unasked(self, asked: frozenset[str]) -> frozenset[str]:
         """:returns: VMs in a demanded voter set that were not asked yet"""
         vms = {
-            seat.vm
+            voter_id.vm
             for vote in self._votes.values()
-            for demand in vote.demands
-            for seat in demand
+            for required_set in vote.required_sets
+            for voter_id in required_set
         }
         return frozenset(vms) - asked
 
-    def _list_seats(self, verdict: Verdict) -> Iterable[Seat]:
+    def _list_voter_ids(self, verdict: Verdict) -> Iterable[VoterId]:
         return (s for s, vote in self._votes.items() if vote.verdict is verdict)
 
 
-__all__ = ("ClaimRound",)
+__all__ = ("VoteTally",)
--- a/src/quetzaldeck/claims/voter.py
+++ b/src/quetzaldeck/claims/voter.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from quetzaldeck.claims.messages import Release
-    from quetzaldeck.claims.seat import Seat
+    from quetzaldeck.claims.voter_id import VoterId
 
 
 class Voter(VoterRounds):
@@ -25,7 +25,7 @@
     @property
     def can_vote_on_new_keys(self) -> bool:
         """:returns: whether it may vote on a key that carries the time of now"""
-        return self.can_vote and self._blind.is_over_for_new_keys
+        return self.can_vote and self._abstention.is_over_for_new_keys
 
     def vote(self, request: VoteRequest) -> Vote:
         """Answer a claimant."""
@@ -40,8 +40,8 @@
         if others:
             is_same = all(other.body_digest == claim.body_digest for other in others)
             verdict = Verdict.HELD if is_same else Verdict.CONFLICT
-            return Vote(self._seat, verdict, self._list_demands(), others)
-        blind_ms = self._blind.left_ms(request.created_ms)
+            return Vote(self._voter_id, verdict, self._list_required_sets(), others)
+        blind_ms = self._abstention.remaining_ms(request.created_ms)
         if blind_ms > 0:
             return self._abstain("may have forgotten the key", blind_ms)
         if self._is_too_old(request):
@@ -49,7 +49,7 @@
         if len(self.table) >= self._settings.max_claims:
             return self._abstain("the table is full", self._settings.window_ms)
         self.table.add(claim)
-        return Vote(self._seat, Verdict.GRANTED, self._list_demands())
+        return Vote(self._voter_id, Verdict.GRANTED, self._list_required_sets())
 
     def release(self, release: Release) -> None:
         """Forget a claim that its claimant gave up before it ran anything."""
@@ -57,15 +57,15 @@
 
     def _abstain(self, why: str, retry_after_ms: float) -> Vote:
         return Vote(
-            self._seat,
+            self._voter_id,
             Verdict.ABSTAINED,
-            self._list_demands(),
+            self._list_required_sets(),
             retry_after_ms=retry_after_ms,
             why=why,
         )
 
-    def _list_demands(self) -> tuple[frozenset[Seat], ...]:
-        return tuple(item.members for item in self._chain.demands)
+    def _list_required_sets(self) -> tuple[frozenset[VoterId], ...]:
+        return tuple(item.members for item in self._chain.required_sets)
 
     def _is_too_old(self, request: VoteRequest) -> bool:
         """:returns: whether a claim on the key may have been forgotten already"""
--- a/src/quetzaldeck/claims/seat.py
+++ b/src/quetzaldeck/claims/voter_id.py
@@ -5,14 +5,14 @@
 from typing import NamedTuple
 
 
-class Seat(NamedTuple):
+class VoterId(NamedTuple):
     """One life of a voter: a voter that lost its memory takes another seat.
 
     :param start: id of the start; ``""`` in the first voter set of a fleet
     """
 
     vm: str
-    start: str = ""
+    incarnation: str = ""
 
 
-__all__ = ("Seat",)
+__all__ = ("VoterId",)
--- a/src/quetzaldeck/claims/voter_rounds.py
+++ b/src/quetzaldeck/claims/voter_rounds.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.claims.messages import SyncReply, SyncRequest
-from quetzaldeck.claims.seat import Seat
+from quetzaldeck.claims.voter_id import VoterId
 from quetzaldeck.claims.voter_set import VoterSet, first_voter_set
 from quetzaldeck.claims.voter_state import VoterState
 
@@ -15,7 +15,7 @@
     from quetzaldeck.claims.fleet_view import FleetView
 
 
-PATIENT_ROUNDS = 20
+MAX_MAJORITY_WAIT_ROUNDS = 20
 """Rounds that a change waits for a majority before it counts empty seats."""
 
 
@@ -27,34 +27,36 @@
     the change have a voter in common.
     """
 
-    def observe(self, view: FleetView) -> None:
+    def update_view(self, view: FleetView) -> None:
         """Take a new view; propose to remove seats that are gone."""
         self._view = view
-        top = self._chain.top
-        if top is None:
+        newest = self._chain.newest
+        if newest is None:
             return
-        others = top.members - {self._seat}
-        removed = others.intersection(self._vacated)
-        gone = {seat for seat in others if seat.vm in view.gone}
-        if self._may_remove(gone):
+        others = newest.members - {self._voter_id}
+        removed = others.intersection(self._retired)
+        gone = {voter_id for voter_id in others if voter_id.vm in view.gone}
+        if self._may_propose_removal(gone):
             removed |= gone
         if self._is_leaving:
-            removed |= {self._seat}
+            removed |= {self._voter_id}
         self._chain.adopt(VoterSet().change(remove=removed))
 
     def leave(self) -> None:
         """Propose to go on without this voter; see :attr:`has_left`."""
         self._is_leaving = True
-        self.observe(self._view)
+        self.update_view(self._view)
 
     def build_sync(self) -> SyncRequest:
         """:returns: this voter's request for the next round"""
-        wants_seat = self._seat.start != "" and not self.can_vote and self._is_wanted
+        wants_to_vote = (
+            self._voter_id.incarnation != "" and not self.can_vote and self._is_wanted
+        )
         return SyncRequest(
-            self._seat,
-            self._chain.base,
-            self._chain.targets,
-            wants_seat=wants_seat and not self._is_leaving,
+            self._voter_id,
+            self._chain.committed,
+            self._chain.pending,
+            wants_to_vote=wants_to_vote and not self._is_leaving,
             wants_claims=self._needs_claims,
             group=self._group,
         )
@@ -63,78 +65,94 @@
         """Take a peer's request into account, then state where this voter is."""
         for proposal in _list_sets(request):
             self._chain.adopt(proposal)
-            if self._seat in proposal.members:
-                self._awaited_seat = self._seat
-        if request.wants_seat:
-            self._admit(request.seat)
+            if self._voter_id in proposal.members:
+                self._awaited_voter_id = self._voter_id
+        if request.wants_to_vote:
+            self._propose_voter(request.voter_id)
         return self._build_reply(has_claims=request.wants_claims)
 
-    def take_round(self, request: SyncRequest, replies: Sequence[SyncReply]) -> None:
+    def process_replies(
+        self, request: SyncRequest, replies: Sequence[SyncReply]
+    ) -> None:
         """Take the replies of one round; moves on to another base if it may.
 
         :param request: what the peers were asked
         """
-        self._note_vacated(request, replies)
+        self._note_retired(request, replies)
         self._needs_claims = False
-        if self._chain.base is None:
-            self._begin(replies)
+        if self._chain.committed is None:
+            self._initialize(replies)
             return
         newest = self._find_newer(replies)
         if newest is not None:
             self._install(newest)
         else:
             self._commit([self._build_reply(has_claims=True), *replies])
-        base = self._chain.base
-        self._successors = frozenset(r.seat for r in replies if r.base == base)
-        for proposal in [target for reply in replies for target in reply.targets]:
+        committed = self._chain.committed
+        self._successors = frozenset(
+            r.voter_id for r in replies if r.committed == committed
+        )
+        for proposal in [target for reply in replies for target in reply.pending]:
             self._chain.adopt(proposal)
         self._rejoin_if_removed()
 
-    def _may_remove(self, gone: Collection[Seat]) -> bool:
+    def _may_propose_removal(self, gone: Collection[VoterId]) -> bool:
         """:returns: whether the seats that are not gone could agree to it
 
         A minority cannot, and its proposal would outlive the partition: the others
         would carry it out once they hear of it, and remove each other.
         """
-        base = self._chain.base
-        return base is not None and base.has_quorum(base.members.difference(gone))
+        committed = self._chain.committed
+        return committed is not None and committed.has_quorum(
+            committed.members.difference(gone)
+        )
 
-    def _admit(self, seat: Seat) -> None:
+    def _propose_voter(self, voter_id: VoterId) -> None:
         """Propose to add a voter in place of its earlier seats, if any."""
-        top = self._chain.top
-        if top is None or seat in top.added:
+        newest = self._chain.newest
+        if newest is None or voter_id in newest.added:
             return
-        earlier = {old for old in top.members if old.vm == seat.vm}
-        self._chain.adopt(VoterSet().change(add=(seat,), remove=earlier))
+        earlier = {old for old in newest.members if old.vm == voter_id.vm}
+        self._chain.adopt(VoterSet().change(add=(voter_id,), remove=earlier))
 
-    def _note_vacated(self, request: SyncRequest, replies: Sequence[SyncReply]) -> None:
+    def _note_retired(self, request: SyncRequest, replies: Sequence[SyncReply]) -> None:
         """Note seats whose VM answered under another one: they never vote again.
 
         Only seats known when the peers were asked: a reply that comes late says
         nothing of a seat that its VM took since, and whose votes would be lost.
         """
-        current = {reply.seat.vm: reply.seat for reply in replies if reply.seat.start}
-        asked = {seat for item in _list_sets(request) for seat in item.members}
-        self._vacated.update(
-            {seat: None for seat in asked if current.get(seat.vm, seat) != seat}
+        current = {
+            reply.voter_id.vm: reply.voter_id
+            for reply in replies
+            if reply.voter_id.incarnation
+        }
+        asked = {voter_id for item in _list_sets(request) for voter_id in item.members}
+        self._retired.update(
+            {
+                voter_id: None
+                for voter_id in asked
+                if current.get(voter_id.vm, voter_id) != voter_id
+            }
         )
-        seated = {seat for item in self._chain.demands for seat in item.members}
-        for seat in self._vacated.keys() - seated:
-            del self._vacated[seat]
+        member_ids = {
+            voter_id for item in self._chain.required_sets for voter_id in item.members
+        }
+        for voter_id in self._retired.keys() - member_ids:
+            del self._retired[voter_id]
 
     def _build_reply(self, *, has_claims: bool) -> SyncReply:
         return SyncReply(
-            self._seat,
-            self._chain.base,
-            self._chain.targets,
+            self._voter_id,
+            self._chain.committed,
+            self._chain.pending,
             self._view.listed,
             self._view.voters,
             has_claims,
             self.table.snapshot() if has_claims else (),
-            self._blind.current,
+            self._abstention.current,
         )
 
-    def _begin(self, replies: Sequence[SyncReply]) -> None:
+    def _initialize(self, replies: Sequence[SyncReply]) -> None:
         """Find the first voter set: join one that exists, else begin one.
 
         A fleet whose voters all lost their memory, or never had any, begins with
@@ -142,63 +160,75 @@
         enough: the others might have gone on with a smaller set. All are blind as
         of now.
         """
-        formed = [reply for reply in replies if reply.base is not None]
-        if formed:
-            self._join(formed)
-        if self._chain.base is None and not (formed and self._seat.start):
-            self._found(replies)
-
-    def _join(self, formed: Sequence[SyncReply]) -> None:
+        initialized = [reply for reply in replies if reply.committed is not None]
+        if initialized:
+            self._join(initialized)
+        if self._chain.committed is None and not (
+            initialized and self._voter_id.incarnation
+        ):
+            self._form_first_set(replies)
+
+    def _join(self, initialized: Sequence[SyncReply]) -> None:
         """Go on from a peer's base if it has this seat, else ask for one.
 
         While the first set has no majority of seated voters yet, this voter may
         still take its place in it.
         """
         first = first_voter_set(self._view.voters)
-        for reply in formed:
-            is_seated = reply.base is not None and self._seat in reply.base.members
-            if is_seated and self._seat.start:
+        for reply in initialized:
+            is_member = (
+                reply.committed is not None
+                and self._voter_id in reply.committed.members
+            )
+            if is_member and self._voter_id.incarnation:
                 self._install(reply)
                 return
-        is_first = all(reply.base == first and not reply.targets for reply in formed)
-        if not is_first or first.has_quorum({reply.seat for reply in formed}):
-            self._take_new_seat()
+        is_first = all(
+            reply.committed == first and not reply.pending for reply in initialized
+        )
+        if not is_first or first.has_quorum({reply.voter_id for reply in initialized}):
+            self._take_new_voter_id()
 
-    def _found(self, replies: Sequence[SyncReply]) -> None:
+    def _form_first_set(self, replies: Sequence[SyncReply]) -> None:
         first = first_voter_set(self._view.voters)
-        beliefs = (self._view.listed, self._view.voters)
+        own_view = (self._view.listed, self._view.voters)
         agreeing = {
-            reply.seat.vm
+            reply.voter_id.vm
             for reply in replies
-            if (reply.listed, reply.voters) == beliefs and reply.base in (None, first)
+            if (reply.listed, reply.voters) == own_view
+            and reply.committed in (None, first)
         }
-        own = Seat(self._vm)
+        own = VoterId(self._vm)
         is_agreed = self._view.listed <= agreeing | {self._vm}
         if own in first.members and is_agreed:
-            self._seat = own
-            self._chain.replace_base(first)
-            self._blind.begin()
+            self._voter_id = own
+            self._chain.set_committed(first)
+            self._abstention.begin()
 
     def _find_newer(self, replies: Sequence[SyncReply]) -> SyncReply | None:
         """:returns: the reply with the newest base that replaced this voter's"""
-        base = self._chain.base
+        committed = self._chain.committed
         newest: SyncReply | None = None
         for reply in replies:
-            if reply.base is None or base is None or reply.base == base:
+            if (
+                reply.committed is None
+                or committed is None
+                or reply.committed == committed
+            ):
                 continue
-            if reply.base.covers(base):
-                newest, base = reply, reply.base
+            if reply.committed.covers(committed):
+                newest, committed = reply, reply.committed
         return newest
 
     def _install(self, reply: SyncReply) -> None:
         """Go on from a peer's base with everything that the peer knows."""
-        if reply.base is None:
+        if reply.committed is None:
             return
         if not reply.has_claims:
             self._needs_claims = True
             return
-        self._take_over([reply])
-        self._chain.replace_base(reply.base, reply.targets)
+        self._merge_claims([reply])
+        self._chain.set_committed(reply.committed, reply.pending)
 
     def _commit(self, replies: Sequence[SyncReply]) -> None:
         """Move to a newer base if enough voters adopted it.
@@ -206,56 +236,59 @@
         A first round without claims shows whether the move is possible; only then
         are snapshots asked for. A minority that waits thus moves no claims about.
         """
-        self._n_pending_rounds += 1 if self._chain.targets else 0
-        commit = self._chain.find_commit(replies, self._list_countable())
+        self._n_pending_rounds += 1 if self._chain.pending else 0
+        commit = self._chain.find_commit(replies, self._list_countable_ids())
         if commit is None:
             return
         if not all(reply.has_claims for reply in commit.adopters):
             self._needs_claims = True
             return
         self._n_pending_rounds = 0
-        self._take_over(commit.adopters)
-        if commit.is_blind:
-            self._blind.begin()
-        self._chain.replace_base(commit.target)
+        self._merge_claims(commit.adopters)
+        if commit.loses_grants:
+            self._abstention.begin()
+        self._chain.set_committed(commit.target)
 
-    def _list_countable(self) -> frozenset[Seat]:
+    def _list_countable_ids(self) -> frozenset[VoterId]:
         """:returns: empty seats that may be counted as adopters
 
         Counting them makes the voters blind, so it is put off while the seats that
         are not empty might still make a majority.
         """
-        vacated = frozenset(self._vacated)
-        is_hopeless = any(
-            len(item.members - vacated) < item.quorum for item in self._chain.demands
+        retired = frozenset(self._retired)
+        is_majority_retired = any(
+            len(item.members - retired) < item.quorum
+            for item in self._chain.required_sets
         )
-        if is_hopeless or self._n_pending_rounds > PATIENT_ROUNDS:
-            return vacated
+        if is_majority_retired or self._n_pending_rounds > MAX_MAJORITY_WAIT_ROUNDS:
+            return retired
         return frozenset()
 
-    def _take_over(self, replies: Sequence[SyncReply]) -> None:
+    def _merge_claims(self, replies: Sequence[SyncReply]) -> None:
         for reply in replies:
             self.table.merge(reply.claims)
-            if reply.blindness is not None:
-                self._blind.extend(*reply.blindness)
+            if reply.lost_grants is not None:
+                self._abstention.extend(*reply.lost_grants)
 
     def _rejoin_if_removed(self) -> None:
         """Ask for another seat if the others went on without this voter."""
-        base = self._chain.base
-        is_removed = base is not None and self._seat in base.removed
+        committed = self._chain.committed
+        is_removed = committed is not None and self._voter_id in committed.removed
         if is_removed and not self._is_leaving and self._is_wanted:
-            self._take_new_seat()
+            self._take_new_voter_id()
 
-    def _take_new_seat(self) -> None:
-        base = self._chain.base
-        if self._seat.start and (base is None or self._seat not in base.removed):
+    def _take_new_voter_id(self) -> None:
+        committed = self._chain.committed
+        if self._voter_id.incarnation and (
+            committed is None or self._voter_id not in committed.removed
+        ):
             return
-        self._n_seats += 1
-        self._seat = Seat(self._vm, f"{self._incarnation}.{self._n_seats}")
+        self._n_voter_ids += 1
+        self._voter_id = VoterId(self._vm, f"{self._incarnation}.{self._n_voter_ids}")
 
 
 def _list_sets(request: SyncRequest) -> tuple[VoterSet, ...]:
-    return () if request.base is None else (request.base, *request.targets)
+    return () if request.committed is None else (request.committed, *request.pending)
 
 
-__all__ = ("PATIENT_ROUNDS", "VoterRounds")
+__all__ = ("MAX_MAJORITY_WAIT_ROUNDS", "VoterRounds")
--- a/src/quetzaldeck/claims/voter_set.py
+++ b/src/quetzaldeck/claims/voter_set.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from quetzaldeck.claims.seat import Seat
+from quetzaldeck.claims.voter_id import VoterId
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
@@ -17,11 +17,11 @@
     set: :meth:`merge` is commutative, associative and idempotent.
     """
 
-    added: frozenset[Seat] = frozenset()
-    removed: frozenset[Seat] = frozenset()
+    added: frozenset[VoterId] = frozenset()
+    removed: frozenset[VoterId] = frozenset()
 
     @property
-    def members(self) -> frozenset[Seat]:
+    def members(self) -> frozenset[VoterId]:
         """:returns: the seats that vote"""
         return self.added - self.removed
 
@@ -30,9 +30,9 @@
         """:returns: the number of votes that any two majorities share one of"""
         return len(self.members) // 2 + 1
 
-    def has_quorum(self, seats: Collection[Seat]) -> bool:
+    def has_quorum(self, voter_ids: Collection[VoterId]) -> bool:
         """:returns: whether ``seats`` hold a majority of the members"""
-        return len(self.members.intersection(seats)) >= self.quorum
+        return len(self.members.intersection(voter_ids)) >= self.quorum
 
     def covers(self, other: VoterSet) -> bool:
         """:returns: whether every change in ``other`` is in this set as well"""
@@ -43,7 +43,7 @@
         return VoterSet(self.added | other.added, self.removed | other.removed)
 
     def change(
-        self, *, add: Iterable[Seat] = (), remove: Iterable[Seat] = ()
+        self, *, add: Iterable[VoterId] = (), remove: Iterable[VoterId] = ()
     ) -> VoterSet:
         """:returns: the set after further changes"""
         return VoterSet(self.added.union(add), self.removed.union(remove))
@@ -51,7 +51,7 @@
 
 def first_voter_set(vms: Iterable[str]) -> VoterSet:
     """:returns: the set that a fleet without memory starts from"""
-    return VoterSet(frozenset(Seat(vm) for vm in vms))
+    return VoterSet(frozenset(VoterId(vm) for vm in vms))
 
 
 __all__ = ("VoterSet", "first_voter_set")
--- a/src/quetzaldeck/claims/voter_state.py
+++ b/src/quetzaldeck/claims/voter_state.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from quetzaldeck.claims.blind_period import BlindPeriod
+from quetzaldeck.claims.abstention_period import AbstentionPeriod
 from quetzaldeck.claims.chain import VoterSetChain
 from quetzaldeck.claims.fleet_view import FleetView
-from quetzaldeck.claims.seat import Seat
 from quetzaldeck.claims.table import ClaimTable
+from quetzaldeck.claims.voter_id import VoterId
 
 if TYPE_CHECKING:
     from quetzaldeck.claims.settings import ClaimSettings
@@ -24,7 +24,7 @@
     :param group: the group of keys that it votes on
     """
 
-    blind_period_class = BlindPeriod
+    abstention_period_class = AbstentionPeriod
 
     def __init__(
         self,
@@ -40,17 +40,17 @@
         self._group = group
         self._clock = clock
         self._settings = settings
-        self._seat = Seat(vm)
-        self._n_seats = 0
+        self._voter_id = VoterId(vm)
+        self._n_voter_ids = 0
         self._chain = VoterSetChain()
         self._view = FleetView()
-        self._vacated: dict[Seat, None] = {}
-        self._blind = self.blind_period_class(clock, settings)
+        self._retired: dict[VoterId, None] = {}
+        self._abstention = self.abstention_period_class(clock, settings)
         self._is_leaving = False
         self._needs_claims = False
         self._n_pending_rounds = 0
-        self._successors: frozenset[Seat] = frozenset()
-        self._awaited_seat: Seat | None = None
+        self._successors: frozenset[VoterId] = frozenset()
+        self._awaited_voter_id: VoterId | None = None
         self.table = ClaimTable(clock, settings.window_ms)
 
     @property
@@ -59,14 +59,19 @@
         return self._group
 
     @property
-    def state(self) -> tuple[Seat, tuple[VoterSet, ...], bool, bool]:
+    def state(self) -> tuple[VoterId, tuple[VoterSet, ...], bool, bool]:
         """:returns: what changes when a round or a message leads on"""
-        return self._seat, self._chain.demands, self._needs_claims, self.is_awaited
+        return (
+            self._voter_id,
+            self._chain.required_sets,
+            self._needs_claims,
+            self.is_awaited,
+        )
 
     @property
-    def seat(self) -> Seat:
+    def voter_id(self) -> VoterId:
         """:returns: the seat that it votes under, or asks for"""
-        return self._seat
+        return self._voter_id
 
     @property
     def chain(self) -> VoterSetChain:
@@ -76,7 +81,7 @@
     @property
     def can_vote(self) -> bool:
         """:returns: whether it sits in a voter set"""
-        return any(self._seat in item.members for item in self._chain.demands)
+        return any(self._voter_id in item.members for item in self._chain.required_sets)
 
     @property
     def is_awaited(self) -> bool:
@@ -87,17 +92,19 @@
         would wait for its vote for good, and refuse every call of the group: two
         voters have no majority without the second.
         """
-        return self._chain.base is None and self._awaited_seat == self._seat
+        return (
+            self._chain.committed is None and self._awaited_voter_id == self._voter_id
+        )
 
     @property
-    def takes_part(self) -> bool:
+    def must_sync(self) -> bool:
         """:returns: whether the others cannot go on without its rounds"""
         return self.can_vote or self.is_awaited
 
     @property
     def is_settled(self) -> bool:
         """:returns: whether it votes and no change of the voter set is under way"""
-        return self.can_vote and not self._chain.targets and not self._needs_claims
+        return self.can_vote and not self._chain.pending and not self._needs_claims
 
     @property
     def _is_wanted(self) -> bool:
@@ -111,11 +118,11 @@
         Its own move to a set without it proves only that the others adopted that
         set. Were it to end now, they could lack its vote to move as well.
         """
-        base = self._chain.base
-        if base is None or base.members <= {self._seat}:
+        committed = self._chain.committed
+        if committed is None or committed.members <= {self._voter_id}:
             return self._is_leaving and not self.is_awaited
         is_out = self._is_leaving and not self.can_vote
-        return is_out and base.has_quorum(self._successors)
+        return is_out and committed.has_quorum(self._successors)
 
     @property
     def peers(self) -> frozenset[str]:
@@ -124,14 +131,20 @@
         Without a base all that are listed: a voter set may exist of which none is
         wanted any more, and another one must not be begun beside it.
         """
-        asked = self.electors
-        return asked if self._chain.base else asked | self._view.listed - {self._vm}
+        asked = self.voters_to_ask
+        return (
+            asked if self._chain.committed else asked | self._view.listed - {self._vm}
+        )
 
     @property
-    def electors(self) -> frozenset[str]:
+    def voters_to_ask(self) -> frozenset[str]:
         """:returns: VMs to ask for votes: those in a voter set or wanted there"""
-        seats = {seat.vm for item in self._chain.demands for seat in item.members}
-        return frozenset(seats | self._view.voters) - {self._vm}
+        voter_ids = {
+            voter_id.vm
+            for item in self._chain.required_sets
+            for voter_id in item.members
+        }
+        return frozenset(voter_ids | self._view.voters) - {self._vm}
 
 
 __all__ = ("VoterState",)
--- a/src/quetzaldeck/exchange/claim_messages.py
+++ b/src/quetzaldeck/exchange/claim_messages.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from quetzaldeck.claims.book import KeptAnswer
+from quetzaldeck.claims.claim_tracker import KeptAnswer
 from quetzaldeck.outcomes import Failure
 
 
--- a/src/quetzaldeck/gateway/claimed_call.py
+++ b/src/quetzaldeck/gateway/claimed_call.py
@@ -9,7 +9,7 @@
 import aiohttp
 import msgspec
 
-from quetzaldeck.claims.book import KeptAnswer
+from quetzaldeck.claims.claim_tracker import KeptAnswer
 from quetzaldeck.exchange.claim_messages import (
     ClaimDecision,
     ClaimEnd,
--- a/tests/agent/test_voter_groups.py
+++ b/tests/agent/test_voter_groups.py
@@ -7,9 +7,9 @@
 from quetzaldeck.agent.voter_groups import MAX_MISSING_MS, VoterGroups
 from quetzaldeck.claims import (
     ClaimSettings,
-    Seat,
     SyncReply,
     SyncRequest,
+    VoterId,
     VoterSet,
     first_voter_set,
 )
@@ -42,7 +42,7 @@
         if member.vm != "a"
     ]
     voter = groups.get(0)
-    voter.take_round(voter.build_sync(), replies)
+    voter.process_replies(voter.build_sync(), replies)
     assert voter.can_vote
 
 
@@ -86,8 +86,8 @@
         read_view=lambda: MembershipView("a", "1", tuple(members), 0.0),
     )
     voter = groups.get(0)
-    granted = VoterSet(frozenset({Seat("b"), voter.seat}))
+    granted = VoterSet(frozenset({VoterId("b"), voter.voter_id}))
     assert groups.list_wanted() == ()
     assert groups.list_active() == ()
-    voter.answer_sync(SyncRequest(Seat("b"), granted, ()))
+    voter.answer_sync(SyncRequest(VoterId("b"), granted, ()))
     assert groups.list_active() == (0,)
--- a/tests/claims/faulty.py
+++ b/tests/claims/faulty.py
@@ -4,10 +4,16 @@
 
 from typing import TYPE_CHECKING
 
-from tests.claims.model import Attempt, BoldFleet, BoldVoter, ModelFleet, ModelVm
+from tests.claims.model import (
+    Attempt,
+    ModelFleet,
+    ModelVm,
+    UncheckedRemovalFleet,
+    UncheckedRemovalVoter,
+)
 
 from quetzaldeck.claims import Voter, VoterSetChain
-from quetzaldeck.claims.blind_period import BlindPeriod
+from quetzaldeck.claims.abstention_period import AbstentionPeriod
 from quetzaldeck.claims.chain import Commit
 from quetzaldeck.registry import Registry
 
@@ -30,95 +36,95 @@
 
 
 @faulty_fleets.register("own_view_quorum")
-class OwnViewQuorum(BoldFleet):
+class OwnViewQuorum(UncheckedRemovalFleet):
     """The claimant needs a majority of the VMs that it believes in itself."""
 
     def count(self, attempt: Attempt) -> bool:
         super().count(attempt)
-        n_believed = len(attempt.vm.voter.peers - attempt.vm.gone) + 1
-        if 2 * len(attempt.round.grants) > n_believed:
+        n_expected = len(attempt.vm.voter.peers - attempt.vm.gone) + 1
+        if 2 * len(attempt.tally.grants) > n_expected:
             self.win(attempt)
         return attempt.is_won
 
 
 @faulty_fleets.register("no_permit_check")
-class NoPermitCheck(BoldFleet):
+class NoPermitCheck(UncheckedRemovalFleet):
     """The claimant dispatches without looking at its clock again."""
 
     checks_permit = False
 
 
 @faulty_fleets.register("late_win")
-class LateWin(BoldFleet):
+class LateWin(UncheckedRemovalFleet):
     """A vote that comes late brings an abandoned claim back."""
 
     def win(self, attempt: Attempt) -> None:
         attempt.is_won = True
 
 
-class _NoBlindPeriod(BlindPeriod):
-    def left_ms(self, created_ms: float | None) -> float:
+class _NoAbstentionPeriod(AbstentionPeriod):
+    def remaining_ms(self, created_ms: float | None) -> float:
         return 0.0
 
 
-class _NeverBlind(BoldVoter):
-    blind_period_class = _NoBlindPeriod
+class _NeverAbstainingVoter(UncheckedRemovalVoter):
+    abstention_period_class = _NoAbstentionPeriod
 
 
 @faulty_fleets.register("no_abstention")
 class NoAbstention(ModelFleet):
     """A voter that lost its memory votes on every key."""
 
-    vm_class = fleet_of(_NeverBlind).vm_class
+    vm_class = fleet_of(_NeverAbstainingVoter).vm_class
 
 
-class _EagerChain(VoterSetChain):
+class _NoMajorityChain(VoterSetChain):
     def find_commit(
-        self, replies: Sequence[SyncReply], vacated: Iterable[object]
+        self, replies: Sequence[SyncReply], retired: Iterable[object]
     ) -> Commit | None:
-        if not self._targets:
+        if not self._pending:
             return None
-        target = self._targets[-1]
-        adopters = tuple(reply for reply in replies if target in reply.targets)
-        return Commit(target, adopters, is_blind=False)
+        target = self._pending[-1]
+        adopters = tuple(reply for reply in replies if target in reply.pending)
+        return Commit(target, adopters, loses_grants=False)
 
 
-class _EagerVoter(BoldVoter):
+class _NoMajorityVoter(UncheckedRemovalVoter):
     def __init__(self, **kwargs: object) -> None:
         super().__init__(**kwargs)  # type: ignore[arg-type]
-        self._chain = _EagerChain()
+        self._chain = _NoMajorityChain()
 
 
-@faulty_fleets.register("eager_shrink")
-class EagerShrink(ModelFleet):
+@faulty_fleets.register("shrinks_without_majority")
+class ShrinksWithoutMajority(ModelFleet):
     """A voter set counts as soon as one voter believes in it."""
 
-    vm_class = fleet_of(_EagerVoter).vm_class
+    vm_class = fleet_of(_NoMajorityVoter).vm_class
 
 
 class _SkippingChain(VoterSetChain):
-    def _list_crossed(
+    def _list_superseded(
         self, target: VoterSet, adopters: Iterable[SyncReply]
     ) -> set[VoterSet]:
-        assert self._base is not None
-        return {self._base}
+        assert self._committed is not None
+        return {self._committed}
 
 
-class _SkippingVoter(BoldVoter):
+class _SkippingVoter(UncheckedRemovalVoter):
     def __init__(self, **kwargs: object) -> None:
         super().__init__(**kwargs)  # type: ignore[arg-type]
         self._chain = _SkippingChain()
 
 
-@faulty_fleets.register("skip_crossed_sets")
-class SkipCrossedSets(ModelFleet):
+@faulty_fleets.register("skip_superseded_sets")
+class SkipSupersededSets(ModelFleet):
     """A voter set replaces the base without asking the sets in between."""
 
     vm_class = fleet_of(_SkippingVoter).vm_class
 
 
-class _ForgetfulVoter(BoldVoter):
-    def _take_over(self, replies: Sequence[SyncReply]) -> None:
+class _NoSnapshotVoter(UncheckedRemovalVoter):
+    def _merge_claims(self, replies: Sequence[SyncReply]) -> None:
         pass
 
 
@@ -126,60 +132,63 @@
 class NoSnapshot(ModelFleet):
     """A voter moves to another set without its peers' claims."""
 
-    vm_class = fleet_of(_ForgetfulVoter).vm_class
+    vm_class = fleet_of(_NoSnapshotVoter).vm_class
 
 
-class _SameSeatVoter(BoldVoter):
+class _SameVoterIdVoter(UncheckedRemovalVoter):
     """Takes its vote back up after a restart as if it had forgotten nothing."""
 
-    def _take_new_seat(self) -> None:
+    def _take_new_voter_id(self) -> None:
         pass
 
-    def _begin(self, replies: Sequence[SyncReply]) -> None:
+    def _initialize(self, replies: Sequence[SyncReply]) -> None:
         for reply in replies:
-            if reply.base is not None and self._seat in reply.base.members:
-                self._chain.replace_base(reply.base)
+            if (
+                reply.committed is not None
+                and self._voter_id in reply.committed.members
+            ):
+                self._chain.set_committed(reply.committed)
                 return
-        super()._begin(replies)
+        super()._initialize(replies)
 
 
-@faulty_fleets.register("same_seat")
-class SameSeat(ModelFleet):
+@faulty_fleets.register("same_voter_id")
+class SameVoterId(ModelFleet):
     """A restarted voter votes again under its old seat."""
 
-    vm_class = fleet_of(_SameSeatVoter).vm_class
+    vm_class = fleet_of(_SameVoterIdVoter).vm_class
 
 
-class _CredulousVoter(BoldVoter):
-    def _note_vacated(self, request: SyncRequest, replies: Sequence[SyncReply]) -> None:
-        super()._note_vacated(self.build_sync(), replies)
+class _LateRepliesVoter(UncheckedRemovalVoter):
+    def _note_retired(self, request: SyncRequest, replies: Sequence[SyncReply]) -> None:
+        super()._note_retired(self.build_sync(), replies)
 
 
 @faulty_fleets.register("late_replies_count")
 class LateRepliesCount(ModelFleet):
     """A late reply tells of seats that were taken after it was sent."""
 
-    vm_class = fleet_of(_CredulousVoter).vm_class
+    vm_class = fleet_of(_LateRepliesVoter).vm_class
 
 
-class _CliquishVoter(BoldVoter):
+class _WantedOnlyVoter(UncheckedRemovalVoter):
     @property
     def peers(self) -> frozenset[str]:
-        return self.electors
+        return self.voters_to_ask
 
-    def _found(self, replies: Sequence[SyncReply]) -> None:
+    def _form_first_set(self, replies: Sequence[SyncReply]) -> None:
         self._view = self._view._replace(listed=self._view.voters)
-        super()._found([r._replace(listed=r.voters) for r in replies])
+        super()._form_first_set([r._replace(listed=r.voters) for r in replies])
 
 
 @faulty_fleets.register("asks_wanted_only")
 class AsksWantedOnly(ModelFleet):
     """A new voter looks for a voter set only among those that it wants in it."""
 
-    vm_class = fleet_of(_CliquishVoter).vm_class
+    vm_class = fleet_of(_WantedOnlyVoter).vm_class
 
 
-class _SecondGrantVoter(BoldVoter):
+class _SecondGrantVoter(UncheckedRemovalVoter):
     def vote(self, request):  # type: ignore[no-untyped-def]
         for other in self.table.find(request.claim.key):
             self.table.remove(other.key, other.claim_id)
--- a/tests/claims/machine.py
+++ b/tests/claims/machine.py
@@ -151,7 +151,7 @@
             self.open.append(attempt)
             for name in NAMES:
                 self.fleet.ask(attempt, name)
-            self.fleet.give_up(attempt, told=NAMES)
+            self.fleet.give_up(attempt, notified=NAMES)
 
     @precondition(lambda self: self.open)
     @rule(pick=PICK, asked=SUBSET)
@@ -172,9 +172,11 @@
         self.fleet.dispatch(attempt)
 
     @precondition(lambda self: self.open)
-    @rule(pick=PICK, told=SUBSET)
-    def give_up(self, pick: int, told: int) -> None:
-        self.fleet.give_up(self.pick_attempt(pick), told=choose(told, list(NAMES)))
+    @rule(pick=PICK, notified=SUBSET)
+    def give_up(self, pick: int, notified: int) -> None:
+        self.fleet.give_up(
+            self.pick_attempt(pick), notified=choose(notified, list(NAMES))
+        )
 
     @precondition(lambda self: self.open)
     @rule(pick=PICK)
@@ -182,7 +184,7 @@
         """Every answer relayed to a resend is the answer to its key."""
         attempt = self.pick_attempt(pick)
         for answer in self.fleet.resolve(attempt):
-            assert answer == answer_of(attempt.round.claim)
+            assert answer == answer_of(attempt.tally.claim)
 
     @rule(delta_ms=DELAYS_MS)
     def advance(self, delta_ms: int) -> None:
--- a/tests/claims/measure.py
+++ b/tests/claims/measure.py
@@ -21,9 +21,9 @@
 
 from quetzaldeck.claims import (
     Claim,
-    ClaimBook,
     ClaimSettings,
     ClaimTable,
+    ClaimTracker,
     KeptAnswer,
     hash_claim_key,
 )
@@ -211,18 +211,18 @@
         claims = len(table)
         del table
         tracemalloc.start()
-        book = ClaimBook(ManualClock(), settings)
+        tracker = ClaimTracker(ManualClock(), settings)
         for index in range(n_claims):
             claim = build_claim(index)
-            book.begin(claim)
-            book.win(claim.claim_id)
+            tracker.begin(claim)
+            tracker.win(claim.claim_id)
             answer = KeptAnswer(200, (("Content-Type", "text"),), bytes(ANSWER_BYTES))
-            book.finish(claim.claim_id, answer)
-        n_book_bytes, _ = tracemalloc.get_traced_memory()
+            tracker.finish(claim.claim_id, answer)
+        n_tracker_bytes, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         print(
             f"{claims} claims: {n_bytes / claims:.0f} bytes each at a voter, "
-            f"{n_book_bytes / len(book):.0f} at the claimant with "
+            f"{n_tracker_bytes / len(tracker):.0f} at the claimant with "
             f"{ANSWER_BYTES} bytes of answer"
         )
 
--- a/tests/claims/model.py
+++ b/tests/claims/model.py
@@ -11,23 +11,23 @@
 
 from quetzaldeck.claims import (
     Claim,
-    ClaimBook,
-    ClaimRound,
     ClaimSettings,
+    ClaimState,
+    ClaimTracker,
     FleetView,
-    HoldState,
     KeptAnswer,
     Permit,
     Release,
     Voter,
     VoteRequest,
+    VoteTally,
 )
 from quetzaldeck.clock import ManualClock
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from quetzaldeck.claims import Seat, SyncReply, SyncRequest, Vote
+    from quetzaldeck.claims import SyncReply, SyncRequest, Vote, VoterId
 
 SETTINGS = ClaimSettings(window_ms=10_000, max_deadline_ms=2_000, max_clock_skew_ms=100)
 N_SETTLING_ROUNDS = 12
@@ -51,11 +51,11 @@
     def __init__(self, vm: ModelVm, key: ModelKey, claim: Claim) -> None:
         self.vm = vm
         self.key = key
-        self.round = ClaimRound(claim)
+        self.tally = VoteTally(claim)
         self.inbox: list[Vote] = []
         self.permit: Permit | None = None
         self.is_won = False
-        self.is_told_not_run = False
+        self.is_reported_not_run = False
         self.has_run = False
 
 
@@ -69,7 +69,7 @@
         self.incarnation = incarnation
         self.clock = clock
         self.voter = self.build_voter()
-        self.book = ClaimBook(clock, SETTINGS)
+        self.tracker = ClaimTracker(clock, SETTINGS)
         self.n_attempts = 0
         self.gone: frozenset[str] = frozenset()
         self.request: SyncRequest | None = None
@@ -84,17 +84,17 @@
         )
 
 
-class BoldVoter(Voter):
+class UncheckedRemovalVoter(Voter):
     """Proposes whatever it believes, so that more histories are possible."""
 
-    def _may_remove(self, gone: Collection[Seat]) -> bool:
+    def _may_propose_removal(self, gone: Collection[VoterId]) -> bool:
         return True
 
 
-class BoldVm(ModelVm):
+class UncheckedRemovalVm(ModelVm):
     """A VM whose voter is bold."""
 
-    voter_class = BoldVoter
+    voter_class = UncheckedRemovalVoter
 
 
 class ModelFleet:
@@ -143,7 +143,7 @@
         truth = frozenset(self.vms) if listed is None else frozenset(listed)
         vm.gone = frozenset(gone)
         voters = None if wanted is None else frozenset(wanted)
-        vm.voter.observe(FleetView(truth, vm.gone, voters))
+        vm.voter.update_view(FleetView(truth, vm.gone, voters))
         request = vm.request = vm.voter.build_sync()
         vm.replies = [
             self.vms[peer].voter.answer_sync(request)
@@ -154,7 +154,7 @@
     def end_sync(self, name: str) -> None:
         vm = self.vms[name]
         if vm.request is not None:
-            vm.voter.take_round(vm.request, vm.replies)
+            vm.voter.process_replies(vm.request, vm.replies)
 
     def sync_all(
         self,
@@ -178,7 +178,7 @@
         vm.n_attempts += 1
         claim_id = f"{vm.incarnation}:{vm.n_attempts}"
         claim = Claim(key.name, body, claim_id, vm_name)
-        vm.book.begin(claim)
+        vm.tracker.begin(claim)
         attempt = Attempt(vm, key, claim)
         attempt.permit = Permit(
             claim_id,
@@ -191,21 +191,21 @@
     def ask(self, attempt: Attempt, voter: str) -> None:
         """Bring the request to a voter; its vote waits in the inbox."""
         if self.is_up(attempt) and self.can_reach(attempt.vm.name, voter):
-            request = VoteRequest(attempt.round.claim, attempt.key.created_ms)
+            request = VoteRequest(attempt.tally.claim, attempt.key.created_ms)
             attempt.inbox.append(self.vms[voter].voter.vote(request))
 
     def count(self, attempt: Attempt) -> bool:
         """:returns: whether the claim is won by the votes that have arrived"""
         for vote in attempt.inbox:
-            attempt.round.add(vote)
+            attempt.tally.add(vote)
         attempt.inbox = []
-        if attempt.round.is_won:
+        if attempt.tally.is_won:
             self.win(attempt)
         return attempt.is_won
 
     def win(self, attempt: Attempt) -> None:
         """Hand the permit to the gateway, which looks at nothing else later."""
-        if attempt.vm.book.win(attempt.round.claim.claim_id):
+        if attempt.vm.tracker.win(attempt.tally.claim.claim_id):
             attempt.is_won = True
 
     def is_up(self, attempt: Attempt) -> bool:
@@ -220,22 +220,22 @@
             return False
         attempt.has_run = True
         self.executions[attempt.key.name] += 1
-        answer = KeptAnswer(200, (), answer_of(attempt.round.claim).encode())
-        attempt.vm.book.finish(attempt.round.claim.claim_id, answer)
+        answer = KeptAnswer(200, (), answer_of(attempt.tally.claim).encode())
+        attempt.vm.tracker.finish(attempt.tally.claim.claim_id, answer)
         return True
 
-    def give_up(self, attempt: Attempt, *, told: Iterable[str] = ()) -> None:
+    def give_up(self, attempt: Attempt, *, notified: Iterable[str] = ()) -> None:
         """Tell the caller ``ran: no`` and, if they can be reached, the voters."""
         if attempt.has_run or not self.is_up(attempt):
             return
-        claim = attempt.round.claim
-        attempt.vm.book.abandon(claim.claim_id)
+        claim = attempt.tally.claim
+        attempt.vm.tracker.abandon(claim.claim_id)
         attempt.is_won = False
-        attempt.is_told_not_run = True
-        self.release(attempt.vm.name, claim, told)
+        attempt.is_reported_not_run = True
+        self.release(attempt.vm.name, claim, notified)
 
-    def release(self, sender: str, claim: Claim, told: Iterable[str]) -> None:
-        for name in told:
+    def release(self, sender: str, claim: Claim, notified: Iterable[str]) -> None:
+        for name in notified:
             if self.can_reach(sender, name):
                 self.vms[name].voter.release(Release(claim.key, claim.claim_id))
 
@@ -245,16 +245,16 @@
         :returns: answers relayed; claims that were given up are released
         """
         answers = []
-        for holder in attempt.round.holders:
+        for holder in attempt.tally.holders:
             if not self.is_up(attempt) or not self.can_reach(
                 attempt.vm.name, holder.vm
             ):
                 continue
-            hold = self.vms[holder.vm].book.find(holder.claim_id)
-            if hold.state is HoldState.ABANDONED:
+            status = self.vms[holder.vm].tracker.find(holder.claim_id)
+            if status.state is ClaimState.ABANDONED:
                 self.release(attempt.vm.name, holder, list(self.vms))
-            if hold.answer is not None:
-                answers.append(hold.answer.body.decode())
+            if status.answer is not None:
+                answers.append(status.answer.body.decode())
         return answers
 
     def call(self, vm_name: str, key: ModelKey) -> bool:
@@ -264,7 +264,7 @@
             self.ask(attempt, name)
         if self.count(attempt) and self.dispatch(attempt):
             return True
-        self.give_up(attempt, told=list(self.vms))
+        self.give_up(attempt, notified=list(self.vms))
         return False
 
     def check(self) -> None:
@@ -272,13 +272,13 @@
         doubled = {key: n for key, n in self.executions.items() if n > 1}
         assert not doubled, f"ran more than once: {doubled}"
         for attempt in self.attempts:
-            assert not (attempt.is_told_not_run and attempt.has_run)
+            assert not (attempt.is_reported_not_run and attempt.has_run)
 
 
-class BoldFleet(ModelFleet):
+class UncheckedRemovalFleet(ModelFleet):
     """A correct fleet in which beliefs do more harm."""
 
-    vm_class = BoldVm
+    vm_class = UncheckedRemovalVm
 
 
 def answer_of(claim: Claim) -> str:
@@ -297,11 +297,11 @@
 __all__ = (
     "SETTINGS",
     "Attempt",
-    "BoldFleet",
-    "BoldVoter",
     "ModelFleet",
     "ModelKey",
     "ModelVm",
+    "UncheckedRemovalFleet",
+    "UncheckedRemovalVoter",
     "answer_of",
     "make_settled_fleet",
 )
--- a/tests/claims/scenarios.py
+++ b/tests/claims/scenarios.py
@@ -40,7 +40,7 @@
     return attempt
 
 
-def shrink(fleet_class: type[ModelFleet]) -> None:
+def shrunken_list(fleet_class: type[ModelFleet]) -> None:
     """A booking runs through VM 1; VMs 1 to 4 vanish from the list, alive.
 
     The caller resends it to VM 5, whose list names 5, 6 and 7 only. A majority of
@@ -55,7 +55,7 @@
     fleet.check()
 
 
-def newcomer(fleet_class: type[ModelFleet]) -> None:
+def new_vm_with_partial_list(fleet_class: type[ModelFleet]) -> None:
     """A booking runs through VM 1 with the votes of 1 to 4; VM 8 starts.
 
     VM 8 has only ever seen 5, 6, 7 and itself, and the caller resends to it. Three
@@ -71,7 +71,7 @@
     fleet.check()
 
 
-def amnesia(fleet_class: type[ModelFleet]) -> None:
+def minority_restarts(fleet_class: type[ModelFleet]) -> None:
     """A booking runs with the votes of 1 to 4; then 1, 2 and 3 restart.
 
     They come back under their old names and remember nothing. If they voted as
@@ -93,7 +93,7 @@
     assert fleet.call("1", fresh), "three restarts of seven must refuse nothing"
 
 
-def amnesia_of_majority(fleet_class: type[ModelFleet]) -> None:
+def majority_restarts(fleet_class: type[ModelFleet]) -> None:
     """A booking runs with the votes of 1 to 4; then all four restart at once.
 
     Nobody is left who knows the key. A vote on it would book twice, while a key
@@ -117,7 +117,7 @@
     assert fleet.call("5", fleet.make_key("after the window", is_timed=False))
 
 
-def split_truth(fleet_class: type[ModelFleet]) -> None:
+def partition_with_unequal_lists(fleet_class: type[ModelFleet]) -> None:
     """A partition of 1 to 3 from 4 to 7; only 1 to 3 read that 4 to 7 are dead.
 
     4 to 7 live on, read the old list, and go on booking for however long. If 1 to
@@ -139,7 +139,7 @@
     fleet.check()
 
 
-def late_waker(fleet_class: type[ModelFleet]) -> None:
+def pause_before_dispatch(fleet_class: type[ModelFleet]) -> None:
     """VM 1 wins a claim and pauses for an hour just before it dispatches.
 
     The voters forget the key meanwhile. VM 2, asked with the same key at the end of
@@ -175,12 +175,12 @@
     other = claim_at(fleet, "4", key, "456")
     assert not fleet.dispatch(one)
     assert not fleet.dispatch(other)
-    fleet.give_up(one, told="1")
-    fleet.give_up(other, told="4")
+    fleet.give_up(one, notified="1")
+    fleet.give_up(other, notified="4")
     third = claim_at(fleet, "5", key, "123456")
     assert not fleet.dispatch(third)
     fleet.resolve(third)
-    fleet.give_up(third, told="123456")
+    fleet.give_up(third, notified="123456")
     assert fleet.call("6", key), "a resend after a split vote must run"
     fleet.check()
 
@@ -195,7 +195,7 @@
     attempt = fleet.begin("1", key)
     for voter in "1234":
         fleet.ask(attempt, voter)
-    fleet.give_up(attempt, told=NAMES)
+    fleet.give_up(attempt, notified=NAMES)
     assert fleet.call("2", key)
     fleet.count(attempt)
     fleet.dispatch(attempt)
@@ -237,7 +237,7 @@
     fleet.check()
 
 
-def crossed_sets(fleet_class: type[ModelFleet]) -> None:
+def divergent_voter_sets(fleet_class: type[ModelFleet]) -> None:
     """Two halves of a partition add new VMs; VM 4 is heard by one, then the other.
 
     5 to 7 moved on to a set with VMs 8 to 11 that VM 4 adopted. 1 to 4 then add VMs
@@ -283,7 +283,7 @@
     for name in "345":
         fleet.start(name)
         fleet.sync_all()
-    fleet.vms["1"].voter.take_round(request, replies)
+    fleet.vms["1"].voter.process_replies(request, replies)
     fleet.partition("12", "345")
     for _ in range(40):
         for name in "12345":
@@ -321,7 +321,7 @@
     fleet.check()
 
 
-def other_voters_wanted(fleet_class: type[ModelFleet]) -> None:
+def changed_voter_ranking(fleet_class: type[ModelFleet]) -> None:
     """A fleet larger than a group of voters grows; other VMs come to be wanted.
 
     VMs 1 to 3 vote; then 4, 5 and 6 start and rank before them. If these three
@@ -347,7 +347,7 @@
     ]
     for attempt in attempts:
         fleet.dispatch(attempt)
-        fleet.give_up(attempt, told=fleet.vms)
+        fleet.give_up(attempt, notified=fleet.vms)
     fleet.check()
     fleet.sync_all(wanted="456", gone="123")
     fleet.call("4", key)
@@ -358,20 +358,20 @@
 scenarios: dict[str, Scenario] = {
     scenario.__name__: scenario
     for scenario in (
-        shrink,
-        newcomer,
-        amnesia,
-        amnesia_of_majority,
-        split_truth,
-        late_waker,
+        shrunken_list,
+        new_vm_with_partial_list,
+        minority_restarts,
+        majority_restarts,
+        partition_with_unequal_lists,
+        pause_before_dispatch,
         split_vote,
         late_votes,
         resend,
         graceful_leave,
-        crossed_sets,
+        divergent_voter_sets,
         late_replies,
         majority_lost,
-        other_voters_wanted,
+        changed_voter_ranking,
     )
 }
 
--- a/tests/claims/soak.py
+++ b/tests/claims/soak.py
@@ -10,7 +10,7 @@
 import time
 
 from tests.claims.faulty import faulty_fleets
-from tests.claims.model import BoldFleet, ModelFleet
+from tests.claims.model import ModelFleet, UncheckedRemovalFleet
 from tests.claims.model_check import check_fleet
 
 N_STEPS = 60
@@ -37,7 +37,7 @@
     n_examples = int(sys.argv[1]) if len(sys.argv) > 1 else N_EXAMPLES
     find_variants()
     started_s = time.monotonic()
-    for fleet_class in (ModelFleet, BoldFleet):
+    for fleet_class in (ModelFleet, UncheckedRemovalFleet):
         check_fleet(fleet_class, n_examples=n_examples, n_steps=N_STEPS, is_random=True)
         spent_s = time.monotonic() - started_s
         print(f"{fleet_class.__name__}: {n_examples} histories, {spent_s:.0f} s so far")
--- a/tests/claims/test_awaited_seat.py
+++ b/tests/claims/test_awaited_voter.py
@@ -25,11 +25,11 @@
     return fleet
 
 
-def sync_those_that_take_part(fleet: ModelFleet, n_rounds: int = 24) -> None:
+def sync_required_voters(fleet: ModelFleet, n_rounds: int = 24) -> None:
     """Hold rounds as agents do: those that vote, are waited for or are wanted."""
     for _ in range(n_rounds):
         for name, vm in fleet.vms.items():
-            if vm.voter.takes_part or name in WANTED_LATER:
+            if vm.voter.must_sync or name in WANTED_LATER:
                 gone = {"a", "b"} if vm.voter.can_vote else ()
                 fleet.begin_sync(name, gone=gone, wanted=WANTED_LATER)
                 fleet.end_sync(name)
@@ -37,21 +37,23 @@
 
 def test_seat_is_awaited_until_it_is_taken() -> None:
     fleet = make_fleet()
-    base = fleet.vms["a"].voter.chain.base
-    assert base is not None
-    assert fleet.vms["b"].voter.seat in base.members
-    assert fleet.vms["b"].voter.chain.base is None
+    committed = fleet.vms["a"].voter.chain.committed
+    assert committed is not None
+    assert fleet.vms["b"].voter.voter_id in committed.members
+    assert fleet.vms["b"].voter.chain.committed is None
     assert fleet.vms["b"].voter.is_awaited
 
 
 def test_voters_of_a_group_change_though_one_never_took_its_seat() -> None:
     fleet = make_fleet()
-    sync_those_that_take_part(fleet)
-    bases = {name: fleet.vms[name].voter.chain.base for name in WANTED_LATER}
-    for base in bases.values():
-        assert base is not None
-        assert {seat.vm for seat in base.members} == set(WANTED_LATER)
-    assert not fleet.vms["b"].voter.takes_part
+    sync_required_voters(fleet)
+    committed_sets = {
+        name: fleet.vms[name].voter.chain.committed for name in WANTED_LATER
+    }
+    for committed in committed_sets.values():
+        assert committed is not None
+        assert {voter_id.vm for voter_id in committed.members} == set(WANTED_LATER)
+    assert not fleet.vms["b"].voter.must_sync
 
 
 def test_voter_does_not_leave_while_its_vote_is_awaited() -> None:
@@ -66,6 +68,6 @@
             fleet.begin_sync(name)
             fleet.end_sync(name)
     assert leaver.has_left
-    base = fleet.vms["a"].voter.chain.base
-    assert base is not None
-    assert {seat.vm for seat in base.members} == {"a"}
+    committed = fleet.vms["a"].voter.chain.committed
+    assert committed is not None
+    assert {voter_id.vm for voter_id in committed.members} == {"a"}
--- a/tests/claims/test_fleet_claims.py
+++ b/tests/claims/test_fleet_claims.py
@@ -33,10 +33,10 @@
 def is_settled(fleet: Fleet) -> bool:
     for vm in fleet.vms.values():
         voter = vm.agent.session.claims.groups.get(0)
-        base = voter.chain.base
-        if base is None or not voter.is_settled:
+        committed = voter.chain.committed
+        if committed is None or not voter.is_settled:
             return False
-        if {seat.vm for seat in base.members} != set(fleet.vms):
+        if {voter_id.vm for voter_id in committed.members} != set(fleet.vms):
             return False
     return True
 
@@ -78,12 +78,12 @@
             await fleet.start_vm(name)
         await asyncio.gather(*bookings)
         callers.check()
-        told = Counter((o.status, o.reason) for o in callers.outcomes)
-        n_answers = sum(n for (status, _), n in told.items() if status == 200)
-        assert n_answers >= N_BOOKINGS, told
+        counts = Counter((o.status, o.reason) for o in callers.outcomes)
+        n_answers = sum(n for (status, _), n in counts.items() if status == 200)
+        assert n_answers >= N_BOOKINGS, counts
         # A VM that vanished may have taken an answer along; its booking did run.
         settled = {o.key for o in callers.outcomes if o.is_settled}
-        assert len(settled) == N_BOOKINGS, told
+        assert len(settled) == N_BOOKINGS, counts
 
 
 async def book_later(callers: Callers, delay_s: float) -> None:
@@ -166,10 +166,10 @@
         answered = {o.key for o in callers.outcomes if o.status == 200}
         assert answered == set(keys)
         sizes = {
-            len(voter.chain.base.members)
+            len(voter.chain.committed.members)
             for vm in fleet.vms.values()
             for voter in vm.agent.session.claims.groups.voters
-            if voter.chain.base is not None and voter.is_settled
+            if voter.chain.committed is not None and voter.is_settled
         }
         assert max(sizes) <= 4
 
--- a/tests/claims/test_model_check.py
+++ b/tests/claims/test_model_check.py
@@ -4,13 +4,13 @@
 
 import pytest
 from tests.claims.faulty import faulty_fleets
-from tests.claims.model import BoldFleet, ModelFleet
+from tests.claims.model import ModelFleet, UncheckedRemovalFleet
 from tests.claims.model_check import check_fleet
 
 EASILY_FOUND = ("late_win", "second_grant")
 
 
-@pytest.mark.parametrize("fleet_class", [ModelFleet, BoldFleet])
+@pytest.mark.parametrize("fleet_class", [ModelFleet, UncheckedRemovalFleet])
 def test_check_fleet_finds_no_fault(fleet_class: type[ModelFleet]) -> None:
     check_fleet(fleet_class, n_examples=100, n_steps=40)
 
