--- a/src/quetzaldeck/agent/reclaim_task.py
+++ b/src/quetzaldeck/agent/reclaim_task.py
@@ -116,8 +116,8 @@
     async def _look(self, spec: UpstreamSpec) -> None:
         engine = self._open(spec)
         holdings = await engine.list_sequences()
-        for owner in self._reclaimer.list_questions(holdings):
-            self._reclaimer.note_answer(owner, await self._ask(owner))
+        for owner in self._reclaimer.list_owners_to_query(holdings):
+            self._reclaimer.note_owner_state(owner, await self._ask(owner))
         releases = self._reclaimer.list_releases(holdings)
         if releases:
             listed_again = await engine.list_sequences()
@@ -127,7 +127,7 @@
     async def _release(
         self, engine: EngineUpstream, name: str, release: Release
     ) -> None:
-        holding: RunningSequence = release.holding
+        holding: RunningSequence = release.allocation
         await engine.cancel(holding.attempt_id)
         self._metrics.reclaimed.labels(release.why).inc()
         self._metrics.reclaimed_tokens.inc(holding.n_kv_tokens)
--- a/src/quetzaldeck/reclaim/__init__.py
+++ b/src/quetzaldeck/reclaim/__init__.py
@@ -10,12 +10,12 @@
 >>> reclaimer = Reclaimer(ManualClock(), ReclaimSettings())
 >>> owner = Owner("a", "gateway.1")
 >>> listed = [RunningSequence("r.1", owner, n_kv_tokens=900, age_ms=60_000)]
->>> reclaimer.list_questions(listed) == (owner,)
+>>> reclaimer.list_owners_to_query(listed) == (owner,)
 True
->>> reclaimer.note_answer(owner, OwnerState.UNKNOWN)  # silent: perhaps paused
+>>> reclaimer.note_owner_state(owner, OwnerState.UNKNOWN)  # silent: perhaps paused
 >>> reclaimer.list_releases(listed)
 ()
->>> reclaimer.note_answer(owner, OwnerState.GONE)  # its agent vouches for it
+>>> reclaimer.note_owner_state(owner, OwnerState.GONE)  # its agent vouches for it
 >>> [release.why for release in reclaimer.list_releases(listed)]
 ['owner_gone']
 """
--- a/src/quetzaldeck/reclaim/owners.py
+++ b/src/quetzaldeck/reclaim/owners.py
@@ -19,8 +19,8 @@
     UNKNOWN = "unknown"
 
 
-class _Seen(NamedTuple):
-    heard_ms: float
+class _LastReport(NamedTuple):
+    reported_ms: float
     is_stopped: bool
 
 
@@ -39,44 +39,44 @@
     def __init__(self, clock: Clock, *, quiet_ms: float) -> None:
         self._clock = clock
         self._quiet_ms = quiet_ms
-        self._seen: dict[str, _Seen] = {}
-        self._awake_since_ms = clock.now_ms()
-        self._checked = (clock.now_ms(), clock.wall_ms())
+        self._reports: dict[str, _LastReport] = {}
+        self._resumed_ms = clock.now_ms()
+        self._last_check = (clock.now_ms(), clock.wall_ms())
 
     def note_report(self, incarnation: str, *, is_stopped: bool) -> None:
         """Take a gateway's report."""
-        self._note_awake()
-        self._seen.pop(incarnation, None)
-        self._seen[incarnation] = _Seen(self._clock.now_ms(), is_stopped)
-        if len(self._seen) > MAX_OWNERS:
-            del self._seen[next(iter(self._seen))]
+        self._detect_pause()
+        self._reports.pop(incarnation, None)
+        self._reports[incarnation] = _LastReport(self._clock.now_ms(), is_stopped)
+        if len(self._reports) > MAX_OWNERS:
+            del self._reports[next(iter(self._reports))]
 
     def find_state(self, incarnation: str) -> OwnerState:
         """:returns: what is known of one start of the gateway"""
-        self._note_awake()
-        seen = self._seen.get(incarnation)
-        if seen is None:
+        self._detect_pause()
+        report = self._reports.get(incarnation)
+        if report is None:
             return OwnerState.UNKNOWN
-        if seen.is_stopped:
+        if report.is_stopped:
             return OwnerState.GONE
         # After a pause of this agent a live gateway has reported in vain for as
         # long; it is given the whole time again.
-        heard_ms = max(seen.heard_ms, self._awake_since_ms)
-        if self._clock.now_ms() - heard_ms < self._quiet_ms:
+        reported_ms = max(report.reported_ms, self._resumed_ms)
+        if self._clock.now_ms() - reported_ms < self._quiet_ms:
             return OwnerState.LIVE
         has_successor = any(
-            other.heard_ms >= heard_ms + self._quiet_ms
-            for name, other in self._seen.items()
+            other.reported_ms >= reported_ms + self._quiet_ms
+            for name, other in self._reports.items()
             if name != incarnation
         )
         return OwnerState.GONE if has_successor else OwnerState.UNKNOWN
 
-    def _note_awake(self) -> None:
+    def _detect_pause(self) -> None:
         now = (self._clock.now_ms(), self._clock.wall_ms())
-        gap_ms = max(now[0] - self._checked[0], now[1] - self._checked[1])
+        gap_ms = max(now[0] - self._last_check[0], now[1] - self._last_check[1])
         if gap_ms > self._quiet_ms / 2:
-            self._awake_since_ms = now[0]
-        self._checked = now
+            self._resumed_ms = now[0]
+        self._last_check = now
 
 
 __all__ = ("OwnerRegistry", "OwnerState")
--- a/src/quetzaldeck/reclaim/reclaimer.py
+++ b/src/quetzaldeck/reclaim/reclaimer.py
@@ -33,7 +33,7 @@
     from quetzaldeck.reclaim.settings import ReclaimSettings
     from quetzaldeck.upstreams.attempt import Owner
 
-MAX_GONE = 4_096
+MAX_REMEMBERED_OWNERS = 4_096
 
 
 class Release(NamedTuple):
@@ -42,7 +42,7 @@
     :param why: ``owner_gone`` or ``deadline_passed``
     """
 
-    holding: RunningSequence
+    allocation: RunningSequence
     why: str
 
 
@@ -53,55 +53,62 @@
         self._clock = clock
         self._settings = settings
         self._gone: dict[Owner, None] = {}
-        self._asked_ms: dict[Owner, float] = {}
+        self._queried_ms: dict[Owner, float] = {}
 
-    def list_questions(self, holdings: Iterable[RunningSequence]) -> tuple[Owner, ...]:
+    def list_owners_to_query(
+        self, allocations: Iterable[RunningSequence]
+    ) -> tuple[Owner, ...]:
         """:returns: owners to ask about, those asked longest ago first"""
         owners = {
-            holding.owner
-            for holding in holdings
-            if holding.age_ms >= self._settings.min_age_ms
-            and holding.owner not in self._gone
+            allocation.owner
+            for allocation in allocations
+            if allocation.age_ms >= self._settings.min_age_ms
+            and allocation.owner not in self._gone
         }
-        in_turn = sorted(
-            owners, key=lambda owner: (self._asked_ms.get(owner, float("-inf")), owner)
+        by_last_query = sorted(
+            owners,
+            key=lambda owner: (self._queried_ms.get(owner, float("-inf")), owner),
         )
-        chosen = in_turn[: self._settings.max_questions]
-        self._forget_others(owners)
+        chosen = by_last_query[: self._settings.max_questions]
+        self._prune_queried(owners)
         for owner in chosen:
-            self._asked_ms[owner] = self._clock.now_ms()
+            self._queried_ms[owner] = self._clock.now_ms()
         return tuple(chosen)
 
-    def note_answer(self, owner: Owner, state: OwnerState) -> None:
+    def note_owner_state(self, owner: Owner, state: OwnerState) -> None:
         """Take the answer of the agent on the owner's VM."""
         if state is not OwnerState.GONE:
             return
         self._gone[owner] = None
-        if len(self._gone) > MAX_GONE:
+        if len(self._gone) > MAX_REMEMBERED_OWNERS:
             del self._gone[next(iter(self._gone))]
 
-    def list_releases(self, holdings: Sequence[RunningSequence]) -> tuple[Release, ...]:
+    def list_releases(
+        self, allocations: Sequence[RunningSequence]
+    ) -> tuple[Release, ...]:
         """:returns: what may be released of what an engine has just listed"""
         releases = []
-        for holding in holdings:
-            if holding.age_ms < self._settings.min_age_ms:
+        for allocation in allocations:
+            if allocation.age_ms < self._settings.min_age_ms:
                 continue
-            if holding.owner in self._gone:
-                releases.append(Release(holding, "owner_gone"))
-            elif self._is_expired(holding):
-                releases.append(Release(holding, "deadline_passed"))
+            if allocation.owner in self._gone:
+                releases.append(Release(allocation, "owner_gone"))
+            elif self._is_expired(allocation):
+                releases.append(Release(allocation, "deadline_passed"))
         return tuple(releases)
 
-    def _is_expired(self, holding: RunningSequence) -> bool:
-        expiry_ms = read_expiry_ms(holding.attempt_id)
+    def _is_expired(self, allocation: RunningSequence) -> bool:
+        expiry_ms = read_expiry_ms(allocation.attempt_id)
         if expiry_ms is None:
             longest_ms = self._settings.max_deadline_ms + self._settings.clock_skew_ms
-            return holding.age_ms > longest_ms
+            return allocation.age_ms > longest_ms
         return self._clock.wall_ms() > expiry_ms + self._settings.clock_skew_ms
 
-    def _forget_others(self, owners: set[Owner]) -> None:
-        if len(self._asked_ms) > MAX_GONE:
-            self._asked_ms = {o: ms for o, ms in self._asked_ms.items() if o in owners}
+    def _prune_queried(self, owners: set[Owner]) -> None:
+        if len(self._queried_ms) > MAX_REMEMBERED_OWNERS:
+            self._queried_ms = {
+                o: ms for o, ms in self._queried_ms.items() if o in owners
+            }
 
 
 def confirm_releases(
@@ -116,8 +123,8 @@
     return tuple(
         release
         for release in releases
-        if now.get((release.holding.attempt_id, release.holding.owner), -1.0)
-        >= release.holding.age_ms
+        if now.get((release.allocation.attempt_id, release.allocation.owner), -1.0)
+        >= release.allocation.age_ms
     )
 
 
--- a/tests/reclaim/crashes.py
+++ b/tests/reclaim/crashes.py
@@ -30,11 +30,11 @@
 SHORT_DEADLINES_MS = (30_000, 120_000)
 LONG_DEADLINE_MS = 600_000
 PAUSE_MS = 60_000.0
-CUT_MS = 120_000.0
+PARTITION_MS = 120_000.0
 SETTINGS = ReclaimSettings()
 # What the design promises: the longest deadline, the clocks' difference, and a
 # look at each engine after that.
-STATED_MS = (
+RELEASE_BOUND_MS = (
     LONG_DEADLINE_MS
     + SETTINGS.clock_skew_ms
     + SETTINGS.min_age_ms
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class Held:
+class Allocation:
     """Memory on an engine."""
 
     owner: Owner
@@ -66,8 +66,8 @@
     gateway: str
     gateway_is_live: bool = True
     agent_is_live: bool = True
-    asleep_until_ms: float = 0.0
-    cut_until_ms: float = 0.0
+    paused_until_ms: float = 0.0
+    partitioned_until_ms: float = 0.0
     gateway_back_ms: float = 0.0
     agent_back_ms: float = 0.0
     owners: OwnerRegistry = field(init=False)
@@ -82,13 +82,13 @@
         self.reclaimer = Reclaimer(self.clock, SETTINGS)
 
     @property
-    def is_awake(self) -> bool:
-        return self.clock.now_ms() >= self.asleep_until_ms
+    def is_running(self) -> bool:
+        return self.clock.now_ms() >= self.paused_until_ms
 
     @property
     def is_reachable(self) -> bool:
-        is_joined = self.clock.now_ms() >= self.cut_until_ms
-        return self.agent_is_live and self.is_awake and is_joined
+        is_connected = self.clock.now_ms() >= self.partitioned_until_ms
+        return self.agent_is_live and self.is_running and is_connected
 
 
 class Outcome(NamedTuple):
@@ -102,7 +102,7 @@
     peak_leaked_tokens: int
     leaked_token_hours: float
     n_released: int
-    waits_ms: tuple[float, ...]
+    release_delays_ms: tuple[float, ...]
 
 
 class Trial:
@@ -115,36 +115,36 @@
         self.random = random.Random(seed)
         self.clock = ManualClock(wall_offset_ms=1.7e12)
         self.with_reclaim = with_reclaim
-        self.n_names = 0
+        self.n_vm_names = 0
         self.n_starts = 0
-        self.engines: dict[str, dict[str, Held]] = {
+        self.engines: dict[str, dict[str, Allocation]] = {
             f"engine-{index}": {} for index in range(N_ENGINES)
         }
         self.machines = [self._build_machine(self._new_name()) for _ in range(N_VMS)]
-        self.left_since_ms: dict[str, float] = {}
+        self.leaked_since_ms: dict[str, float] = {}
         self.live: frozenset[Owner] = frozenset()
-        self.peak = 0
-        self.token_ms = 0.0
-        self.waits_ms: list[float] = []
+        self.peak_leaked_tokens = 0
+        self.leaked_token_ms = 0.0
+        self.release_delays_ms: list[float] = []
 
     def run(self) -> Outcome:
         for _ in range(self.n_crashes):
             for _ in range(self.random.randint(5, 40)):
                 self._step()
-            self._disturb()
-        for _ in range(round(STATED_MS / STEP_MS)):
+            self._inject_fault()
+        for _ in range(round(RELEASE_BOUND_MS / STEP_MS)):
             self._step(starts=False)
         return Outcome(
             self._count_leaked(),
-            self.peak,
-            self.token_ms / 3_600_000,
-            len(self.waits_ms),
-            tuple(sorted(self.waits_ms)),
+            self.peak_leaked_tokens,
+            self.leaked_token_ms / 3_600_000,
+            len(self.release_delays_ms),
+            tuple(sorted(self.release_delays_ms)),
         )
 
     def _new_name(self) -> str:
-        self.n_names += 1
-        return f"entry-{self.n_names}"
+        self.n_vm_names += 1
+        return f"entry-{self.n_vm_names}"
 
     def _new_incarnation(self) -> str:
         self.n_starts += 1
@@ -153,7 +153,7 @@
     def _build_machine(self, vm: str) -> Machine:
         return Machine(vm, self.clock, self._new_incarnation())
 
-    def _disturb(self) -> None:
+    def _inject_fault(self) -> None:
         machine = self.random.choice(self.machines)
         now_ms = self.clock.now_ms()
         kind = self.random.choice(
@@ -170,9 +170,9 @@
             name = machine.vm if kind == "reboot" else self._new_name()
             self.machines.append(self._build_machine(name))
         elif kind == "pause":
-            machine.asleep_until_ms = now_ms + PAUSE_MS
+            machine.paused_until_ms = now_ms + PAUSE_MS
         else:
-            machine.cut_until_ms = now_ms + CUT_MS
+            machine.partitioned_until_ms = now_ms + PARTITION_MS
             if kind == "reuse":
                 self.machines.append(self._build_machine(machine.vm))
         if len(self.machines) > N_VMS + 2:
@@ -181,24 +181,24 @@
     def _step(self, *, starts: bool = True) -> None:
         self.clock.advance(STEP_MS)
         for machine in self.machines:
-            self._come_back(machine)
+            self._restart_programs(machine)
         self.live = self._find_live()
-        self._end_served()
+        self._free_finished()
         for machine in self.machines:
-            if machine.is_awake and machine.gateway_is_live:
+            if machine.is_running and machine.gateway_is_live:
                 self._serve(machine, starts=starts)
         if self.with_reclaim and self.clock.now_ms() % SETTINGS.interval_ms < STEP_MS:
             for machine in self.machines:
-                if machine.agent_is_live and machine.is_awake:
+                if machine.agent_is_live and machine.is_running:
                     self._reclaim(machine)
-        self._account()
+        self._record_leaks()
 
     def _find_live(self) -> frozenset[Owner]:
         return frozenset(
             Owner(m.vm, m.gateway) for m in self.machines if m.gateway_is_live
         )
 
-    def _come_back(self, machine: Machine) -> None:
+    def _restart_programs(self, machine: Machine) -> None:
         now_ms = self.clock.now_ms()
         if not machine.gateway_is_live and now_ms >= machine.gateway_back_ms:
             machine.gateway_is_live = True
@@ -210,24 +210,24 @@
         if machine.agent_is_live:
             machine.owners.note_report(machine.gateway, is_stopped=False)
         owner = Owner(machine.vm, machine.gateway)
-        for holdings in self.engines.values():
+        for allocations in self.engines.values():
             if starts and self.random.random() < START_RATE:
-                self._start(holdings, owner)
+                self._start(allocations, owner)
 
-    def _end_served(self) -> None:
+    def _free_finished(self) -> None:
         """Let owners that run give back what they have finished with."""
         now_ms = self.clock.now_ms()
-        awake = {
+        running = {
             Owner(m.vm, m.gateway)
             for m in self.machines
-            if m.gateway_is_live and m.is_awake
+            if m.gateway_is_live and m.is_running
         }
-        for holdings in self.engines.values():
-            for holding_id, held in list(holdings.items()):
-                if now_ms >= held.freed_at_ms and held.owner in awake:
-                    del holdings[holding_id]
+        for allocations in self.engines.values():
+            for allocation_id, allocation in list(allocations.items()):
+                if now_ms >= allocation.freed_at_ms and allocation.owner in running:
+                    del allocations[allocation_id]
 
-    def _start(self, holdings: dict[str, Held], owner: Owner) -> None:
+    def _start(self, allocations: dict[str, Allocation], owner: Owner) -> None:
         now_ms = self.clock.now_ms()
         is_long = self.random.random() < 0.1
         length_ms = (
@@ -235,7 +235,7 @@
         )
         self.n_starts += 1
         wall_ms = self.clock.wall_ms() + length_ms
-        holdings[mark_expiry(f"request.{self.n_starts}", wall_ms)] = Held(
+        allocations[mark_expiry(f"request.{self.n_starts}", wall_ms)] = Allocation(
             owner,
             self.random.randint(1_000, 50_000),
             now_ms,
@@ -246,22 +246,27 @@
     def _list(self, engine: str) -> list[RunningSequence]:
         now_ms = self.clock.now_ms()
         return [
-            RunningSequence(key, held.owner, held.n_tokens, now_ms - held.started_ms)
-            for key, held in self.engines[engine].items()
+            RunningSequence(
+                key,
+                allocation.owner,
+                allocation.n_tokens,
+                now_ms - allocation.started_ms,
+            )
+            for key, allocation in self.engines[engine].items()
         ]
 
     def _reclaim(self, machine: Machine) -> None:
-        in_contact = [m.vm for m in self.machines if m.is_reachable]
-        vms = in_contact if machine.is_reachable else [machine.vm]
+        reachable = [m.vm for m in self.machines if m.is_reachable]
+        vms = reachable if machine.is_reachable else [machine.vm]
         for engine in self.engines:
             if choose_owner(engine, vms) != machine.vm:
                 continue
-            holdings = self._list(engine)
-            for owner in machine.reclaimer.list_questions(holdings):
-                machine.reclaimer.note_answer(owner, self._ask(machine, owner))
-            releases = machine.reclaimer.list_releases(holdings)
+            allocations = self._list(engine)
+            for owner in machine.reclaimer.list_owners_to_query(allocations):
+                machine.reclaimer.note_owner_state(owner, self._ask(machine, owner))
+            releases = machine.reclaimer.list_releases(allocations)
             for release in confirm_releases(releases, self._list(engine)):
-                self._release(engine, release.holding.attempt_id)
+                self._release(engine, release.allocation.attempt_id)
 
     def _ask(self, asker: Machine, owner: Owner) -> OwnerState:
         if owner.vm == asker.vm:
@@ -274,32 +279,35 @@
             return OwnerState.UNKNOWN
         return named[-1].owners.find_state(owner.incarnation)
 
-    def _release(self, engine: str, holding_id: str) -> None:
-        held = self.engines[engine].pop(holding_id)
-        if self._is_used(held):
-            raise LiveReleaseError(f"{holding_id} of {held.owner}")
-        since_ms = self.left_since_ms.get(holding_id, self.clock.now_ms())
-        self.waits_ms.append(self.clock.now_ms() - since_ms)
-
-    def _is_used(self, held: Held) -> bool:
-        return held.owner in self.live and self.clock.now_ms() < held.deadline_ms
+    def _release(self, engine: str, allocation_id: str) -> None:
+        allocation = self.engines[engine].pop(allocation_id)
+        if self._is_used(allocation):
+            raise LiveReleaseError(f"{allocation_id} of {allocation.owner}")
+        since_ms = self.leaked_since_ms.get(allocation_id, self.clock.now_ms())
+        self.release_delays_ms.append(self.clock.now_ms() - since_ms)
+
+    def _is_used(self, allocation: Allocation) -> bool:
+        return (
+            allocation.owner in self.live
+            and self.clock.now_ms() < allocation.deadline_ms
+        )
 
-    def _account(self) -> None:
+    def _record_leaks(self) -> None:
         n_leaked = 0
-        for holdings in self.engines.values():
-            for holding_id, held in holdings.items():
-                if not self._is_used(held):
-                    self.left_since_ms.setdefault(holding_id, self.clock.now_ms())
-                    n_leaked += held.n_tokens
-        self.peak = max(self.peak, n_leaked)
-        self.token_ms += n_leaked * STEP_MS
+        for allocations in self.engines.values():
+            for allocation_id, allocation in allocations.items():
+                if not self._is_used(allocation):
+                    self.leaked_since_ms.setdefault(allocation_id, self.clock.now_ms())
+                    n_leaked += allocation.n_tokens
+        self.peak_leaked_tokens = max(self.peak_leaked_tokens, n_leaked)
+        self.leaked_token_ms += n_leaked * STEP_MS
 
     def _count_leaked(self) -> int:
         return sum(
-            held.n_tokens
-            for holdings in self.engines.values()
-            for held in holdings.values()
-            if not self._is_used(held)
+            allocation.n_tokens
+            for allocations in self.engines.values()
+            for allocation in allocations.values()
+            if not self._is_used(allocation)
         )
 
 
@@ -307,9 +315,9 @@
     """Print the figures of one trial with reclaim and one without."""
     for with_reclaim in (False, True):
         outcome = Trial(1, with_reclaim=with_reclaim).run()
-        waits = outcome.waits_ms
-        middle = waits[len(waits) // 2] / 1_000 if waits else 0.0
-        longest = waits[-1] / 1_000 if waits else 0.0
+        delays = outcome.release_delays_ms
+        middle = delays[len(delays) // 2] / 1_000 if delays else 0.0
+        longest = delays[-1] / 1_000 if delays else 0.0
         print(
             f"with_reclaim={with_reclaim} left={outcome.n_leaked_tokens} "
             f"peak={outcome.peak_leaked_tokens} "
--- a/tests/reclaim/test_reclaimer.py
+++ b/tests/reclaim/test_reclaimer.py
@@ -26,10 +26,10 @@
 OWNER = Owner("entry-1", "gateway.1")
 
 
-def make_holding(
-    holding_id: str = "a.1", owner: Owner = OWNER, age_ms: float = 60_000
+def make_allocation(
+    allocation_id: str = "a.1", owner: Owner = OWNER, age_ms: float = 60_000
 ) -> RunningSequence:
-    return RunningSequence(holding_id, owner, 1_000, age_ms)
+    return RunningSequence(allocation_id, owner, 1_000, age_ms)
 
 
 def report(
@@ -63,13 +63,13 @@
     report(registry, clock, "gateway.1", 5_000)
     assert registry.find_state("gateway.1") is OwnerState.LIVE
     clock.advance(3_600_000)
-    clock_checks = [registry.find_state("gateway.1")]
+    states = [registry.find_state("gateway.1")]
     clock.advance(QUIET_MS / 4)
     for _ in range(10):
         clock.advance(QUIET_MS / 4)
-        clock_checks.append(registry.find_state("gateway.1"))
-    assert OwnerState.GONE not in clock_checks
-    assert clock_checks[-1] is OwnerState.UNKNOWN
+        states.append(registry.find_state("gateway.1"))
+    assert OwnerState.GONE not in states
+    assert states[-1] is OwnerState.UNKNOWN
 
 
 def test_a_gateway_with_a_successor_is_gone_after_its_silence(
@@ -119,68 +119,68 @@
     clock: ManualClock, state: OwnerState
 ) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
-    assert reclaimer.list_questions([make_holding()]) == (OWNER,)
-    reclaimer.note_answer(OWNER, state)
-    assert reclaimer.list_releases([make_holding()]) == ()
+    assert reclaimer.list_owners_to_query([make_allocation()]) == (OWNER,)
+    reclaimer.note_owner_state(OWNER, state)
+    assert reclaimer.list_releases([make_allocation()]) == ()
 
 
 def test_a_gone_owner_releases_its_own_holdings_only(clock: ManualClock) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
-    reclaimer.note_answer(OWNER, OwnerState.GONE)
-    other = make_holding("b.1", OWNER._replace(incarnation="gateway.2"))
-    releases = reclaimer.list_releases([make_holding(), other])
-    assert [release.holding.attempt_id for release in releases] == ["a.1"]
+    reclaimer.note_owner_state(OWNER, OwnerState.GONE)
+    other = make_allocation("b.1", OWNER._replace(incarnation="gateway.2"))
+    releases = reclaimer.list_releases([make_allocation(), other])
+    assert [release.allocation.attempt_id for release in releases] == ["a.1"]
 
 
 def test_a_passed_deadline_is_a_proof_once_clocks_cannot_differ(
     clock: ManualClock,
 ) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
-    holding = make_holding(mark_expiry("a.1", clock.wall_ms()))
+    allocation = make_allocation(mark_expiry("a.1", clock.wall_ms()))
     clock.advance(SETTINGS.clock_skew_ms)
-    assert reclaimer.list_releases([holding]) == ()
+    assert reclaimer.list_releases([allocation]) == ()
     clock.advance(1_001)
-    (release,) = reclaimer.list_releases([holding])
+    (release,) = reclaimer.list_releases([allocation])
     assert release.why == "deadline_passed"
 
 
 def test_an_id_without_a_deadline_waits_for_the_longest(clock: ManualClock) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
     longest_ms = SETTINGS.max_deadline_ms + SETTINGS.clock_skew_ms
-    assert reclaimer.list_releases([make_holding(age_ms=longest_ms)]) == ()
-    assert reclaimer.list_releases([make_holding(age_ms=longest_ms + 1)])
+    assert reclaimer.list_releases([make_allocation(age_ms=longest_ms)]) == ()
+    assert reclaimer.list_releases([make_allocation(age_ms=longest_ms + 1)])
 
 
 def test_a_reused_id_is_not_touched(clock: ManualClock) -> None:
     """Between the look and the release the engine restarts and takes a new holding."""
     reclaimer = Reclaimer(clock, SETTINGS)
-    reclaimer.note_answer(OWNER, OwnerState.GONE)
-    releases = reclaimer.list_releases([make_holding()])
-    assert confirm_releases(releases, [make_holding(age_ms=100)]) == ()
-    other = make_holding(owner=OWNER._replace(incarnation="gateway.2"))
+    reclaimer.note_owner_state(OWNER, OwnerState.GONE)
+    releases = reclaimer.list_releases([make_allocation()])
+    assert confirm_releases(releases, [make_allocation(age_ms=100)]) == ()
+    other = make_allocation(owner=OWNER._replace(incarnation="gateway.2"))
     assert confirm_releases(releases, [other]) == ()
-    assert confirm_releases(releases, [make_holding(age_ms=60_100)]) == releases
+    assert confirm_releases(releases, [make_allocation(age_ms=60_100)]) == releases
 
 
 def test_questions_are_bounded_and_in_turn(clock: ManualClock) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
     owners = [Owner("entry-1", f"gateway.{n}") for n in range(20)]
-    holdings = [make_holding(f"{n}.1", owner) for n, owner in enumerate(owners)]
+    allocations = [make_allocation(f"{n}.1", owner) for n, owner in enumerate(owners)]
     asked = set()
     for _ in range(3):
-        questions = reclaimer.list_questions(holdings)
-        assert len(questions) == SETTINGS.max_questions
-        asked |= set(questions)
+        queried = reclaimer.list_owners_to_query(allocations)
+        assert len(queried) == SETTINGS.max_questions
+        asked |= set(queried)
         clock.advance(1_000)
     assert asked == set(owners)
 
 
 def test_young_holdings_are_left_alone(clock: ManualClock) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
-    reclaimer.note_answer(OWNER, OwnerState.GONE)
-    young = make_holding(age_ms=SETTINGS.min_age_ms - 1)
-    assert reclaimer.list_questions([young]) == ()
-    assert reclaimer.list_releases([young]) == ()
+    reclaimer.note_owner_state(OWNER, OwnerState.GONE)
+    recent = make_allocation(age_ms=SETTINGS.min_age_ms - 1)
+    assert reclaimer.list_owners_to_query([recent]) == ()
+    assert reclaimer.list_releases([recent]) == ()
 
 
 @pytest.mark.parametrize("suffix", ["", ".group", ".group.part0"])
