--- a/src/quetzaldeck/entry/attempt.py
+++ b/src/quetzaldeck/entry/attempt.py
@@ -87,7 +87,7 @@
             async with self._open_response(dispatch, last_event_id) as opened:
                 yield opened
         except UpstreamError as error:
-            if not error.has_reached:
+            if not error.may_have_run:
                 self._may_have_run = may_have_run_before
             raise
 
@@ -167,8 +167,8 @@
             raise UpstreamError(
                 AttemptFault.OVERLOADED,
                 f"{name}: the replica left after the request was dispatched to it",
-                has_reached=False,
-                has_arrived=False,
+                may_have_run=False,
+                was_sent=False,
                 upstream=name,
             )
         return replica
@@ -224,7 +224,7 @@
         raise UpstreamError(
             fault,
             f"{name}: status {head.status}, the request was not run",
-            has_reached=False,
+            may_have_run=False,
             upstream=faulty,
         )
 
--- a/src/quetzaldeck/entry/call_run.py
+++ b/src/quetzaldeck/entry/call_run.py
@@ -143,7 +143,7 @@
             n_attempt=dispatch.n_attempt,
             upstream=error.upstream or dispatch.upstreams[-1],
             fault=error.fault.value,
-            may_have_run=error.has_reached,
+            may_have_run=error.may_have_run,
             error=error,
         )
         is_addressed = error.upstream in ("", dispatch.upstreams[-1])
@@ -151,8 +151,8 @@
             dispatch.attempt_id,
             error.fault,
             n_output_tokens=self._relay.n_events,
-            may_have_run=error.has_reached,
-            was_sent=error.has_arrived,
+            may_have_run=error.may_have_run,
+            was_sent=error.was_sent,
             upstream=error.upstream,
             incarnation=self._runner.incarnation if is_addressed else "",
         )
--- a/src/quetzaldeck/entry/error_response.py
+++ b/src/quetzaldeck/entry/error_response.py
@@ -44,8 +44,8 @@
     """
     headers = {id_header: call_id} if call_id else {}
     status = http_status(failure)
-    if status == NOT_RUN_STATUS and failure.come_back_ms is not None:
-        headers["Retry-After"] = f"{failure.come_back_ms / 1_000:.3f}"
+    if status == NOT_RUN_STATUS and failure.effective_retry_after_ms is not None:
+        headers["Retry-After"] = f"{failure.effective_retry_after_ms / 1_000:.3f}"
     body = build_error_body(failure, call_id)
     return json_response(body, status=status, headers=headers)
 
--- a/src/quetzaldeck/entry/handler.py
+++ b/src/quetzaldeck/entry/handler.py
@@ -133,7 +133,7 @@
         run = CallRun(self._state, call, ticket)
         left_ms = call.admitted.deadline_ms - self._state.clock.now_ms()
         try:
-            with self._state.in_flight.tell_cut_off(call.request_id):
+            with self._state.in_flight.translate_abort(call.request_id):
                 async with asyncio.timeout(max(0.0, left_ms) / 1_000), ticket:
                     response = await run.run()
         except TimeoutError:
@@ -210,7 +210,7 @@
             reason=failure.reason.value,
             ran=failure.ran.value,
             status=http_status(failure),
-            retry_after_ms=failure.come_back_ms,
+            retry_after_ms=failure.effective_retry_after_ms,
             elapsed_ms=state.clock.now_ms() - arrived_ms,
             version=0 if state.view is None else state.view.version,
             belief_age_ms=state.belief.age_ms(state.clock.uptime_ms()),
--- a/src/quetzaldeck/entry/memory_reservation.py
+++ b/src/quetzaldeck/entry/memory_reservation.py
@@ -96,8 +96,8 @@
             raise UpstreamError(
                 error.fault,
                 str(error),
-                has_reached=False,
-                has_arrived=False,
+                may_have_run=False,
+                was_sent=False,
                 upstream=name,
             ) from error
         log_event(
--- a/src/quetzaldeck/entry/peers/task.py
+++ b/src/quetzaldeck/entry/peers/task.py
@@ -110,7 +110,7 @@
             wait_ms = min(wait_ms, max_send_delay_ms(len(self._table)))
         try:
             async with asyncio.timeout(wait_ms / 1_000):
-                await self._state.dispatch.wait_for_load_news()
+                await self._state.dispatch.wait_for_load_change()
         except TimeoutError:
             return
 
@@ -169,15 +169,15 @@
         dispatch = self._state.dispatch
         if news.loads:
             loads = tuple((load.upstream, read_load_news(load)) for load in news.loads)
-            dispatch.send_news(ObservePeerLoad(news.vm, loads))
+            dispatch.send_deferrable(ObservePeerLoad(news.vm, loads))
         if news.crashes:
             crashes = tuple(
                 CrashSighting(c.fingerprint, c.upstream, c.incarnation, c.age_ms)
                 for c in news.crashes
             )
-            dispatch.send_news(ObserveCrashes(crashes))
+            dispatch.send_deferrable(ObserveCrashes(crashes))
         if news.paces:
-            dispatch.send_news(ObservePaces(tuple(news.paces.items())))
+            dispatch.send_deferrable(ObservePaces(tuple(news.paces.items())))
 
     def _greet(self, now_ms: float) -> None:
         lost = self._table.expire(now_ms)
@@ -207,16 +207,16 @@
         Where there are relays, it learns of the loads when it joins one.
         """
         self._send(self._build_greeting(now_ms), (address,))
-        shares = self._state.dispatch.list_shares()
+        shares = self._state.dispatch.list_own_loads()
         current = (entry for entry in shares if entry[1].says_anything)
         self._node.welcome(address, [build_load_news(*entry) for entry in current])
 
     def _tell(self, now_ms: float) -> None:
-        shares = self._state.dispatch.list_shares()
+        shares = self._state.dispatch.list_own_loads()
         changed = self._changes.select_due(shares, now_ms, len(self._table))
         crashes = [
             CrashNews(*sighting)
-            for sightings in self._state.dispatch.take_crash_news()
+            for sightings in self._state.dispatch.pop_crash_sightings()
             for sighting in sightings
         ]
         if changed or crashes:
--- a/src/quetzaldeck/gateway/completions.py
+++ b/src/quetzaldeck/gateway/completions.py
@@ -110,7 +110,7 @@
     ) -> web.StreamResponse:
         request_id = request.request_id
         try:
-            with self._state.in_flight.tell_cut_off(request_id):
+            with self._state.in_flight.translate_abort(request_id):
                 async with (
                     asyncio.timeout(left_ms / 1_000),
                     writer,
--- a/src/quetzaldeck/gateway/crash_records.py
+++ b/src/quetzaldeck/gateway/crash_records.py
@@ -32,7 +32,7 @@
                 round(self._dispatch.poison_bounds.forget_ms),
                 is_urgent=True,
             )
-            for news in self._dispatch.take_crash_news()
+            for news in self._dispatch.pop_crash_sightings()
         ]
 
     def handle(self, record: Record) -> None:
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -60,8 +60,8 @@
         self._mailbox: asyncio.Queue[Message] = asyncio.Queue()
         self._news: list[Message] = []
         self._outboxes: dict[str, asyncio.Queue[Decision]] = {}
-        self._has_crash_news = asyncio.Event()
-        self._has_load_news = asyncio.Event()
+        self._crash_seen = asyncio.Event()
+        self._load_changed = asyncio.Event()
 
     @property
     def n_queued(self) -> int:
@@ -78,21 +78,21 @@
         """:returns: figures of the judgement on requests that crash engines"""
         return self._scheduler.poison.bounds
 
-    async def wait_for_crash_news(self) -> None:
+    async def wait_for_crash(self) -> None:
         """Wait until an attempt ended as it does when its engine crashes."""
-        await self._has_crash_news.wait()
-        self._has_crash_news.clear()
+        await self._crash_seen.wait()
+        self._crash_seen.clear()
 
-    async def wait_for_load_news(self) -> None:
+    async def wait_for_load_change(self) -> None:
         """Wait until an attempt began, got its first token, or ended."""
-        await self._has_load_news.wait()
-        self._has_load_news.clear()
+        await self._load_changed.wait()
+        self._load_changed.clear()
 
-    def take_crash_news(self) -> list[tuple[CrashSighting, ...]]:
+    def pop_crash_sightings(self) -> list[tuple[CrashSighting, ...]]:
         """:returns: by request, what other VMs should know of it and crashes"""
         return self._scheduler.fleet.pop_crash_sightings()
 
-    def list_shares(self) -> list[tuple[str, VmLoad]]:
+    def list_own_loads(self) -> list[tuple[str, VmLoad]]:
         """:returns: what of this VM is at each upstream"""
         now_ms = self._clock.now_ms()
         return [
@@ -100,7 +100,7 @@
             for state in self._scheduler.upstreams
         ]
 
-    def take_usage_news(self) -> list[UsageUpdate]:
+    def take_usage_updates(self) -> list[UsageUpdate]:
         """:returns: what other VMs should know of limited customers"""
         return self._scheduler.limits.take_updates(self._clock.now_ms())
 
@@ -108,7 +108,7 @@
         """Put a message into the task's mailbox."""
         self._mailbox.put_nowait(message)
 
-    def send_news(self, message: Message) -> None:
+    def send_deferrable(self, message: Message) -> None:
         """Put a message that changes nothing unless a request has to be placed.
 
         Load pattern: VMs tell each other what they send where, many messages a second
@@ -170,13 +170,13 @@
                 self._submit(message)
             case EndAttempt():
                 self._end_attempt(message)
-                self._has_load_news.set()
+                self._load_changed.set()
             case NoteFirstToken() | NoteReserved() | JudgeSilence():
                 self._note_progress(message)
             case Withdraw():
                 self._scheduler.withdraw(message.request_id)
                 self._outboxes.pop(message.request_id, None)
-                self._has_load_news.set()
+                self._load_changed.set()
             case ApplyBundle():
                 self._scheduler.apply_bundle(message.bundle)
             case Observe():
@@ -195,7 +195,7 @@
         match message:
             case NoteFirstToken():
                 self._scheduler.note_first_token(message.attempt_id)
-                self._has_load_news.set()
+                self._load_changed.set()
             case NoteReserved():
                 self._scheduler.note_reserved(message.attempt_id)
             case JudgeSilence():
@@ -210,7 +210,7 @@
             case ObserveLoad():
                 self._scheduler.fleet.observe_load(message.report)
             case ObservePeerLoad():
-                self._scheduler.fleet.observe_peer(message.vm, message.shares)
+                self._scheduler.fleet.observe_peer(message.vm, message.loads)
             case ObservePaces():
                 self._scheduler.fleet.observe_paces(message.paces)
 
@@ -223,14 +223,14 @@
                 self._scheduler.fleet.observe_crashes(message.sightings)
             case ObserveUsage():
                 self._scheduler.limits.observe(
-                    message.vm, message.news, self._clock.now_ms()
+                    message.vm, message.update, self._clock.now_ms()
                 )
 
     def _end_attempt(self, message: EndAttempt) -> None:
         failure = self._scheduler.end_attempt(message.end)
         fault = message.end.fault
         if fault is AttemptFault.BROKEN:
-            self._has_crash_news.set()
+            self._crash_seen.set()
         if fault is not None and failure is None:
             self._metrics.upstreams.retries.labels(fault.value).inc()
         _reply(message.reply, failure)
@@ -259,7 +259,7 @@
     def _carry_out_decisions(self) -> None:
         for decision in self._scheduler.poll():
             self._deliver(decision)
-            self._has_load_news.set()
+            self._load_changed.set()
 
     def _submit(self, message: Submit) -> None:
         """Admit a request, after those before it have been placed where there is room.
--- a/src/quetzaldeck/gateway/exchange_task.py
+++ b/src/quetzaldeck/gateway/exchange_task.py
@@ -54,7 +54,7 @@
                 log_event("exchange_failed", level="WARNING", error=repr(error))
             with suppress(TimeoutError):
                 async with asyncio.timeout(interval_s):
-                    await self._state.dispatch.wait_for_crash_news()
+                    await self._state.dispatch.wait_for_crash()
 
     async def exchange(self) -> None:
         """Exchange once.
--- a/src/quetzaldeck/gateway/group_reservation.py
+++ b/src/quetzaldeck/gateway/group_reservation.py
@@ -88,8 +88,8 @@
                 raise UpstreamError(
                     AttemptFault.NO_ROOM,
                     detail,
-                    has_reached=False,
-                    has_arrived=False,
+                    may_have_run=False,
+                    was_sent=False,
                     upstream=name,
                 )
             await asyncio.sleep(self._bounds.poll_interval_ms / 1_000)
--- a/src/quetzaldeck/gateway/group_run.py
+++ b/src/quetzaldeck/gateway/group_run.py
@@ -117,7 +117,7 @@
             raise UpstreamError(
                 error.fault,
                 str(error),
-                has_reached=False,
+                may_have_run=False,
                 upstream=error.upstream,
                 retry_after_ms=error.retry_after_ms,
             ) from error
--- a/src/quetzaldeck/gateway/in_flight.py
+++ b/src/quetzaldeck/gateway/in_flight.py
@@ -21,7 +21,7 @@
 
     def __init__(self, task: asyncio.Task[object]) -> None:
         self.task = task
-        self.is_cut_off = False
+        self.is_aborted = False
 
 
 class InFlightRequests:
@@ -49,7 +49,7 @@
         self._served[request_id] = _Served(task)
         self._is_empty.clear()
         try:
-            with self.tell_cut_off(request_id):
+            with self.translate_abort(request_id):
                 yield
         finally:
             del self._served[request_id]
@@ -57,7 +57,7 @@
                 self._is_empty.set()
 
     @contextmanager
-    def tell_cut_off(self, request_id: str) -> Iterator[None]:
+    def translate_abort(self, request_id: str) -> Iterator[None]:
         """Turn a cut-off into the failure that the caller is told.
 
         Contexts may stand inside each other: the innermost one raises, so that a
@@ -70,16 +70,16 @@
             yield
         except asyncio.CancelledError:
             served = self._served.get(request_id)
-            if served is None or not served.is_cut_off:
+            if served is None or not served.is_aborted:
                 raise
             served.task.uncancel()
             failure = Failure(Reason.SHUTTING_DOWN, Ran.UNKNOWN, retry_after_ms=1_000)
             raise RequestError(failure) from None
 
-    def is_cut_off(self, request_id: str) -> bool:
+    def is_aborted(self, request_id: str) -> bool:
         """:returns: whether a stop ended the request"""
         served = self._served.get(request_id)
-        return served is not None and served.is_cut_off
+        return served is not None and served.is_aborted
 
     async def wait_empty(self) -> None:
         """Wait until no request is in progress."""
@@ -92,8 +92,8 @@
         """
         request_ids = []
         for request_id, served in self._served.items():
-            if not served.is_cut_off:
-                served.is_cut_off = True
+            if not served.is_aborted:
+                served.is_aborted = True
                 served.task.cancel()
                 request_ids.append(request_id)
         return tuple(request_ids)
--- a/src/quetzaldeck/gateway/messages.py
+++ b/src/quetzaldeck/gateway/messages.py
@@ -86,7 +86,7 @@
     """What of another VM is at some upstreams."""
 
     vm: str
-    shares: tuple[tuple[str, VmLoad], ...]
+    loads: tuple[tuple[str, VmLoad], ...]
 
 
 class ObservePaces(NamedTuple):
@@ -99,7 +99,7 @@
     """Another VM's usage of a customer's limits."""
 
     vm: str
-    news: UsageUpdate
+    update: UsageUpdate
 
 
 class ObserveCache(NamedTuple):
--- a/src/quetzaldeck/gateway/relay.py
+++ b/src/quetzaldeck/gateway/relay.py
@@ -175,7 +175,7 @@
             None if error is None else error.fault,
             n_output_tokens=self.answer.n_output_tokens,
             n_prompt_tokens=self.answer.n_prompt_tokens,
-            may_have_run=error is None or error.has_reached,
+            may_have_run=error is None or error.may_have_run,
             retry_after_ms=None if error is None else error.retry_after_ms,
             upstream="" if error is None else error.upstream,
             incarnation="" if error is None else error.incarnation,
--- a/src/quetzaldeck/gateway/request_headers.py
+++ b/src/quetzaldeck/gateway/request_headers.py
@@ -42,7 +42,7 @@
     return max(asked, customer.priority)
 
 
-def read_key(headers: Mapping[str, str]) -> str:
+def read_idempotency_key(headers: Mapping[str, str]) -> str:
     """:returns: the idempotency key, ``""`` if there is none
 
     :raises RequestError: if the key is too long
@@ -72,6 +72,6 @@
     "KEY_HEADER",
     "PRIORITY_HEADER",
     "read_deadline_ms",
-    "read_key",
+    "read_idempotency_key",
     "read_priority",
 )
--- a/src/quetzaldeck/gateway/responses.py
+++ b/src/quetzaldeck/gateway/responses.py
@@ -21,9 +21,9 @@
 def error_response(failure: Failure, request_id: str) -> web.Response:
     """:returns: the response for a refusal or failure"""
     headers = {REQUEST_ID_HEADER: request_id}
-    come_back_ms = failure.come_back_ms
-    if come_back_ms is not None:
-        headers["Retry-After"] = str(math.ceil(come_back_ms / 1_000))
+    effective_retry_after_ms = failure.effective_retry_after_ms
+    if effective_retry_after_ms is not None:
+        headers["Retry-After"] = str(math.ceil(effective_retry_after_ms / 1_000))
     return json_response(
         build_error_body(failure, request_id),
         status=REASON_INFO[failure.reason].http_status,
--- a/src/quetzaldeck/gateway/services.py
+++ b/src/quetzaldeck/gateway/services.py
@@ -14,7 +14,7 @@
 from quetzaldeck.gateway.body import read_body
 from quetzaldeck.gateway.claimed_call import ClaimedCall, new_order_id
 from quetzaldeck.gateway.errors import RequestError
-from quetzaldeck.gateway.request_headers import read_deadline_ms, read_key
+from quetzaldeck.gateway.request_headers import read_deadline_ms, read_idempotency_key
 from quetzaldeck.gateway.responses import REQUEST_ID_HEADER
 from quetzaldeck.gateway.service_path import may_repeat, strip_prefix
 from quetzaldeck.outcomes import Failure, Ran, Reason
@@ -52,7 +52,7 @@
             raise RequestError(Failure(Reason.NOT_FOUND))
         path = strip_prefix(service, http_request.raw_path)
         is_repeatable = may_repeat(service, http_request.method, path)
-        key = read_key(headers)
+        key = read_idempotency_key(headers)
         if not is_repeatable and not key:
             raise RequestError(Failure(Reason.KEY_REQUIRED))
         deadline_ms = arrived_ms + read_deadline_ms(headers, service.deadline_ms)
@@ -105,8 +105,8 @@
         try:
             return await asyncio.shield(running)
         except asyncio.CancelledError:
-            is_cut_off = self._state.in_flight.is_cut_off(request.request_id)
-            if claimed.has_run and not is_cut_off:
+            is_aborted = self._state.in_flight.is_aborted(request.request_id)
+            if claimed.has_run and not is_aborted:
                 self._state.late_calls.keep(request.request_id, running)
             else:
                 running.cancel()
@@ -157,12 +157,12 @@
             async with self._state.connections.use_service(name) as upstream:
                 answer = await upstream.call(call, left_ms)
         except UpstreamError as error:
-            if claimed is not None and not error.has_reached:
+            if claimed is not None and not error.may_have_run:
                 claimed.undo_dispatch()
             self._state.metrics.attempt_faults.labels(error.fault.value).inc()
             await ticket.end_attempt(
                 AttemptEnd(
-                    dispatch.attempt_id, error.fault, may_have_run=error.has_reached
+                    dispatch.attempt_id, error.fault, may_have_run=error.may_have_run
                 )
             )
             return None
--- a/src/quetzaldeck/gateway/usage_records.py
+++ b/src/quetzaldeck/gateway/usage_records.py
@@ -29,7 +29,7 @@
         """:returns: records on the customers whose usage changed"""
         return [
             RecordDraft(USAGE_KIND, news.customer, list(news.usage), _TTL_MS)
-            for news in self._dispatch.take_usage_news()
+            for news in self._dispatch.take_usage_updates()
         ]
 
     def handle(self, record: Record) -> None:
--- a/src/quetzaldeck/outcomes/failure.py
+++ b/src/quetzaldeck/outcomes/failure.py
@@ -24,7 +24,7 @@
     detail: str = ""
 
     @property
-    def come_back_ms(self) -> float | None:
+    def effective_retry_after_ms(self) -> float | None:
         """:returns: when the caller is told to come back; ``None``: not at all"""
         if self.retry_after_ms is not None:
             return self.retry_after_ms
@@ -51,7 +51,7 @@
 def build_error_body(failure: Failure, request_id: str) -> ErrorBody:
     """:returns: the JSON body that the caller receives for ``failure``"""
     info = REASON_INFO[failure.reason]
-    retry_after = failure.come_back_ms
+    retry_after = failure.effective_retry_after_ms
     return {
         "error": {
             "type": info.error_type,
--- a/src/quetzaldeck/upstreams/errors.py
+++ b/src/quetzaldeck/upstreams/errors.py
@@ -12,8 +12,8 @@
     """An attempt failed.
 
     :param fault: the evidence
-    :param has_reached: whether the upstream may have begun to run it
-    :param has_arrived: whether the upstream was asked, though it did not run it
+    :param may_have_run: whether the upstream may have begun to run it
+    :param was_sent: whether the upstream was asked, though it did not run it
     :param upstream: name of the upstream; ``""`` if no single one is at fault
     :param incarnation: incarnation that had begun to answer, if it said so
     :param retry_after_ms: when to come back, if the upstream said so
@@ -24,16 +24,16 @@
         fault: AttemptFault,
         detail: str,
         *,
-        has_reached: bool = True,
-        has_arrived: bool = True,
+        may_have_run: bool = True,
+        was_sent: bool = True,
         upstream: str = "",
         incarnation: str = "",
         retry_after_ms: float | None = None,
     ) -> None:
         super().__init__(f"{fault.value}: {detail}")
         self._fault = fault
-        self._has_reached = has_reached
-        self._has_arrived = has_arrived
+        self._may_have_run = may_have_run
+        self._was_sent = was_sent
         self._upstream = upstream
         self._incarnation = incarnation
         self._retry_after_ms = retry_after_ms
@@ -44,14 +44,14 @@
         return self._fault
 
     @property
-    def has_reached(self) -> bool:
+    def may_have_run(self) -> bool:
         """:returns: whether any byte may have reached the upstream"""
-        return self._has_reached
+        return self._may_have_run
 
     @property
-    def has_arrived(self) -> bool:
+    def was_sent(self) -> bool:
         """:returns: whether the upstream was asked, though it did not run it"""
-        return self._has_arrived
+        return self._was_sent
 
     @property
     def upstream(self) -> str:
--- a/src/quetzaldeck/upstreams/http.py
+++ b/src/quetzaldeck/upstreams/http.py
@@ -65,8 +65,8 @@
         raise UpstreamError(
             AttemptFault.CONNECT,
             f"{name}: {error}",
-            has_reached=False,
-            has_arrived=False,
+            may_have_run=False,
+            was_sent=False,
             upstream=name,
         ) from error
     except TimeoutError as error:
@@ -111,7 +111,7 @@
     raise UpstreamError(
         fault,
         f"{name}: HTTP status {status}",
-        has_reached=fault is not AttemptFault.NO_ROOM,
+        may_have_run=fault is not AttemptFault.NO_ROOM,
         upstream=name,
         retry_after_ms=_read_retry_after(response.headers.get("Retry-After")),
     )
--- a/tests/fuzz/test_callers.py
+++ b/tests/fuzz/test_callers.py
@@ -23,7 +23,7 @@
     KEY_HEADER,
     PRIORITY_HEADER,
     read_deadline_ms,
-    read_key,
+    read_idempotency_key,
     read_priority,
 )
 from quetzaldeck.gateway.service_path import may_repeat
@@ -119,7 +119,7 @@
     with allow_refusal():
         assert 0 <= read_priority({PRIORITY_HEADER: value}, CUSTOMER) <= 9
     with allow_refusal():
-        read_key({KEY_HEADER: value})
+        read_idempotency_key({KEY_HEADER: value})
 
 
 @given(key=st.text(st.characters(max_codepoint=0x10FFFF), max_size=50))
--- a/tests/gateway/test_dispatch_task.py
+++ b/tests/gateway/test_dispatch_task.py
@@ -118,7 +118,7 @@
     async def run() -> None:
         task = make_task(clock, n_replicas=2)
         running = asyncio.create_task(task.run())
-        task.send_news(make_news("d0", N_SLOTS))
+        task.send_deferrable(make_news("d0", N_SLOTS))
         await asyncio.sleep(0.01)
         assert n_told(task, "d0", clock) == 0, "nobody needs it yet"
         for number in range(4):
@@ -140,7 +140,7 @@
         task = make_task(clock)
         running = asyncio.create_task(task.run())
         for number in range(300):
-            task.send_news(make_news("d0", number))
+            task.send_deferrable(make_news("d0", number))
         await asyncio.sleep(1.5 * IDLE_INTERVAL_MS / 1_000)
         assert n_told(task, "d0", clock) == 299
         assert not task._news
@@ -155,12 +155,12 @@
     async def run() -> None:
         task = make_task(clock)
         running = asyncio.create_task(task.run())
-        task.send_news(make_news("d0", N_SLOTS))
+        task.send_deferrable(make_news("d0", N_SLOTS))
         caller = Caller(1, clock.now_ms())
         caller.submit(task)
         await asyncio.sleep(0.01)
         assert caller.decisions.empty()
-        task.send_news(make_news("d0", 0))
+        task.send_deferrable(make_news("d0", 0))
         async with asyncio.timeout(TEST_TIMEOUT_S):
             assert isinstance(await caller.decisions.get(), Dispatch)
         running.cancel()
--- a/tests/outcomes/test_failure.py
+++ b/tests/outcomes/test_failure.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("failure", "come_back_ms"),
+    ("failure", "expected_ms"),
     [
         (Failure(Reason.DEADLINE_EXCEEDED), 1_000),
         (Failure(Reason.UPSTREAM_FAILED, retry_after_ms=2_500.4), 2_500),
@@ -18,12 +18,12 @@
     ],
 )
 def test_failure_says_when_to_come_back(
-    failure: Failure, come_back_ms: int | None
+    failure: Failure, expected_ms: int | None
 ) -> None:
     """A caller whose deadline passed is told nothing about when to try again.
 
     It asks again at once, as every other caller does, while the system is full.
     """
-    assert build_error_body(failure, "r")["error"]["retry_after_ms"] == come_back_ms
+    assert build_error_body(failure, "r")["error"]["retry_after_ms"] == expected_ms
     header = error_response(failure, "r").headers.get("Retry-After")
-    assert header == (None if come_back_ms is None else str(-(-come_back_ms // 1_000)))
+    assert header == (None if expected_ms is None else str(-(-expected_ms // 1_000)))
--- a/tests/standin/test_engine_groups.py
+++ b/tests/standin/test_engine_groups.py
@@ -151,7 +151,7 @@
         with pytest.raises(UpstreamError, match="424") as caught:
             await read_chunks(engine, attempt)
         assert caught.value.fault is AttemptFault.BAD_ANSWER
-        assert caught.value.has_reached
+        assert caught.value.may_have_run
 
     run_engine(check)
 
--- a/tests/upstreams/test_http_service_once.py
+++ b/tests/upstreams/test_http_service_once.py
@@ -38,7 +38,7 @@
         adapter = HttpService(spec, session, UpstreamTimeouts())
         with pytest.raises(UpstreamError) as caught:
             await adapter.call(ServiceCall(method, "/bookings/7", (), body), TIMEOUT_MS)
-        assert caught.value.has_reached
+        assert caught.value.may_have_run
     return service.methods
 
 
