--- a/src/quetzaldeck/outcomes/__init__.py
+++ b/src/quetzaldeck/outcomes/__init__.py
@@ -1,4 +1,4 @@
-"""Outcomes that callers are told: reasons, failures and whether a request ran."""
+"""Outcomes reported to callers: reasons, failures and whether a request ran."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/outcomes/failure.py
+++ b/src/quetzaldeck/outcomes/failure.py
@@ -1,4 +1,4 @@
-"""A refusal or failure as decisions produce it and callers receive it."""
+"""Refusals and failures: the internal form and the JSON body sent to callers."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 class Failure(NamedTuple):
     """Why a request got no complete answer.
 
-    :param reason: entry of the closed list
+    :param reason: reason of the refusal or failure
     :param ran: whether the request was run
-    :param retry_after_ms: when to come back, in milliseconds; ``None``: as the
-        reason says
-    :param detail: one sentence with the place of the fault
+    :param retry_after_ms: time after which the caller may retry; ``None``: the default
+        of the reason
+    :param detail: one sentence that describes what failed; ``""``: the description
+        of the reason is used
     """
 
     reason: Reason
@@ -25,14 +26,14 @@
 
     @property
     def effective_retry_after_ms(self) -> float | None:
-        """:returns: when the caller is told to come back; ``None``: not at all"""
+        """:returns: wait before a retry as sent to the caller; ``None``: no retry"""
         if self.retry_after_ms is not None:
             return self.retry_after_ms
         return REASON_INFO[self.reason].retry_after_ms
 
 
 class ErrorFields(TypedDict):
-    """Fields of the one JSON shape of every refusal and failure."""
+    """Fields of the ``error`` object, the same for every refusal and failure."""
 
     type: str
     reason: str
@@ -49,7 +50,7 @@
 
 
 def build_error_body(failure: Failure, request_id: str) -> ErrorBody:
-    """:returns: the JSON body that the caller receives for ``failure``"""
+    """:returns: the JSON body that is sent to the caller for ``failure``"""
     info = REASON_INFO[failure.reason]
     retry_after = failure.effective_retry_after_ms
     return {
--- a/src/quetzaldeck/outcomes/ran.py
+++ b/src/quetzaldeck/outcomes/ran.py
@@ -6,9 +6,9 @@
 
 
 class Ran(StrEnum):
-    """What a failure says about the execution of the request.
+    """What is known about the execution of a request that failed.
 
-    ``NO`` is a proof: no byte of the request can have reached an upstream.
+    ``NO`` is a guarantee: no byte of the request can have reached an upstream.
     """
 
     NO = "no"
--- a/src/quetzaldeck/outcomes/reason.py
+++ b/src/quetzaldeck/outcomes/reason.py
@@ -1,4 +1,4 @@
-"""The closed list of reasons for refusals and failures."""
+"""The complete list of reasons for refusals and failures."""
 
 from __future__ import annotations
 
@@ -39,10 +39,13 @@
 
 
 class ReasonInfo(NamedTuple):
-    """What callers and operators are told about a reason.
+    """What callers and operators see of a reason.
 
-    :param retry_after_ms: when to come back, if the failure says no time of its
-        own; ``None``: the same request will not do better later
+    :param http_status: HTTP status of the response
+    :param error_type: value of ``error.type`` in the JSON body
+    :param description: message for the caller if the failure has no detail
+    :param retry_after_ms: time after which to retry, if the failure sets none itself;
+        ``None``: the same request would fail again
     """
 
     http_status: int
@@ -51,8 +54,9 @@
     retry_after_ms: float | None = None
 
 
-SOON_MS = 1_000.0
-"""Long enough for a failed upstream to be taken out, short enough for a caller."""
+DEFAULT_RETRY_AFTER_MS = 1_000.0
+"""Long enough for a failed upstream to be excluded from placement, short enough for a
+caller to wait."""
 
 _CLIENT = "invalid_request_error"
 _CAPACITY = "capacity_error"
@@ -64,11 +68,11 @@
     Reason.NOT_FOUND: ReasonInfo(404, _CLIENT, "no route serves this path"),
     Reason.UNKNOWN_CUSTOMER: ReasonInfo(401, _CLIENT, "no customer has this API key"),
     Reason.UNKNOWN_MODEL: ReasonInfo(
-        404, _CLIENT, "the bundle gives this customer no such model"
+        404, _CLIENT, "this customer has no such model or adapter"
     ),
-    Reason.BODY_TOO_LARGE: ReasonInfo(413, _CLIENT, "the body is over the bound"),
+    Reason.BODY_TOO_LARGE: ReasonInfo(413, _CLIENT, "the body exceeds the size limit"),
     Reason.SLOW_SENDER: ReasonInfo(
-        408, _CLIENT, "the body did not arrive in time", SOON_MS
+        408, _CLIENT, "the body was not received in time", DEFAULT_RETRY_AFTER_MS
     ),
     Reason.KEY_REQUIRED: ReasonInfo(
         400, _CLIENT, "a call that may not be repeated needs an Idempotency-Key"
@@ -77,54 +81,76 @@
         409, _CLIENT, "the idempotency key was used with another body"
     ),
     Reason.KEY_IN_PROGRESS: ReasonInfo(
-        409, _CAPACITY, "another VM runs the call with this idempotency key", SOON_MS
+        409,
+        _CAPACITY,
+        "another VM runs the call with this idempotency key",
+        DEFAULT_RETRY_AFTER_MS,
     ),
     Reason.KEY_FINISHED: ReasonInfo(
-        409, _CAPACITY, "the call ran before and its answer is no longer held"
+        409, _CAPACITY, "the call ran before and its answer is no longer stored"
     ),
     Reason.NO_QUORUM: ReasonInfo(
-        503, _CAPACITY, "too few VMs could confirm that the call has not run", SOON_MS
+        503,
+        _CAPACITY,
+        "too few VMs could confirm that the call has not run",
+        DEFAULT_RETRY_AFTER_MS,
     ),
     Reason.NO_BUNDLE: ReasonInfo(
-        503, _SERVER, "no bundle is in force on this VM yet", SOON_MS
+        503, _SERVER, "no bundle is in force on this VM yet", DEFAULT_RETRY_AFTER_MS
     ),
     Reason.BUNDLE_EXPIRED: ReasonInfo(
-        503, _SERVER, "the bundle's validity has ended", SOON_MS
+        503, _SERVER, "the bundle has expired", DEFAULT_RETRY_AFTER_MS
     ),
     Reason.PROMPT_TOO_LARGE: ReasonInfo(
-        413, _CLIENT, "no engine or group of engines can hold the prompt"
+        413, _CLIENT, "the prompt does not fit on any engine or group of engines"
     ),
     Reason.QUEUE_FULL: ReasonInfo(
-        503, _CAPACITY, "the queue of this VM is full", SOON_MS
+        503, _CAPACITY, "the queue of this VM is full", DEFAULT_RETRY_AFTER_MS
     ),
     Reason.CUSTOMER_QUEUE_FULL: ReasonInfo(
-        429, _CAPACITY, "this customer's part of the queue is full", SOON_MS
+        429,
+        _CAPACITY,
+        "this customer's share of the queue is full",
+        DEFAULT_RETRY_AFTER_MS,
     ),
     Reason.CUSTOMER_LIMIT: ReasonInfo(
-        429, _CAPACITY, "this customer is over its limit in the bundle", SOON_MS
+        429,
+        _CAPACITY,
+        "this customer has reached its limit in the bundle",
+        DEFAULT_RETRY_AFTER_MS,
     ),
     Reason.DEADLINE_UNREACHABLE: ReasonInfo(
-        503, _CAPACITY, "the predicted wait is longer than the deadline", SOON_MS
+        503,
+        _CAPACITY,
+        "the predicted wait is longer than the deadline",
+        DEFAULT_RETRY_AFTER_MS,
     ),
     Reason.DEADLINE_EXCEEDED: ReasonInfo(
-        504, _CAPACITY, "the deadline has passed", SOON_MS
+        504, _CAPACITY, "the deadline has passed", DEFAULT_RETRY_AFTER_MS
     ),
     Reason.NO_UPSTREAM: ReasonInfo(
-        503, _UPSTREAM, "no upstream can take the request", SOON_MS
+        503, _UPSTREAM, "no upstream can accept the request", DEFAULT_RETRY_AFTER_MS
+    ),
+    Reason.UPSTREAM_FAILED: ReasonInfo(
+        502, _UPSTREAM, "the upstream failed", DEFAULT_RETRY_AFTER_MS
     ),
-    Reason.UPSTREAM_FAILED: ReasonInfo(502, _UPSTREAM, "the upstream failed", SOON_MS),
     Reason.UPSTREAM_SILENT: ReasonInfo(
-        504, _UPSTREAM, "the upstream went silent", SOON_MS
+        504, _UPSTREAM, "the upstream stopped responding", DEFAULT_RETRY_AFTER_MS
     ),
     Reason.RETRY_BUDGET_SPENT: ReasonInfo(
-        503, _UPSTREAM, "the upstream failed and the retry budget is spent", SOON_MS
+        503,
+        _UPSTREAM,
+        "the upstream failed and the retry budget is spent",
+        DEFAULT_RETRY_AFTER_MS,
     ),
     Reason.POISON_SUSPECTED: ReasonInfo(
         422, _UPSTREAM, "upstreams that ran this request crashed"
     ),
-    Reason.SHUTTING_DOWN: ReasonInfo(503, _SERVER, "this VM is shutting down", SOON_MS),
+    Reason.SHUTTING_DOWN: ReasonInfo(
+        503, _SERVER, "this VM is shutting down", DEFAULT_RETRY_AFTER_MS
+    ),
     Reason.CALLER_GONE: ReasonInfo(499, _CLIENT, "the caller closed the connection"),
-    Reason.INTERNAL_ERROR: ReasonInfo(500, _SERVER, "an error inside the gateway"),
+    Reason.INTERNAL_ERROR: ReasonInfo(500, _SERVER, "internal error of the gateway"),
 }
 
 __all__ = ("REASON_INFO", "Reason", "ReasonInfo")
--- a/src/quetzaldeck/outcomes/reference.py
+++ b/src/quetzaldeck/outcomes/reference.py
@@ -1,4 +1,4 @@
-"""The page of reasons, printed from their declarations."""
+"""Generates the reference page of reasons from their declarations."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 HEAD = """\
 # Reasons of refusals and failures
 
-The closed list, printed by `quetzaldeck reasons`. Each has a counter:
-`quetzaldeck_failures_total{reason, ran}`. What the fields mean and what a caller does
-with them is in [callers.md](callers.md). "Come back" says whether `retry_after_ms` is
-set by the reason itself; a failure may also give a time of its own.
+The complete list, printed by `quetzaldeck reasons`. Each reason has a counter:
+`quetzaldeck_failures_total{reason, ran}`. For the meaning of the fields, and for what a
+caller should do about them, see [callers.md](callers.md). The column "retry" shows
+whether the reason itself sets `retry_after_ms`; a failure may also set its own.
 
-| reason | status | type | come back | what it says |
+| reason | status | type | retry | description |
 | --- | --- | --- | --- | --- |"""
 
 
 def render_reasons() -> str:
-    """:returns: the page as Markdown"""
+    """:returns: the reference page as Markdown"""
     rows = [HEAD]
     for reason in Reason:
         info = REASON_INFO[reason]
--- a/tests/outcomes/test_failure.py
+++ b/tests/outcomes/test_failure.py
@@ -1,4 +1,4 @@
-"""Tests of what callers are told by a failure."""
+"""Tests of the error body and headers that callers receive for a failure."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
         (Failure(Reason.KEY_CONFLICT), None),
     ],
 )
-def test_failure_says_when_to_come_back(
+def test_failure_sets_the_time_of_a_retry(
     failure: Failure, expected_ms: int | None
 ) -> None:
-    """A caller whose deadline passed is told nothing about when to try again.
+    """Guards against a failure without a retry time where a retry makes sense.
 
-    It asks again at once, as every other caller does, while the system is full.
+    Callers whose deadlines passed would all retry at once while the system is full.
     """
     assert build_error_body(failure, "r")["error"]["retry_after_ms"] == expected_ms
     header = error_response(failure, "r").headers.get("Retry-After")
