--- a/src/quetzaldeck/upstreams/__init__.py
+++ b/src/quetzaldeck/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Upstreams: engines and plain services, one adapter for each protocol."""
+"""Adapters for upstreams (engines and plain services), one for each protocol."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/upstreams/api.py
+++ b/src/quetzaldeck/upstreams/api.py
@@ -1,4 +1,4 @@
-"""Interfaces to upstreams; adapters register below a protocol name."""
+"""Interfaces of the adapters, which are registered by protocol name."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 class UpstreamTimeouts(NamedTuple):
-    """Bounds on waiting for an upstream.
+    """Timeouts of requests to an upstream.
 
-    :param connect_ms: for a new connection
+    :param connect_ms: for opening a connection
     :param idle_ms: for the next byte, heartbeats included
     """
 
@@ -39,10 +39,11 @@
 
 
 class Upstream(ABC):
-    """What every upstream offers.
+    """Base class of all adapters.
 
     :param spec: the upstream's entry in the bundle
-    :param session: connection pool, owned by the caller
+    :param session: connection pool, owned by the creator of the adapter
+    :param timeouts: timeouts of requests to the upstream
     """
 
     def __init__(
@@ -59,48 +60,50 @@
     async def read_load(self) -> LoadReport:
         """:returns: the upstream's report of its load
 
-        :raises UpstreamError: if it does not answer
+        :raises UpstreamError: if it does not respond
         """
 
 
 class EngineUpstream(Upstream):
-    """A model engine."""
+    """Adapter of a model engine."""
 
     @abstractmethod
     def complete(self, attempt: Attempt) -> AsyncGenerator[Chunk, None]:
         """Run an attempt.
 
-        :returns: chunks as the engine sends them: perhaps late, twice or foreign
-        :raises UpstreamError: if the engine fails or goes silent
+        :returns: chunks as the engine sends them: they may be out of order, duplicated
+            or belong to another attempt
+        :raises UpstreamError: if the engine fails or stops responding
         """
 
     @abstractmethod
     async def cancel(self, attempt_id: str) -> None:
-        """Release what an id holds: a sequence, a reservation, an export.
+        """Release the allocation of an id: a sequence, a reservation or an export.
 
-        A reservation goes with its exports and sequences; unknown ids are no error.
+        Cancelling a reservation releases its exports and sequences too. An unknown id
+        is not an error.
         """
 
     @abstractmethod
     async def reserve(self, reservation: Reservation) -> bool:
-        """Ask for memory; asking again with the same id is how to wait for it.
+        """Request a reservation of memory; repeat with the same id to wait for it.
 
-        An engine forgets a waiting reservation that is not asked for again.
+        An engine drops a queued reservation that is not requested again.
 
-        :returns: whether it is granted; if not, it waits in the engine's line
-        :raises UpstreamError: if the engine can never grant it, or does not answer
+        :returns: whether it is granted; if not, it is queued at the engine
+        :raises UpstreamError: if the engine can never grant it, or does not respond
         """
 
     @abstractmethod
     async def prefill(self, part: PrefillPart) -> Export:
-        """Prefill a part of a prompt and hold it for the engines of its group.
+        """Prefill a prompt part and keep it for the other engines of the group.
 
-        :raises UpstreamError: if the engine fails, goes silent or has no room
+        :raises UpstreamError: if the engine fails, stops responding or has no capacity
         """
 
     @abstractmethod
     async def list_sequences(self) -> tuple[RunningSequence, ...]:
-        """:returns: the sequences that the engine holds, with their owners"""
+        """:returns: the engine's current allocations, with their owners"""
 
     @abstractmethod
     async def send_command(self, command: Command, owner: Owner) -> bool:
@@ -108,13 +111,13 @@
 
 
 class ServiceUpstream(Upstream):
-    """A replica of a plain service."""
+    """Adapter of a replica of a plain service."""
 
     @abstractmethod
     async def call(self, call: ServiceCall, timeout_ms: float) -> ServiceAnswer:
-        """Pass a call on, once.
+        """Forward a call, exactly one time.
 
-        :raises UpstreamError: if there is no whole answer
+        :raises UpstreamError: if no complete response is received
         """
 
 
--- a/src/quetzaldeck/upstreams/attempt.py
+++ b/src/quetzaldeck/upstreams/attempt.py
@@ -1,4 +1,4 @@
-"""Messages between the gateway and engines."""
+"""Requests to engines and their responses, independent of the protocol."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Owner(NamedTuple):
-    """Who holds a sequence, a reservation or an export.
+    """Owner of a sequence, a reservation or an export.
 
     :param vm: id of the VM
-    :param incarnation: id of one start of the process on it
+    :param incarnation: id of the incarnation of the process on it
     """
 
     vm: str
@@ -20,10 +20,10 @@
 
 
 class Export(NamedTuple):
-    """A prefilled part of a prompt that an engine holds for others.
+    """A prefilled prompt part that an engine holds for other engines.
 
     :param address: base URL of the engine that holds it
-    :param n_tokens: prompt tokens in it
+    :param n_tokens: number of prompt tokens in it
     """
 
     export_id: str
@@ -32,10 +32,10 @@
 
 
 class Reservation(NamedTuple):
-    """Memory asked for on one engine, before anything is sent to it.
+    """A request for memory of an engine, made before any prompt is sent to it.
 
     :param n_tokens: memory in tokens
-    :param timeout_ms: the engine releases it by itself after this time
+    :param timeout_ms: time after which the engine releases it on its own
     """
 
     reservation_id: str
@@ -45,9 +45,9 @@
 
 
 class PrefillPart(NamedTuple):
-    """A part of a prompt to be prefilled under a reservation.
+    """A request to prefill a prompt part under a reservation.
 
-    :param imports: the parts before it, in order
+    :param imports: the prompt parts before it, in order
     """
 
     attempt_id: str
@@ -62,14 +62,15 @@
 
 
 class Attempt(NamedTuple):
-    """One attempt to have a call answered.
+    """One attempt to run a call on an engine.
 
-    :param delivered: text that the caller already has; the answer goes on there
-    :param timeout_ms: time left until the deadline
+    :param delivered: text that the caller already has; the engine continues after it
+    :param timeout_ms: time that remains until the deadline
     :param reservation_id: reservation to run under, if any
-    :param imports: parts of the prompt that other engines hold, in order
-    :param cache_cursor: cache events of the engine that are known already
-    :param prompt_part: the part of the prompt after the imports
+    :param imports: prompt parts that other engines hold, in order
+    :param cache_cursor: the last cache event that is known of the engine
+    :param prompt_part: the rest of the prompt, after the imports; ``None``: the whole
+        prompt
     """
 
     attempt_id: str
@@ -86,11 +87,11 @@
 
 
 class Chunk(NamedTuple):
-    """A piece of an answer.
+    """A chunk of a streamed answer.
 
     :param offset: position of ``text`` in the whole answer, in characters
     :param n_output_tokens: tokens generated so far in the whole answer
-    :param n_prompt_tokens: tokens of the prompt as the engine counts them
+    :param n_prompt_tokens: number of prompt tokens as counted by the engine
     :param finish_reason: set on the last chunk only
     :param cache_events: changes of the engine's prefix cache, on the first chunk
     """
@@ -105,11 +106,11 @@
 
 
 class RunningSequence(NamedTuple):
-    """Something that an engine holds: a sequence, a reservation or an export.
+    """An allocation of an engine: a sequence, a reservation or an export.
 
-    :param attempt_id: id that cancelling it takes
-    :param kind: ``sequence``, ``reservation`` or ``export``; an export's memory is
-        part of its reservation's
+    :param attempt_id: id by which it is cancelled
+    :param kind: ``sequence``, ``reservation`` or ``export``; the memory of an export is
+        part of its reservation
     """
 
     attempt_id: str
@@ -120,11 +121,11 @@
 
 
 class Command(NamedTuple):
-    """An order to an engine.
+    """A management command to an engine.
 
     :param action: ``load_model``, ``unload_model``, ``load_adapter`` or
         ``change_role``
-    :param fencing_token: an engine that checks it refuses a smaller one
+    :param fencing_token: engines that check it refuse a token smaller than the last one
     """
 
     action: str
--- a/src/quetzaldeck/upstreams/call.py
+++ b/src/quetzaldeck/upstreams/call.py
@@ -1,4 +1,4 @@
-"""Calls that callers make, as adapters receive them."""
+"""Calls of callers, and answers of plain services, as adapters handle them."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class CompletionCall(NamedTuple):
-    """A call of a model.
+    """A completion or chat call.
 
-    :param prompt: the prompt; of a chat call, its messages joined
-    :param messages: messages of a chat call, else empty
-    :param parameters: further parameters, passed to the engine as they came
+    :param prompt: the prompt; for a chat call, the joined messages
+    :param messages: messages of a chat call; empty for a completion call
+    :param parameters: other parameters, passed to the engine unchanged
     """
 
     model: str
@@ -37,8 +37,8 @@
 class ServiceCall(NamedTuple):
     """A call of a plain service.
 
-    :param path: path below the service's prefix, with its query
-    :param headers: headers to pass on
+    :param path: path without the service's prefix, with the query string
+    :param headers: headers to forward
     """
 
     method: str
--- a/src/quetzaldeck/upstreams/connections.py
+++ b/src/quetzaldeck/upstreams/connections.py
@@ -1,4 +1,4 @@
-"""Adapters to the upstreams of the bundle, each on a connection pool of its own."""
+"""Adapters for the upstreams of the bundle, with one connection pool per upstream."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class Connections:
-    """Hands out adapters; replaces the pool of an upstream that went silent.
+    """Provides adapters; replaces the pool of an upstream that stopped responding.
 
-    :param timeouts: bounds on waiting for an upstream
-    :param on_replaced: told the name of an upstream whose pool was replaced
+    :param timeouts: timeouts of requests to an upstream
+    :param on_replaced: called with the name of an upstream whose pool was replaced
     """
 
     def __init__(
@@ -52,12 +52,12 @@
         await self._pools.__aexit__(exc_type, exc, traceback)
 
     def apply_specs(self, specs: Iterable[UpstreamSpec]) -> None:
-        """Take the upstreams of a bundle; dropped ones stay for what runs there."""
+        """Add a bundle's upstreams; removed ones stay usable for running requests."""
         self._specs.update({spec.name: spec for spec in specs})
 
     @asynccontextmanager
     async def use_engine(self, name: str) -> AsyncIterator[EngineUpstream]:
-        """Hold an engine's adapter for one call, also one no longer in force."""
+        """Use an engine's adapter for one call, even if a newer bundle lacks it."""
         spec = self._specs[name]
         adapter = engine_protocols.get(spec.protocol)
         async with self._use(name) as pool:
@@ -65,7 +65,7 @@
 
     @asynccontextmanager
     async def use_service(self, name: str) -> AsyncIterator[ServiceUpstream]:
-        """Hold the adapter of a replica of a plain service for one call."""
+        """Use the adapter of a replica of a plain service for one call."""
         spec = self._specs[name]
         adapter = service_protocols.get(spec.protocol)
         async with self._use(name) as pool:
@@ -78,7 +78,7 @@
                 yield pool
             except UpstreamError as error:
                 is_silent = error.fault is AttemptFault.SILENT
-                if is_silent and self._pools.suspect(name, pool):
+                if is_silent and self._pools.replace(name, pool):
                     self._on_replaced(name)
                 raise
 
--- a/src/quetzaldeck/upstreams/errors.py
+++ b/src/quetzaldeck/upstreams/errors.py
@@ -1,4 +1,4 @@
-"""How talking to an upstream fails."""
+"""The error that adapters of upstreams raise."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 
 class UpstreamError(Exception):
-    """An attempt failed.
+    """A request to an upstream failed.
 
-    :param fault: the evidence
-    :param may_have_run: whether the upstream may have begun to run it
-    :param was_sent: whether the upstream was asked, though it did not run it
+    :param fault: kind of the failure
+    :param detail: description of the failure for the logs
+    :param may_have_run: whether the upstream may have started to run the request
+    :param was_sent: whether the request was sent to the upstream, even if not run
     :param upstream: name of the upstream; ``""`` if no single one is at fault
-    :param incarnation: incarnation that had begun to answer, if it said so
-    :param retry_after_ms: when to come back, if the upstream said so
+    :param incarnation: incarnation of the upstream, if it had started to respond
+    :param retry_after_ms: wait before a retry, if the upstream gave one
     """
 
     def __init__(
@@ -40,17 +41,17 @@
 
     @property
     def fault(self) -> AttemptFault:
-        """:returns: the evidence"""
+        """:returns: kind of the failure"""
         return self._fault
 
     @property
     def may_have_run(self) -> bool:
-        """:returns: whether any byte may have reached the upstream"""
+        """:returns: whether the upstream may have started to run the request"""
         return self._may_have_run
 
     @property
     def was_sent(self) -> bool:
-        """:returns: whether the upstream was asked, though it did not run it"""
+        """:returns: whether the request was sent to the upstream, even if not run"""
         return self._was_sent
 
     @property
@@ -60,12 +61,12 @@
 
     @property
     def incarnation(self) -> str:
-        """:returns: incarnation of the upstream, if it had begun to answer"""
+        """:returns: incarnation of the upstream, if it had started to respond"""
         return self._incarnation
 
     @property
     def retry_after_ms(self) -> float | None:
-        """:returns: when to come back, in milliseconds, if the upstream said so"""
+        """:returns: wait before a retry, if the upstream gave one"""
         return self._retry_after_ms
 
 
--- a/src/quetzaldeck/upstreams/http.py
+++ b/src/quetzaldeck/upstreams/http.py
@@ -1,4 +1,7 @@
-"""Faults of HTTP calls to upstreams, told apart by what they prove."""
+"""Translation of HTTP errors of upstreams to :class:`UpstreamError`.
+
+The errors differ in what they prove about the execution of the call.
+"""
 
 from __future__ import annotations
 
@@ -26,13 +29,13 @@
 INCARNATION_HEADER = "Quetzaldeck-Incarnation"
 MS_PER_SECOND = 1_000
 MAX_RETRY_AFTER_S = 3_600.0
-"""An upstream that names a longer time is taken to mean an hour."""
+"""Cap on an upstream's ``Retry-After``: one hour."""
 
 
 def build_timeout(
     timeouts: UpstreamTimeouts, total_ms: float | None
 ) -> aiohttp.ClientTimeout:
-    """:returns: the bounds in the form that the client library takes"""
+    """:returns: the timeouts as aiohttp's client takes them"""
     return aiohttp.ClientTimeout(
         total=None if total_ms is None else max(total_ms, 1) / MS_PER_SECOND,
         sock_connect=timeouts.connect_ms / MS_PER_SECOND,
@@ -40,27 +43,27 @@
     )
 
 
-class Evidence:
-    """What an answer has proved so far, for the case that it breaks off."""
+class ResponseOrigin:
+    """Which incarnation of an upstream responds, for errors later in the response."""
 
     def __init__(self) -> None:
         self.incarnation = ""
 
-    def take(self, response: aiohttp.ClientResponse) -> None:
-        """Note which incarnation of the upstream began to answer."""
+    def read_header(self, response: aiohttp.ClientResponse) -> None:
+        """Note which incarnation of the upstream started to respond."""
         self.incarnation = response.headers.get(INCARNATION_HEADER, "")
 
 
 @asynccontextmanager
-async def translate_faults(name: str) -> AsyncIterator[Evidence]:
-    """Turn the client library's errors into :class:`UpstreamError`.
+async def translate_faults(name: str) -> AsyncIterator[ResponseOrigin]:
+    """Turn errors of aiohttp's client into :class:`UpstreamError`.
 
-    A connection that was refused proves that no byte arrived. Every other error
-    may come after the upstream began to run the call.
+    A connection that could not be opened proves that no byte was received. Every other
+    error may have occurred after the upstream started to run the call.
     """
-    evidence = Evidence()
+    origin = ResponseOrigin()
     try:
-        yield evidence
+        yield origin
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
         raise UpstreamError(
             AttemptFault.CONNECT,
@@ -71,11 +74,11 @@
         ) from error
     except TimeoutError as error:
         raise UpstreamError(
-            AttemptFault.SILENT, f"{name}: no byte in time", upstream=name
+            AttemptFault.SILENT, f"{name}: timed out waiting for data", upstream=name
         ) from error
     except HttpProcessingError as error:
-        # One event without end: the library stops reading it, with an error that
-        # is none of its client errors.
+        # aiohttp stops reading an overlong event with an error that is not a
+        # subclass of ClientError.
         raise UpstreamError(
             AttemptFault.BAD_ANSWER, f"{name}: {error!r}", upstream=name
         ) from error
@@ -84,12 +87,12 @@
             AttemptFault.BROKEN,
             f"{name}: {error!r}",
             upstream=name,
-            incarnation=evidence.incarnation,
+            incarnation=origin.incarnation,
         ) from error
 
 
 def check_status(name: str, response: aiohttp.ClientResponse) -> None:
-    """Check the status line of an engine's answer.
+    """Check the status of an engine's response.
 
     :raises UpstreamError: if the engine refused the call or failed
     """
@@ -118,7 +121,7 @@
 
 
 def _read_retry_after(text: str | None) -> float | None:
-    """:returns: milliseconds of the header; its form as a date is not used"""
+    """:returns: value of the header in milliseconds; dates are ignored"""
     if text is None or not text.isascii() or not text.strip().isdigit():
         return None
     return min(float(text), MAX_RETRY_AFTER_S) * MS_PER_SECOND
@@ -126,7 +129,7 @@
 
 __all__ = (
     "INCARNATION_HEADER",
-    "Evidence",
+    "ResponseOrigin",
     "build_timeout",
     "check_status",
     "translate_faults",
--- a/src/quetzaldeck/upstreams/http_service.py
+++ b/src/quetzaldeck/upstreams/http_service.py
@@ -1,4 +1,4 @@
-"""Adapter for plain services over HTTP."""
+"""Adapter for plain services, which forwards calls over HTTP."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
         "upgrade",
     )
 )
-"""Headers that belong to one connection and are not passed on."""
+"""Headers that apply to a single connection and are not forwarded."""
 
 
 @service_protocols.register("http")
 class HttpService(ServiceUpstream):
-    """Passes calls on as they came."""
+    """Forwards calls unchanged."""
 
     async def call(self, call: ServiceCall, timeout_ms: float) -> ServiceAnswer:
-        """Pass a call on, once; see :meth:`ServiceUpstream.call`."""
+        """Forward a call, exactly one time; see :meth:`ServiceUpstream.call`."""
         async with (
             translate_faults(self._spec.name),
             self._session.request(
@@ -56,7 +56,7 @@
             return ServiceAnswer(response.status, headers, body)
 
     async def read_load(self) -> LoadReport:
-        """:returns: an empty report: a plain service has no published load"""
+        """:returns: an empty report, since plain services do not report their load"""
         return LoadReport(self._spec.name, "", 0, 0.0, 0, 0, 0, 0)
 
 
--- a/src/quetzaldeck/upstreams/openai_bodies.py
+++ b/src/quetzaldeck/upstreams/openai_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that the adapter for OpenAI-compatible engines sends."""
+"""Builds the request bodies for OpenAI-compatible engines."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def build_prefill(part: PrefillPart) -> PrefillBody:
-    """:returns: body of the request to prefill a part"""
+    """:returns: body of the request to prefill a prompt part"""
     return {
         "attempt_id": part.attempt_id,
         "vm": part.owner.vm,
--- a/src/quetzaldeck/upstreams/openai_engine.py
+++ b/src/quetzaldeck/upstreams/openai_engine.py
@@ -47,13 +47,13 @@
 _EXPORT_DECODER = msgspec.json.Decoder(ExportBody)
 _SEQUENCES_DECODER = msgspec.json.Decoder(list[SequenceBody])
 _CONTROL_TIMEOUT_MS = 2_000.0
-CACHED = "cached"
-_REST_TIMEOUT_MS = 20.0
+_CACHED_KIND = "cached"
+_END_OF_STREAM_TIMEOUT_MS = 20.0
 
 
 @engine_protocols.register("openai")
 class OpenAiEngine(EngineUpstream):
-    """Speaks the protocol of docs/UPSTREAM.md."""
+    """Client of the engine protocol that docs/UPSTREAM.md specifies."""
 
     async def complete(self, attempt: Attempt) -> AsyncGenerator[Chunk, None]:
         """Run an attempt; see :meth:`EngineUpstream.complete`."""
@@ -63,7 +63,7 @@
         path = "/v1/chat/completions" if is_whole_chat else "/v1/completions"
         incarnation = ""
         async with (
-            translate_faults(name) as evidence,
+            translate_faults(name) as origin,
             self._session.post(
                 self._spec.address + path,
                 data=msgspec.json.encode(build_completion(attempt)),
@@ -71,8 +71,8 @@
                 timeout=timeout,
             ) as response,
         ):
-            evidence.take(response)
-            incarnation = evidence.incarnation
+            origin.read_header(response)
+            incarnation = origin.incarnation
             check_status(name, response)
             has_end = False
             try:
@@ -83,12 +83,12 @@
                     yield chunk
             finally:
                 if has_end:
-                    await _read_rest(response)
+                    await _read_to_end(response)
             if has_end:
                 return
         raise UpstreamError(
             AttemptFault.BROKEN,
-            f"{name}: the answer has no end",
+            f"{name}: the stream ended before the answer was complete",
             upstream=name,
             incarnation=incarnation,
         )
@@ -109,7 +109,7 @@
             body = _CHUNK_DECODER.decode(data)
             choice = body["choices"][0]
         except (msgspec.DecodeError, IndexError) as error:
-            raise self._unreadable("chunk", error) from error
+            raise self._decoding_error("chunk", error) from error
         return Chunk(
             body["id"],
             body["offset"],
@@ -125,7 +125,9 @@
         if published is None:
             return None
         events = tuple(
-            CacheEvent(event["sequence"], event["kind"] == CACHED, event["prefix_hash"])
+            CacheEvent(
+                event["sequence"], event["kind"] == _CACHED_KIND, event["prefix_hash"]
+            )
             for event in published["events"]
         )
         return CacheEvents(self._spec.name, published["incarnation"], events)
@@ -135,7 +137,7 @@
         await self._post("/v1/cancel", {"attempt_id": attempt_id})
 
     async def reserve(self, reservation: Reservation) -> bool:
-        """Ask for memory; see :meth:`EngineUpstream.reserve`."""
+        """Request memory; see :meth:`EngineUpstream.reserve`."""
         body: ReservationBody = {
             "reservation_id": reservation.reservation_id,
             "vm": reservation.owner.vm,
@@ -147,13 +149,13 @@
         try:
             return _RESERVATION_DECODER.decode(data)["is_granted"]
         except msgspec.DecodeError as error:
-            raise self._unreadable("reservation", error) from error
+            raise self._decoding_error("reservation", error) from error
 
     async def prefill(self, part: PrefillPart) -> Export:
-        """Prefill a part; see :meth:`EngineUpstream.prefill`."""
+        """Prefill a prompt part; see :meth:`EngineUpstream.prefill`."""
         name = self._spec.name
         async with (
-            translate_faults(name) as evidence,
+            translate_faults(name) as origin,
             self._session.post(
                 self._spec.address + "/v1/prefill",
                 data=msgspec.json.encode(build_prefill(part)),
@@ -161,18 +163,18 @@
                 timeout=build_timeout(self._timeouts, part.timeout_ms),
             ) as response,
         ):
-            evidence.take(response)
+            origin.read_header(response)
             check_status(name, response)
             async for data in self._read_events(response):
                 try:
                     return Export(**_EXPORT_DECODER.decode(data))
                 except msgspec.DecodeError as error:
-                    raise self._unreadable("export", error) from error
+                    raise self._decoding_error("export", error) from error
             raise UpstreamError(
                 AttemptFault.BROKEN,
-                f"{name}: the prefill has no end",
+                f"{name}: the stream ended before the prefill was complete",
                 upstream=name,
-                incarnation=evidence.incarnation,
+                incarnation=origin.incarnation,
             )
 
     async def read_load(self) -> LoadReport:
@@ -181,7 +183,7 @@
         try:
             body = _LOAD_DECODER.decode(data)
         except msgspec.DecodeError as error:
-            raise self._unreadable("load report", error) from error
+            raise self._decoding_error("load report", error) from error
         models = tuple(body["models"])
         fields = {**body, "models": models}
         return LoadReport(upstream=self._spec.name, **fields)  # type: ignore[arg-type]
@@ -192,7 +194,7 @@
         try:
             bodies = _SEQUENCES_DECODER.decode(data)
         except msgspec.DecodeError as error:
-            raise self._unreadable("sequences", error) from error
+            raise self._decoding_error("sequences", error) from error
         return tuple(
             RunningSequence(
                 body["attempt_id"],
@@ -215,9 +217,9 @@
             raise
         return True
 
-    def _unreadable(self, what: str, error: Exception) -> UpstreamError:
+    def _decoding_error(self, what: str, error: Exception) -> UpstreamError:
         name = self._spec.name
-        detail = f"{name}: unreadable {what}: {error}"
+        detail = f"{name}: cannot decode {what}: {error}"
         return UpstreamError(AttemptFault.BAD_ANSWER, detail, upstream=name)
 
     async def _get(self, path: str) -> bytes:
@@ -243,15 +245,15 @@
             return await response.read()
 
 
-async def _read_rest(response: aiohttp.ClientResponse) -> None:
-    """Read what follows the last chunk, so that the connection can be used again.
+async def _read_to_end(response: aiohttp.ClientResponse) -> None:
+    """Read what follows the last chunk, so that the connection can be reused.
 
-    The reader stops at the last chunk; the end mark behind it was left unread,
-    which closes the connection, and each call paid for a new one. An engine that
-    does not end its stream costs the connection, not the time.
+    The consumer stops at the last chunk. aiohttp closes a connection whose end marker
+    was not read, so that each call would have to open a new one. If an engine does not
+    end its stream in time, only the connection is lost, and the call is not delayed.
     """
     with suppress(TimeoutError, aiohttp.ClientError):
-        async with asyncio.timeout(_REST_TIMEOUT_MS / 1_000):
+        async with asyncio.timeout(_END_OF_STREAM_TIMEOUT_MS / 1_000):
             while await response.content.readany():
                 pass
 
--- a/src/quetzaldeck/upstreams/pools.py
+++ b/src/quetzaldeck/upstreams/pools.py
@@ -1,4 +1,4 @@
-"""One connection pool for each upstream, replaced when a connection went silent."""
+"""Connection pools, one per upstream, replaced when a connection stops responding."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
     from collections.abc import AsyncIterator
     from types import TracebackType
 
-KEEP_IDLE_S = 15.0
-"""A connection that no request used for this long will hardly be used again."""
+KEEPALIVE_TIMEOUT_S = 15.0
+"""Idle time after which a connection is closed; it is unlikely to be used again."""
 
 
 class ConnectionPool:
     """Connections to one upstream.
 
-    :param n_generation: 1 for the first pool to the upstream
+    :param generation: number of this pool; 1 for the first pool of the upstream
     """
 
-    def __init__(self, n_generation: int) -> None:
-        connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=KEEP_IDLE_S)
+    def __init__(self, generation: int) -> None:
+        connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=KEEPALIVE_TIMEOUT_S)
         self.session = aiohttp.ClientSession(connector=connector, auto_decompress=False)
-        self.n_generation = n_generation
+        self.generation = generation
         self.n_users = 0
-        self.is_suspect = False
+        self.is_replaced = False
 
     async def close_if_unused(self) -> None:
-        """Close a suspect pool as soon as nothing runs on it."""
-        if self.is_suspect and not self.n_users:
+        """Close a replaced pool as soon as no request uses it."""
+        if self.is_replaced and not self.n_users:
             await self.session.close()
 
 
 class ConnectionPools:
-    """Pools by upstream.
+    """Connection pools by upstream.
 
-    Something between the two ends can lose track of all flows to an upstream at
-    once. The flows then stay open and silent, and an idle connection of the pool
-    looks usable: each request that takes one waits out its idle bound. So one silent
-    read makes the whole pool suspect: new requests get new connections, and what
-    still runs on old ones ends by its own bounds.
+    A network device on the path, such as a firewall, can lose its state of all
+    connections to an upstream at once. They then stay open without passing data, and an
+    idle connection of the pool looks usable: each request that takes one waits for its
+    idle timeout. So one read that times out replaces the whole pool: new requests get
+    new connections, and those that still run on old ones end by their own timeouts.
     """
 
     def __init__(self) -> None:
         self._pools: dict[str, ConnectionPool] = {}
-        self._suspect: set[ConnectionPool] = set()
+        self._replaced: set[ConnectionPool] = set()
 
     async def __aenter__(self) -> ConnectionPools:
         return self
@@ -57,7 +57,7 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        for pool in (*self._pools.values(), *self._suspect):
+        for pool in (*self._pools.values(), *self._replaced):
             await pool.session.close()
 
     def get(self, upstream: str) -> ConnectionPool:
@@ -69,7 +69,7 @@
 
     @asynccontextmanager
     async def use(self, upstream: str) -> AsyncIterator[ConnectionPool]:
-        """Hold a pool open, also after it became suspect, for one request."""
+        """Keep a pool open for one request, even if it is replaced meanwhile."""
         pool = self.get(upstream)
         pool.n_users += 1
         try:
@@ -77,20 +77,20 @@
         finally:
             pool.n_users -= 1
             await pool.close_if_unused()
-            if pool.is_suspect and not pool.n_users:
-                self._suspect.discard(pool)
+            if pool.is_replaced and not pool.n_users:
+                self._replaced.discard(pool)
 
-    def suspect(self, upstream: str, pool: ConnectionPool) -> bool:
-        """Replace the pool on which a read went silent.
+    def replace(self, upstream: str, pool: ConnectionPool) -> bool:
+        """Replace a pool on which a read timed out.
 
-        :returns: whether it was replaced; a pool is replaced once, however many of
-            its connections turn out to be silent
+        :returns: whether it was replaced; a pool is replaced once, even if reads time
+            out on several of its connections
         """
         if self._pools.get(upstream) is not pool:
             return False
-        pool.is_suspect = True
-        self._suspect.add(pool)
-        self._pools[upstream] = ConnectionPool(pool.n_generation + 1)
+        pool.is_replaced = True
+        self._replaced.add(pool)
+        self._pools[upstream] = ConnectionPool(pool.generation + 1)
         return True
 
 
--- a/src/quetzaldeck/upstreams/send_once.py
+++ b/src/quetzaldeck/upstreams/send_once.py
@@ -1,4 +1,4 @@
-"""Keeps the client library from sending a call again by itself."""
+"""Client middleware that prevents aiohttp from resending a call on its own."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
     from aiohttp import ClientHandlerType, ClientRequest, ClientResponse
 
 
-class BrokenCallError(aiohttp.ClientError):
-    """The connection of a call broke; the call may have run."""
+class ConnectionLostError(aiohttp.ClientError):
+    """The connection was lost during a call; the call may have run."""
 
 
 async def send_once(
     request: ClientRequest, handler: ClientHandlerType
 ) -> ClientResponse:
-    """Send a request as a middleware of the client library.
+    """Send a request once, as a middleware of aiohttp's client.
 
-    If a connection breaks, the library sends GET, PUT and DELETE once more, below
-    everything that knows which calls may be repeated: a call that was run before
-    the connection broke runs twice. It does so for two of its errors only, so these
-    leave here as another one. A connection that was refused is passed on as it is.
+    If the connection is lost, aiohttp resends GET, PUT and DELETE once, without knowing
+    which calls may be repeated: a call that ran before the connection was lost would
+    run twice. It resends only after two of its errors, so these are raised as another
+    one here. Errors of refused connections and connect timeouts are passed on.
 
-    :raises BrokenCallError: if the connection broke
+    :raises ConnectionLostError: if the connection was lost
     """
     try:
         return await handler(request)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
-        raise BrokenCallError(repr(error)) from error
+        raise ConnectionLostError(repr(error)) from error
 
 
-__all__ = ("BrokenCallError", "send_once")
+__all__ = ("ConnectionLostError", "send_once")
--- a/src/quetzaldeck/upstreams/sse.py
+++ b/src/quetzaldeck/upstreams/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events: the lines that engines send and callers receive."""
+"""Encoding and decoding of server-sent events."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 DONE = b"[DONE]"
 KEEP_ALIVE = b": keep-alive\n\n"
 MAX_LINE_BYTES = 1 << 20
-"""A line of a stream holds some tokens; a longer one is no stream."""
+"""Maximum line length; a line holds a few tokens, so a longer one is not valid."""
 
 
 def encode_event(data: bytes) -> bytes:
-    """:returns: one event that carries ``data``"""
+    """:returns: one event with ``data`` as its payload"""
     return DATA_PREFIX + data + b"\n\n"
 
 
 def decode_line(line: bytes) -> bytes | None:
-    """:returns: the data of a line, ``None`` for comments and blank lines"""
+    """:returns: data of a ``data:`` line, ``None`` for all other lines"""
     line = line.rstrip(b"\r\n")
     if not line.startswith(b"data:"):
         return None
--- a/src/quetzaldeck/upstreams/wire.py
+++ b/src/quetzaldeck/upstreams/wire.py
@@ -8,7 +8,7 @@
 class ControlFields(TypedDict):
     """Field ``quetzaldeck`` of a completion request.
 
-    ``offset`` counts the characters of the answer that the caller already has.
+    ``offset`` is the number of characters of the answer that the caller already has.
     """
 
     attempt_id: str
@@ -25,7 +25,7 @@
 
 
 class CacheCursorBody(TypedDict):
-    """The last cache event that the reader has."""
+    """The last cache event that the client has received."""
 
     incarnation: str
     sequence: int
@@ -40,14 +40,14 @@
 
 
 class CacheEventsBody(TypedDict):
-    """Changes of the prefix cache after the reader's cursor, oldest first."""
+    """Changes of the prefix cache after the client's cursor, oldest first."""
 
     incarnation: str
     events: list[CacheEventBody]
 
 
 class ExportBody(TypedDict):
-    """A prefilled part of a prompt, by reference."""
+    """Reference to a prefilled prompt part that an engine holds."""
 
     export_id: str
     address: str
@@ -65,7 +65,7 @@
 
 
 class SequenceBody(TypedDict):
-    """One entry of the answer of ``GET /v1/sequences``."""
+    """One entry of the response of ``GET /v1/sequences``."""
 
     attempt_id: str
     vm: str
@@ -76,7 +76,7 @@
 
 
 class ReservationState(TypedDict):
-    """Answer of ``POST /v1/reservations``."""
+    """Response of ``POST /v1/reservations``."""
 
     is_granted: bool
 
@@ -107,7 +107,7 @@
 
 
 class ChunkChoice(TypedDict):
-    """The one choice of a streamed chunk."""
+    """The only choice of a streamed chunk."""
 
     index: int
     text: str
@@ -115,7 +115,7 @@
 
 
 class ChunkBody(TypedDict):
-    """One streamed chunk."""
+    """One chunk of a streamed response."""
 
     id: str
     choices: list[ChunkChoice]
@@ -132,7 +132,7 @@
 
 
 class LoadBody(TypedDict):
-    """Answer of ``GET /v1/load``."""
+    """Response of ``GET /v1/load``."""
 
     incarnation: str
     sequence: int
--- a/tests/upstreams/test_connection_reuse.py
+++ b/tests/upstreams/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Connections to engines are used again."""
+"""Tests of the reuse of connections to engines."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 )
 
 N_CALLS = 3
-END_MARK_MS = 2.0
-"""Pause of the engine before its end mark, as after each token."""
+END_MARKER_DELAY_MS = 2.0
+"""Pause of the engine before its end marker, as after each token."""
 
 
 class CountingSource(TokenSource):
-    """Counts the connections that its calls came over."""
+    """Counts the connections on which it receives calls."""
 
     def __init__(self) -> None:
-        super().__init__(pace_ms=END_MARK_MS)
+        super().__init__(pace_ms=END_MARKER_DELAY_MS)
         self.ports: set[int] = set()
 
     async def open(self) -> web.Application:
@@ -58,9 +58,9 @@
 
 
 def test_complete_leaves_the_connection_for_the_next_call() -> None:
-    """Each call waited for a new connection to its engine.
+    """Guards against opening a new connection to the engine for each call.
 
-    The reader stops at the last chunk, the end mark behind it stayed unread, and
-    the client library closes a connection that is not read to its end.
+    The consumer stops at the last chunk, which leaves the end marker unread, and
+    aiohttp closes a connection whose response was not read to the end.
     """
     assert uvloop.run(run_calls()) == 1
--- a/tests/upstreams/test_http_service_once.py
+++ b/tests/upstreams/test_http_service_once.py
@@ -1,4 +1,4 @@
-"""The adapter of plain services sends a call once, whatever the client library does."""
+"""Tests that the adapter of plain services sends each call only once."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class BreakingService:
-    """Takes a call, runs it, and closes the connection without an answer."""
+    """Runs each call that it receives and closes the connection without a response."""
 
     def __init__(self) -> None:
         self.methods: list[str] = []
@@ -45,9 +45,9 @@
 @pytest.mark.parametrize("body", [b"", b"member 7"])
 @pytest.mark.parametrize("method", ["DELETE", "PUT", "POST", "GET"])
 def test_call_is_sent_once(method: str, body: bytes) -> None:
-    """A cancellation that charges a fee runs, and its connection breaks.
+    """Guards against a call that runs twice after its connection was lost.
 
-    The client library sends DELETE and PUT again by itself, below everything that
-    knows which calls may be repeated: the member is charged twice.
+    aiohttp resends GET, PUT and DELETE on its own, without knowing which calls may be
+    repeated: a cancellation that charges a fee would charge the member twice.
     """
     assert uvloop.run(call_breaking_service(method, body)) == [method]
--- a/tests/upstreams/test_pools.py
+++ b/tests/upstreams/test_pools.py
@@ -1,4 +1,4 @@
-"""Tests of connection pools: replaced once, closed when nothing runs on them."""
+"""Tests of connection pools: replaced only once, closed when no request uses them."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
     uvloop.run(check)
 
 
-def test_suspect_replaces_a_pool_once() -> None:
-    """Three reads on one pool go silent; each finds that it should be replaced.
+def test_replace_replaces_a_pool_once() -> None:
+    """Guards against replacing the new pool when several reads on the old one time out.
 
-    The second and third must not throw away the new pool.
+    Three reads on one pool time out, and each tries to replace it.
     """
 
     async def check() -> None:
         async with ConnectionPools() as pools:
             old = pools.get("e")
-            assert [pools.suspect("e", old) for _ in range(3)] == [True, False, False]
-            assert pools.get("e").n_generation == 2
-            assert pools.get("other").n_generation == 1
+            assert [pools.replace("e", old) for _ in range(3)] == [True, False, False]
+            assert pools.get("e").generation == 2
+            assert pools.get("other").generation == 1
 
     run(check())
 
 
-def test_suspect_pool_stays_open_while_it_is_used() -> None:
+def test_replaced_pool_stays_open_while_it_is_used() -> None:
     async def check() -> None:
         async with ConnectionPools() as pools, pools.use("e") as other_user:
             async with pools.use("e") as pool:
-                pools.suspect("e", pool)
+                pools.replace("e", pool)
             assert not other_user.session.closed
         assert other_user.session.closed
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(
     ("fault", "n_replaced"), [(AttemptFault.SILENT, 1), (AttemptFault.BROKEN, 0)]
 )
-def test_connections_replace_the_pool_of_a_silent_read_only(
+def test_connections_replace_the_pool_only_after_a_timeout(
     fault: AttemptFault, n_replaced: int
 ) -> None:
     replaced: list[str] = []
