--- a/src/quetzaldeck/entry/memory_reservation.py
+++ b/src/quetzaldeck/entry/memory_reservation.py
@@ -45,10 +45,10 @@
         self._renewal: asyncio.Task[None] | None = None
         self._reservation = GroupReservation(
             dispatch.plan,
-            ask=self._reserve,
+            request_memory=self._reserve,
             release=self._release,
             clock=state.clock,
-            until_ms=until_ms,
+            deadline_ms=until_ms,
             bounds=state.group_bounds,
         )
 
@@ -113,7 +113,7 @@
             await asyncio.sleep(self._hold_ms / RENEWALS_PER_HOLD / 1_000)
             members = zip(self._plan.upstreams, self._plan.reserved_tokens, strict=True)
             for name, n_tokens in members:
-                if self._reservation.has_asked(name):
+                if self._reservation.has_requested(name):
                     await self._renew_member(name, n_tokens)
 
     async def _renew_member(self, name: str, n_tokens: int) -> None:
--- a/src/quetzaldeck/gateway/__init__.py
+++ b/src/quetzaldeck/gateway/__init__.py
@@ -1,7 +1,7 @@
-"""The gateway: the data path of one VM.
+"""The gateway, which serves the requests of callers on one VM.
 
-Nothing is imported here: the entry uses some of its parts, and after a loss of power
-its callers wait for each module that it imports.
+Nothing is imported here: the entry uses some of the modules, and after a power failure
+its callers wait until everything that it imports has been loaded.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/gateway/answer.py
+++ b/src/quetzaldeck/gateway/answer.py
@@ -1,4 +1,4 @@
-"""One answer, put together from the chunks of one or more attempts."""
+"""Assembles an answer from the chunks of one or more attempts."""
 
 from __future__ import annotations
 
@@ -8,89 +8,89 @@
 if TYPE_CHECKING:
     from quetzaldeck.upstreams import Chunk
 
-MAX_HELD_CHUNKS = 64
-"""Chunks kept for one that is late: a second of an answer's tokens and more."""
+MAX_BUFFERED_CHUNKS = 64
+"""Chunks buffered while an earlier one is missing: more than a second of output."""
 
 
-class Drop(StrEnum):
-    """Why a chunk gave no text.
+class DropReason(StrEnum):
+    """Why a chunk added no text to the answer.
 
-    ``EARLY`` chunks are held until those before them have arrived, the others are
-    discarded.
+    ``OUT_OF_ORDER`` chunks are buffered until the ones before them have arrived, the
+    others are discarded.
     """
 
     FOREIGN = "foreign"
-    DOUBLED = "doubled"
-    EARLY = "early"
+    DUPLICATE = "doubled"
+    OUT_OF_ORDER = "early"
     GAP = "gap"
 
 
 class Answer:
-    """Takes chunks and gives out each character of the answer exactly once.
+    """Accepts chunks and returns each character of the answer exactly once.
 
-    An engine may send a chunk twice, late, out of order, or one of another
-    sequence; without the checks of attempt id and offset the caller would read
-    doubled or foreign text, and nothing would look wrong.
+    An engine may send a chunk twice, late, out of order, or a chunk of another
+    sequence. Without the checks of attempt id and offset, the caller would receive
+    duplicate text or text of another request, without any sign of an error.
     """
 
     def __init__(self) -> None:
         self._parts: list[str] = []
         self._offset = 0
         self._attempt_id = ""
-        self._held: dict[int, Chunk] = {}
+        self._buffered: dict[int, Chunk] = {}
         self.n_output_tokens = 0
         self.n_prompt_tokens = 0
         self.finish_reason: str | None = None
 
     @property
     def text(self) -> str:
-        """:returns: everything given out so far"""
+        """:returns: the text so far"""
         if len(self._parts) > 1:
             self._parts = ["".join(self._parts)]
         return self._parts[0] if self._parts else ""
 
     @property
     def offset(self) -> int:
-        """:returns: characters given out so far"""
+        """:returns: length of the text so far, in characters"""
         return self._offset
 
     def begin_attempt(self, attempt_id: str) -> None:
-        """Accept chunks of this attempt only from now on."""
+        """Accept only chunks of this attempt from now on."""
         self._attempt_id = attempt_id
-        self._held.clear()
+        self._buffered.clear()
 
-    def accept(self, chunk: Chunk) -> str | Drop:
-        """Take a chunk.
+    def accept(self, chunk: Chunk) -> str | DropReason:
+        """Add a chunk to the answer.
 
-        :returns: text that is new, or why there is none; after ``GAP`` the
-            attempt cannot give the whole answer any more
+        :returns: the new text, or why there is none; after ``GAP`` the attempt can no
+            longer complete the answer
         """
         if chunk.attempt_id != self._attempt_id:
-            return Drop.FOREIGN
+            return DropReason.FOREIGN
         if chunk.offset > self._offset:
-            return self._hold(chunk)
-        text = self._take(chunk)
+            return self._buffer(chunk)
+        text = self._append(chunk)
         if not text and chunk.text and self.finish_reason is None:
-            return Drop.DOUBLED
-        return text + self._take_held()
-
-    def _hold(self, chunk: Chunk) -> Drop:
-        if len(self._held) >= MAX_HELD_CHUNKS:
-            return Drop.GAP
-        if chunk.offset in self._held:
-            return Drop.DOUBLED
-        self._held[chunk.offset] = chunk
-        return Drop.EARLY
-
-    def _take_held(self) -> str:
+            return DropReason.DUPLICATE
+        return text + self._append_buffered()
+
+    def _buffer(self, chunk: Chunk) -> DropReason:
+        if len(self._buffered) >= MAX_BUFFERED_CHUNKS:
+            return DropReason.GAP
+        if chunk.offset in self._buffered:
+            return DropReason.DUPLICATE
+        self._buffered[chunk.offset] = chunk
+        return DropReason.OUT_OF_ORDER
+
+    def _append_buffered(self) -> str:
         texts = []
-        for offset in sorted(self._held):
+        for offset in sorted(self._buffered):
             if offset > self._offset:
                 break
-            texts.append(self._take(self._held.pop(offset)))
+            texts.append(self._append(self._buffered.pop(offset)))
         return "".join(texts)
 
-    def _take(self, chunk: Chunk) -> str:
+    def _append(self, chunk: Chunk) -> str:
         text = chunk.text[self._offset - chunk.offset :]
         self._parts.append(text)
         self._offset += len(text)
@@ -101,4 +101,4 @@
         return text
 
 
-__all__ = ("MAX_HELD_CHUNKS", "Answer", "Drop")
+__all__ = ("MAX_BUFFERED_CHUNKS", "Answer", "DropReason")
--- a/src/quetzaldeck/gateway/body.py
+++ b/src/quetzaldeck/gateway/body.py
@@ -1,4 +1,4 @@
-"""Bounded reading of callers' bodies."""
+"""Reads the bodies of requests within limits on size and time."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 async def read_body(request: web.Request, bounds: CallerBounds) -> bytes:
     """Read a body.
 
-    A sender that stops midway would hold its memory for ever, unseen: each pause
-    and the whole time are bounded, and the length before the bytes are kept.
+    A sender that stops midway would occupy memory forever without any error. So each
+    pause and the total time are limited, and the length is checked before the bytes are
+    stored.
 
     :raises RequestError: if the body is too long or too slow
     """
@@ -39,12 +40,12 @@
                     raise RequestError(_too_large(bounds))
                 parts.append(part)
     except TimeoutError:
-        detail = f"only {n_bytes} bytes of the body arrived in time"
+        detail = f"received only {n_bytes} bytes of the body in time"
         raise RequestError(Failure(Reason.SLOW_SENDER, detail=detail)) from None
 
 
 def _too_large(bounds: CallerBounds) -> Failure:
-    detail = f"the body is over {bounds.max_body_bytes} bytes"
+    detail = f"the body is larger than {bounds.max_body_bytes} bytes"
     return Failure(Reason.BODY_TOO_LARGE, detail=detail)
 
 
--- a/src/quetzaldeck/gateway/claimed_call.py
+++ b/src/quetzaldeck/gateway/claimed_call.py
@@ -1,4 +1,4 @@
-"""A call that runs at most once, from its claim to its answer."""
+"""A call that must run at most once, protected by a claim on its idempotency key."""
 
 from __future__ import annotations
 
@@ -29,21 +29,22 @@
 CLAIM_PATH = "/v1/claims"
 CLAIM_END_PATH = "/v1/claims/end"
 END_TIMEOUT_MS = 1_000.0
-"""For the agent on the same VM to take the end of a call."""
+"""Timeout of reporting the end of a call to the agent on the same VM."""
 RETRY_AFTER_MS = 1_000.0
-"""When to come back while the agent does not answer: it restarts within that time."""
+"""Wait before a retry if the agent does not respond; it restarts within that time."""
 AGENT_MARGIN_MS = 50.0
-"""Left of a deadline for the way between gateway and agent."""
+"""Added to the agent's time for a claim, for the round trip between gateway and
+agent."""
 
 _DECISION = msgspec.json.Decoder(ClaimDecision)
 _AGENT_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError)
 
 
 class ClaimedCall:
-    """Wins the claim on entry; on exit the agent learns what became of the call.
+    """Obtains a claim on entry, and reports the outcome to the agent on exit.
 
-    :param client: connections to the agent, owned by the caller
-    :param order: the call; its timeout counts from now
+    :param client: HTTP client for the agent, owned by the creator of this object
+    :param order: the requested claim; its timeout starts now
     """
 
     def __init__(
@@ -61,20 +62,20 @@
         self._lease_ms = 0.0
         self._has_run = False
         self._answer: ServiceAnswer | None = None
-        self._is_relayed = False
+        self._is_replayed = False
 
     async def __aenter__(self) -> ClaimedCall:
         try:
-            decision = await self._ask_agent()
+            decision = await self._request_claim()
         except BaseException as error:
-            await asyncio.shield(self._tell_end())
+            await asyncio.shield(self._report_end())
             if isinstance(error, _AGENT_ERRORS):
-                raise _refuse_without_agent(error) from error
+                raise _build_agent_error(error) from error
             raise
         if decision.failure is not None:
             raise RequestError(decision.failure)
         if decision.answer is not None:
-            self._is_relayed = True
+            self._is_replayed = True
             self._answer = ServiceAnswer(*decision.answer)
         self._lease_ms = decision.lease_ms
         return self
@@ -85,8 +86,8 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        if not self._is_relayed:
-            await asyncio.shield(self._tell_end())
+        if not self._is_replayed:
+            await asyncio.shield(self._report_end())
 
     @property
     def has_run(self) -> bool:
@@ -95,16 +96,16 @@
 
     @property
     def answer(self) -> ServiceAnswer | None:
-        """:returns: the answer, also that of an earlier run on another VM"""
+        """:returns: the answer, possibly that of an earlier run on another VM"""
         return self._answer
 
     def begin_dispatch(self) -> None:
-        """Check the claim; to be called right before the first byte may leave.
+        """Check the claim; must be called right before the first byte may be sent.
 
-        A gateway that paused since it was granted the claim may wake when the
-        voters have forgotten it and somebody else has run the call.
+        If this VM was paused after the claim was granted, the voters may have dropped
+        it meanwhile and another VM may have run the call.
 
-        :raises RequestError: if the call must not be dispatched any more
+        :raises RequestError: if the call must no longer be dispatched
         """
         try:
             self._guard.check(self._started, max_ms=self._lease_ms)
@@ -115,14 +116,14 @@
         self._has_run = True
 
     def undo_dispatch(self) -> None:
-        """Note that it is proved that no byte reached the upstream."""
+        """Record that no byte can have reached the upstream."""
         self._has_run = False
 
-    def keep(self, answer: ServiceAnswer) -> None:
-        """Keep the answer for resends."""
+    def store_answer(self, answer: ServiceAnswer) -> None:
+        """Store the answer, to be replayed when the caller resends the call."""
         self._answer = answer
 
-    async def _ask_agent(self) -> ClaimDecision:
+    async def _request_claim(self) -> ClaimDecision:
         timeout_ms = self._order.timeout_ms + AGENT_MARGIN_MS
         async with (
             asyncio.timeout(timeout_ms / 1_000),
@@ -134,13 +135,15 @@
             response.raise_for_status()
             return _DECISION.decode(await response.read())
 
-    async def _tell_end(self) -> None:
-        """Tell the agent, as far as it can be reached.
+    async def _report_end(self) -> None:
+        """Report the end of the call to the agent, if it can be reached.
 
-        Unheard, the claim stays held until the window has passed: resends are then
-        told ``ran: unknown``, which is true.
+        If it cannot, the claim stays held until its window has passed. Resends are then
+        answered with ``ran: unknown``, which is correct.
         """
-        end = ClaimEnd(self._order.order_id, self._has_run, _to_kept(self._answer))
+        end = ClaimEnd(
+            self._order.order_id, self._has_run, _to_kept_answer(self._answer)
+        )
         try:
             async with (
                 asyncio.timeout(END_TIMEOUT_MS / 1_000),
@@ -154,21 +157,21 @@
             log_event("claim_end_not_told", level="WARNING", error=repr(error))
 
 
-def new_order_id() -> str:
-    """:returns: an id that no other order has"""
+def new_claim_request_id() -> str:
+    """:returns: a unique id for a request for a claim"""
     return uuid.uuid4().hex
 
 
-def _to_kept(answer: ServiceAnswer | None) -> KeptAnswer | None:
+def _to_kept_answer(answer: ServiceAnswer | None) -> KeptAnswer | None:
     if answer is None:
         return None
-    # The client library's header names are of a type that no codec takes.
+    # aiohttp's header names are a str subclass that msgspec does not encode.
     headers = tuple((str(name), value) for name, value in answer.headers)
     return KeptAnswer(answer.status, headers, answer.body)
 
 
-def _refuse_without_agent(error: BaseException) -> RequestError:
-    detail = f"the agent of this VM cannot be asked for a claim: {error!r}"
+def _build_agent_error(error: BaseException) -> RequestError:
+    detail = f"cannot request a claim from the agent of this VM: {error!r}"
     return RequestError(Failure(Reason.NO_QUORUM, Ran.NO, RETRY_AFTER_MS, detail))
 
 
@@ -176,5 +179,5 @@
     "CLAIM_END_PATH",
     "CLAIM_PATH",
     "ClaimedCall",
-    "new_order_id",
+    "new_claim_request_id",
 )
--- a/src/quetzaldeck/gateway/completions.py
+++ b/src/quetzaldeck/gateway/completions.py
@@ -1,4 +1,4 @@
-"""Handler of completion and chat calls."""
+"""Request handler for completion and chat calls."""
 
 from __future__ import annotations
 
@@ -45,7 +45,8 @@
     ) -> web.StreamResponse:
         """Serve one call.
 
-        :raises RequestError: if it is refused or fails before its first byte
+        :raises RequestError: if it is refused or fails; if its response was started,
+            the error has it
         """
         arrived_ms = self._state.clock.now_ms()
         headers = http_request.headers
@@ -55,7 +56,7 @@
         is_chat = http_request.path.endswith("/chat/completions")
         call = parse_call(body, self._state.settings.callers, is_chat=is_chat)
         fingerprint = xxhash.xxh3_64_intdigest(body)
-        # A request lives for minutes; its bytes would double what it holds.
+        # A request may run for minutes, and its raw body would double its memory.
         del body
         _check_allowed(customer, call)
         request = Request(
@@ -77,7 +78,7 @@
     async def _serve(
         self, http_request: web.Request, request: Request, call: CompletionCall
     ) -> web.StreamResponse:
-        left_ms = request.deadline_ms - self._state.clock.now_ms()
+        remaining_ms = request.deadline_ms - self._state.clock.now_ms()
         async with self._state.dispatch.open_ticket(request) as ticket:
             relay = Relay(self._state, ticket, call)
             if call.is_streamed:
@@ -86,15 +87,15 @@
                     self._state.settings.callers,
                     {REQUEST_ID_HEADER: request.request_id},
                 )
-                return await self._stream(writer, relay, request, call, left_ms)
+                return await self._stream(writer, relay, request, call, remaining_ms)
             try:
-                async with asyncio.timeout(left_ms / 1_000):
+                async with asyncio.timeout(remaining_ms / 1_000):
                     async with aclosing(relay.stream()) as texts:
                         async for _ in texts:
                             self._note_ttft(relay, request)
             except TimeoutError:
                 failure = Failure(Reason.DEADLINE_EXCEEDED)
-                raise RequestError(_state_ran(failure, relay)) from None
+                raise RequestError(_with_execution_state(failure, relay)) from None
         return json_response(
             build_answer(call, request.request_id, relay.answer),
             headers={REQUEST_ID_HEADER: request.request_id},
@@ -106,13 +107,13 @@
         relay: Relay,
         request: Request,
         call: CompletionCall,
-        left_ms: float,
+        remaining_ms: float,
     ) -> web.StreamResponse:
         request_id = request.request_id
         try:
             with self._state.in_flight.translate_abort(request_id):
                 async with (
-                    asyncio.timeout(left_ms / 1_000),
+                    asyncio.timeout(remaining_ms / 1_000),
                     writer,
                     aclosing(relay.stream()) as texts,
                 ):
@@ -129,7 +130,7 @@
         except Exception as error:
             log_event("internal_error", level="ERROR", error=repr(error))
             failure = Failure(Reason.INTERNAL_ERROR, Ran.UNKNOWN)
-        raise await writer.fail(_state_ran(failure, relay), request_id)
+        raise await writer.fail(_with_execution_state(failure, relay), request_id)
 
     def _note_ttft(self, relay: Relay, request: Request) -> None:
         if relay.has_noted_ttft:
@@ -141,8 +142,8 @@
         )
 
 
-def _state_ran(failure: Failure, relay: Relay) -> Failure:
-    """:returns: ``failure`` with what is known about the execution"""
+def _with_execution_state(failure: Failure, relay: Relay) -> Failure:
+    """:returns: ``failure``, with ``ran`` set to what is known of the execution"""
     if relay.answer.offset:
         return failure._replace(ran=Ran.YES)
     if relay.has_dispatched and failure.ran is Ran.NO:
--- a/src/quetzaldeck/gateway/crash_records.py
+++ b/src/quetzaldeck/gateway/crash_records.py
@@ -1,4 +1,4 @@
-"""Crash sightings between this gateway and the others, by records."""
+"""Exchanges crash sightings with the other gateways by means of records."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 
 class CrashRecords:
-    """Turns what the scheduler saw into records, and records into messages to it."""
+    """Converts crash sightings to records, and records to scheduler messages."""
 
     def __init__(self, dispatch: DispatchTask) -> None:
         self._dispatch = dispatch
 
     def take_drafts(self) -> list[RecordDraft]:
-        """:returns: records on the requests of which something new is known"""
+        """:returns: records for the requests with new sightings"""
         return [
             RecordDraft(
                 CRASH_KIND,
-                f"{news[0].fingerprint:x}",
-                encode_crash_record(news),
+                f"{sightings[0].fingerprint:x}",
+                encode_crash_record(sightings),
                 round(self._dispatch.poison_bounds.forget_ms),
                 is_urgent=True,
             )
-            for news in self._dispatch.pop_crash_sightings()
+            for sightings in self._dispatch.pop_crash_sightings()
         ]
 
     def handle(self, record: Record) -> None:
-        """Pass on what another VM saw."""
+        """Pass the sightings of another VM to the scheduler."""
         forget_ms = self._dispatch.poison_bounds.forget_ms
         travelled_ms = max(0.0, forget_ms - record.remaining_ms)
         fingerprint = int(record.key, _KEY_BASE)
--- a/src/quetzaldeck/gateway/customers.py
+++ b/src/quetzaldeck/gateway/customers.py
@@ -1,4 +1,4 @@
-"""Customers by API key."""
+"""Authenticates customers by their API keys."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def hash_key(api_key: str) -> str:
-    """:returns: the SHA-256 of an API key, as bundles carry it"""
+    """:returns: the SHA-256 of an API key, as stored in bundles"""
     return hashlib.sha256(api_key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 class CustomerIndex:
-    """Finds the customer of a key in constant time.
+    """Looks up customers by key in constant time.
 
     :param bundle: the bundle in force
     """
@@ -33,12 +33,12 @@
         }
 
     def authenticate(self, authorization: str | None) -> CustomerSpec:
-        """:returns: the customer that the header ``Authorization`` names
+        """:returns: the customer with the API key of the ``Authorization`` header
 
         :raises RequestError: if there is no such customer
         """
         if authorization is None or not authorization.lower().startswith(_SCHEME):
-            detail = "send the header 'Authorization: Bearer <API key>'"
+            detail = "the header 'Authorization: Bearer <API key>' is missing"
             raise RequestError(Failure(Reason.UNKNOWN_CUSTOMER, detail=detail))
         key_hash = hash_key(authorization[len(_SCHEME) :].strip())
         customer = self._by_hash.get(key_hash)
--- a/src/quetzaldeck/gateway/late_calls.py
+++ b/src/quetzaldeck/gateway/detached_calls.py
@@ -1,4 +1,4 @@
-"""Calls that go on after their caller is gone."""
+"""Calls that continue after their caller disconnected."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
     from quetzaldeck.gateway.in_flight import InFlightRequests
 
 
-class LateCalls:
-    """Holds calls that may not be repeated until they end.
+class DetachedCalls:
+    """Keeps non-repeatable calls running until they end.
 
-    A caller that hears nothing closes its connection and resends through another
-    VM. If the first call were cut off then, nobody would ever know its answer, and
-    the caller could neither be given it nor be told that it was not run.
+    A caller that gets no response in time disconnects and resends the call through
+    another VM. If the first call were aborted then, its answer would be lost: the
+    caller could neither receive it nor learn whether the call has run.
 
-    :param in_flight: counts the calls, so that a stop waits for them
+    :param in_flight: tracks the calls, so that a shutdown waits for them
     """
 
     def __init__(self, in_flight: InFlightRequests) -> None:
         self._in_flight = in_flight
         self._tasks: set[asyncio.Task[object]] = set()
 
-    async def __aenter__(self) -> LateCalls:
+    async def __aenter__(self) -> DetachedCalls:
         return self
 
     async def __aexit__(
@@ -40,8 +40,8 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def keep(self, request_id: str, task: asyncio.Task[object]) -> None:
-        """Let ``task`` go on without the caller of ``request_id``."""
+    def add(self, request_id: str, task: asyncio.Task[object]) -> None:
+        """Keep ``task`` running although the caller of ``request_id`` disconnected."""
         tracked = self._in_flight.track(f"{request_id}/late", task=task)
         tracked.__enter__()
         self._tasks.add(task)
@@ -55,4 +55,4 @@
         task.add_done_callback(note_end)
 
 
-__all__ = ("LateCalls",)
+__all__ = ("DetachedCalls",)
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -1,4 +1,4 @@
-"""The task that owns the scheduler; handlers talk to it by messages."""
+"""The task that owns the scheduler; handlers send it messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from quetzaldeck.decisions import AttemptFault, Rejection
 from quetzaldeck.decisions.health import HealthState
 from quetzaldeck.decisions.poison import Verdict
-from quetzaldeck.gateway.failing_upstreams import FailingUpstreams
+from quetzaldeck.gateway.degraded_upstreams import DegradedUpstreamsLog
 from quetzaldeck.gateway.messages import (
     ApplyBundle,
     EndAttempt,
@@ -40,15 +40,15 @@
 Reply = TypeVar("Reply")
 
 POLL_INTERVAL_MS = 20.0
-"""Pause between two looks at what waits, while anything does."""
+"""Interval between polls of the scheduler while requests are queued."""
 
 IDLE_INTERVAL_MS = 500.0
-"""Pause while nothing waits. Fifty looks a second at nothing were most of the processor
-time of a VM with a request a second."""
+"""Interval between polls while no request is queued. Fifty polls a second of an empty
+queue used most of the CPU time of a VM with one request a second."""
 
 
 class DispatchTask:
-    """Feeds messages to the scheduler and hands out its decisions."""
+    """Passes messages to the scheduler and delivers its decisions."""
 
     def __init__(
         self, scheduler: Scheduler, metrics: GatewayMetrics, clock: Clock
@@ -56,44 +56,44 @@
         self._scheduler = scheduler
         self._clock = clock
         self._metrics = metrics
-        self._failing = FailingUpstreams(scheduler)
+        self._degraded_log = DegradedUpstreamsLog(scheduler)
         self._mailbox: asyncio.Queue[Message] = asyncio.Queue()
-        self._news: list[Message] = []
+        self._deferred: list[Message] = []
         self._outboxes: dict[str, asyncio.Queue[Decision]] = {}
         self._crash_seen = asyncio.Event()
         self._load_changed = asyncio.Event()
 
     @property
     def n_queued(self) -> int:
-        """:returns: requests that wait"""
+        """:returns: number of queued requests"""
         return self._scheduler.n_queued
 
     @property
     def n_running(self) -> int:
-        """:returns: attempts that run"""
+        """:returns: number of running attempts"""
         return self._scheduler.n_running
 
     @property
     def poison_bounds(self) -> PoisonBounds:
-        """:returns: figures of the judgement on requests that crash engines"""
+        """:returns: parameters of the detection of requests that crash engines"""
         return self._scheduler.poison.bounds
 
     async def wait_for_crash(self) -> None:
-        """Wait until an attempt ended as it does when its engine crashes."""
+        """Wait until an attempt ended with a broken connection, as after a crash."""
         await self._crash_seen.wait()
         self._crash_seen.clear()
 
     async def wait_for_load_change(self) -> None:
-        """Wait until an attempt began, got its first token, or ended."""
+        """Wait until an attempt started, received its first token, or ended."""
         await self._load_changed.wait()
         self._load_changed.clear()
 
     def pop_crash_sightings(self) -> list[tuple[CrashSighting, ...]]:
-        """:returns: by request, what other VMs should know of it and crashes"""
+        """:returns: by request, crash sightings to be sent to the other VMs"""
         return self._scheduler.fleet.pop_crash_sightings()
 
     def list_own_loads(self) -> list[tuple[str, VmLoad]]:
-        """:returns: what of this VM is at each upstream"""
+        """:returns: load of this VM on each upstream"""
         now_ms = self._clock.now_ms()
         return [
             (state.spec.name, state.own_load(now_ms))
@@ -101,7 +101,7 @@
         ]
 
     def take_usage_updates(self) -> list[UsageUpdate]:
-        """:returns: what other VMs should know of limited customers"""
+        """:returns: usage of limited customers to be sent to the other VMs"""
         return self._scheduler.limits.take_updates(self._clock.now_ms())
 
     def send(self, message: Message) -> None:
@@ -109,20 +109,20 @@
         self._mailbox.put_nowait(message)
 
     def send_deferrable(self, message: Message) -> None:
-        """Put a message that changes nothing unless a request has to be placed.
+        """Add a message that has no effect unless a request has to be placed.
 
-        Load pattern: VMs tell each other what they send where, many messages a second
-        for each request that a VM serves itself. Waking the task for each of them would
-        look for decisions where there are none to make.
+        Load pattern: VMs send each other their loads, many messages a second for each
+        request that a VM serves itself. Waking the task for each of them would poll the
+        scheduler when there is nothing to decide.
 
-        So they lie until the next message or the next look, half a second at most, and
-        are handled before it. While requests wait for a place the task is woken: what
-        is told may be that there is room.
+        So they are deferred until the next message or the next poll, for half a second
+        at most, and are handled before it. While requests are queued the task is woken
+        at once, since the message may report free capacity.
         """
         if self._scheduler.n_queued:
             self._mailbox.put_nowait(message)
         else:
-            self._news.append(message)
+            self._deferred.append(message)
 
     def open_ticket(self, request: Request) -> Ticket:
         """:returns: the caller side of one request; a context manager"""
@@ -133,33 +133,33 @@
         while True:
             await self._receive()
             self._carry_out_decisions()
-            self._failing.look(self._clock.now_ms())
+            self._degraded_log.check(self._clock.now_ms())
             self._metrics.queued.set(self._scheduler.n_queued)
             self._metrics.running.set(self._scheduler.n_running)
 
     async def _receive(self) -> None:
-        """Handle what is in the mailbox; wait a little if it is empty.
+        """Handle all messages in the mailbox; wait for one if it is empty.
 
-        The wait is bounded so that expiries and reports that age are seen while
-        no message comes.
+        The wait is bounded so that expired requests and outdated reports are noticed
+        while no message arrives.
         """
         wait_ms = POLL_INTERVAL_MS if self._scheduler.n_queued else IDLE_INTERVAL_MS
         try:
             async with asyncio.timeout(wait_ms / 1_000):
                 message = await self._mailbox.get()
         except TimeoutError:
-            self._handle_news()
+            self._handle_deferred()
             return
-        self._handle_news()
+        self._handle_deferred()
         self._handle(message)
-        self.handle_waiting()
+        self.handle_pending()
 
-    def _handle_news(self) -> None:
-        news, self._news = self._news, []
-        for message in news:
+    def _handle_deferred(self) -> None:
+        deferred, self._deferred = self._deferred, []
+        for message in deferred:
             self._handle(message)
 
-    def handle_waiting(self) -> None:
+    def handle_pending(self) -> None:
         """Handle every message that is in the mailbox."""
         while not self._mailbox.empty():
             self._handle(self._mailbox.get_nowait())
@@ -184,14 +184,14 @@
             case ObserveIncarnations():
                 self._scheduler.fleet.observe_incarnations(message.incarnations)
             case ObserveLoad() | ObservePeerLoad() | ObservePaces():
-                self._take_load(message)
+                self._observe_load(message)
             case ObserveCache() | ObserveCrashes() | ObserveUsage():
-                self._take_news(message)
+                self._observe_update(message)
 
     def _note_progress(
         self, message: NoteFirstToken | NoteReserved | JudgeSilence
     ) -> None:
-        """Take how far a running attempt is."""
+        """Handle the progress of a running attempt."""
         match message:
             case NoteFirstToken():
                 self._scheduler.note_first_token(message.attempt_id)
@@ -204,8 +204,10 @@
                 )
                 _reply(message.reply, verdict)
 
-    def _take_load(self, message: ObserveLoad | ObservePeerLoad | ObservePaces) -> None:
-        """Take what an upstream or another VM tells of load."""
+    def _observe_load(
+        self, message: ObserveLoad | ObservePeerLoad | ObservePaces
+    ) -> None:
+        """Handle loads and paces reported by upstreams or other VMs."""
         match message:
             case ObserveLoad():
                 self._scheduler.fleet.observe_load(message.report)
@@ -214,8 +216,10 @@
             case ObservePaces():
                 self._scheduler.fleet.observe_paces(message.paces)
 
-    def _take_news(self, message: ObserveCache | ObserveCrashes | ObserveUsage) -> None:
-        """Take what engines and other VMs tell."""
+    def _observe_update(
+        self, message: ObserveCache | ObserveCrashes | ObserveUsage
+    ) -> None:
+        """Handle cache events, crash sightings and usage of other VMs."""
         match message:
             case ObserveCache():
                 self._scheduler.fleet.observe_cache(message.events)
@@ -243,7 +247,7 @@
         self._report_upstreams()
 
     def _report_upstreams(self) -> None:
-        """Set the gauges, at the pace of the exchange with the agent."""
+        """Set the gauges, as often as reports are exchanged with the agent."""
         metrics = self._metrics.upstreams
         n_by_state = self._scheduler.upstreams.count_health(self._clock.now_ms())
         for state in HealthState:
@@ -262,11 +266,11 @@
             self._load_changed.set()
 
     def _submit(self, message: Submit) -> None:
-        """Admit a request, after those before it have been placed where there is room.
+        """Admit a request after placing queued requests for which there is capacity.
 
-        Several requests arrive between two looks at the queue: a burst, or all that
-        came while the VM stood still. Counted as a queue before the last of them, they
-        would have it refused before idle upstreams.
+        Several requests may arrive between two polls: a burst, or everything that came
+        in while the VM was paused. If the earlier ones still counted as queued, the
+        last ones would be refused although upstreams are idle.
         """
         if self._scheduler.n_queued:
             self._carry_out_decisions()
@@ -285,7 +289,7 @@
 
 
 def _reply(future: asyncio.Future[Reply], reply: Reply) -> None:
-    """Answer a handler, unless its caller is gone and it no longer waits."""
+    """Reply to a handler, unless it was cancelled because its caller disconnected."""
     if not future.done():
         future.set_result(reply)
 
--- a/src/quetzaldeck/gateway/drain.py
+++ b/src/quetzaldeck/gateway/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of the data path."""
+"""Graceful shutdown of a gateway or an entry."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Phase(StrEnum):
-    """Where a gateway stands between its start and its end."""
+    """Phase in the life cycle of a gateway."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -24,14 +24,16 @@
 
 
 class Drain:
-    """Takes a gateway out of service without cutting off a request.
-
-    Leaving: not ready, but still taking work, for the balancer learns it with a
-    lag and goes on sending; a gateway that refused at once would turn callers
-    away whom another VM could serve. Draining: no new work; what is in progress
-    ends by itself, at the latest with its deadline. A second signal, or the bound
-    of the settings, cuts off what is left: each is counted, logged, and told to
-    its caller.
+    """Shuts a gateway down without aborting requests.
+
+    Leaving: the gateway is not ready, but still accepts requests, since the load
+    balancer notices this with a delay and continues to send them. If the gateway
+    refused at once, callers would be rejected that another VM could serve.
+
+    Draining: no new requests are accepted. Those in progress end on their own, at the
+    latest at their deadlines. A second signal, or the time limit of the settings,
+    aborts the remaining ones: each is counted and logged, and its caller receives an
+    error.
     """
 
     def __init__(
@@ -44,61 +46,61 @@
         self._settings = settings
         self._metrics = metrics
         self._phase = Phase.SERVING
-        self._must_cut_off = asyncio.Event()
-        self._n_cut_off = 0
+        self._must_abort = asyncio.Event()
+        self._n_aborted = 0
 
     @property
     def phase(self) -> Phase:
-        """:returns: where the gateway stands"""
+        """:returns: the current phase"""
         return self._phase
 
     @property
     def is_leaving(self) -> bool:
-        """:returns: whether the balancer shall send no more work"""
+        """:returns: whether the load balancer should stop sending requests"""
         return self._phase is not Phase.SERVING
 
     @property
     def refuses(self) -> bool:
-        """:returns: whether new work is refused"""
+        """:returns: whether new requests are refused"""
         return self._phase in (Phase.DRAINING, Phase.STOPPED)
 
     async def run(self) -> int:
-        """Drain.
+        """Shut down gracefully.
 
-        :returns: number of requests cut off
+        :returns: number of aborted requests
         """
         self._enter(Phase.LEAVING)
-        await self._wait_unless_cut_off(self._settings.balancer_lag_ms)
+        await self._wait_unless_aborted(self._settings.balancer_lag_ms)
         self._enter(Phase.DRAINING)
         finished = asyncio.ensure_future(self._in_flight.wait_empty())
-        cut = asyncio.ensure_future(self._must_cut_off.wait())
-        bound_ms = self._settings.max_drain_ms
+        aborted = asyncio.ensure_future(self._must_abort.wait())
+        max_drain_ms = self._settings.max_drain_ms
         await asyncio.wait(
-            {finished, cut},
-            timeout=bound_ms / 1_000 if bound_ms else None,
+            {finished, aborted},
+            timeout=max_drain_ms / 1_000 if max_drain_ms else None,
             return_when=asyncio.FIRST_COMPLETED,
         )
         if not finished.done():
-            self._cut_off_rest()
+            self._abort_remaining()
             await asyncio.wait({finished}, timeout=self._settings.farewell_ms / 1_000)
         finished.cancel()
-        cut.cancel()
+        aborted.cancel()
         self._enter(Phase.STOPPED)
-        return self._n_cut_off
+        return self._n_aborted
 
     def cut_off(self) -> None:
-        """Wait no longer: cut off what is still in progress."""
-        self._must_cut_off.set()
+        """Stop waiting and abort the requests that are still in progress."""
+        self._must_abort.set()
 
-    def _cut_off_rest(self) -> None:
-        request_ids = self._in_flight.cut_off()
-        self._n_cut_off = len(request_ids)
+    def _abort_remaining(self) -> None:
+        request_ids = self._in_flight.abort_all()
+        self._n_aborted = len(request_ids)
         self._metrics.cut_off.inc(len(request_ids))
         for request_id in request_ids:
             log_event("request_cut_off", level="ERROR", request=request_id)
 
-    async def _wait_unless_cut_off(self, duration_ms: float) -> None:
-        waiting = asyncio.ensure_future(self._must_cut_off.wait())
+    async def _wait_unless_aborted(self, duration_ms: float) -> None:
+        waiting = asyncio.ensure_future(self._must_abort.wait())
         await asyncio.wait({waiting}, timeout=duration_ms / 1_000)
         waiting.cancel()
 
--- a/src/quetzaldeck/gateway/errors.py
+++ b/src/quetzaldeck/gateway/errors.py
@@ -1,4 +1,4 @@
-"""How a request ends without an answer."""
+"""The error that ends a request without a complete answer."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class RequestError(Exception):
     """A request was refused or failed.
 
-    :param failure: what the caller is told
-    :param response: the response in which the caller was told already
+    :param failure: what is reported to the caller
+    :param response: the streamed response, if it was started and already ended
     """
 
     def __init__(
@@ -28,12 +28,12 @@
 
     @property
     def failure(self) -> Failure:
-        """:returns: what the caller is told"""
+        """:returns: what is reported to the caller"""
         return self._failure
 
     @property
     def response(self) -> web.StreamResponse | None:
-        """:returns: the response that ended with the failure, if one began"""
+        """:returns: the response that ended with the failure, if one was started"""
         return self._response
 
 
--- a/src/quetzaldeck/gateway/exchange_task.py
+++ b/src/quetzaldeck/gateway/exchange_task.py
@@ -1,4 +1,4 @@
-"""The task that exchanges reports with this VM's agent."""
+"""The task that exchanges reports with the agent of this VM."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
     from quetzaldeck.gateway.state import GatewayState
 
 EXCHANGE_TIMEOUT_MS = 2_000.0
-"""For an agent on the same VM that is due to answer within milliseconds: one that is
-busy is waited for."""
+"""Timeout of one exchange. The agent on the same VM responds within milliseconds, but
+may be busy."""
 EXCHANGE_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError)
 _VIEW_DECODER = msgspec.json.Decoder(AgentView)
 
 
 class ExchangeTask:
-    """Asks the agent for what is new; the agent has verified every bundle."""
+    """Gets updates from the agent, which has already verified every bundle."""
 
     def __init__(self, state: GatewayState, client: aiohttp.ClientSession) -> None:
         self._state = state
         self._client = client
         self._records = RecordExchange()
         self._crashes = CrashRecords(state.dispatch)
-        self._records.handle(CRASH_KIND, self._crashes.handle)
+        self._records.register_handler(CRASH_KIND, self._crashes.handle)
         self._usage = UsageRecords(state.dispatch)
-        self._records.handle(USAGE_KIND, self._usage.handle)
+        self._records.register_handler(USAGE_KIND, self._usage.handle)
 
     async def run(self) -> None:
-        """Exchange until cancelled: at an interval, and at once after a crash.
+        """Run exchanges until cancelled: at an interval, and at once after a crash.
 
-        Until the other VMs know of a crash, each may let the same request kill one
-        more engine.
+        Until the other VMs know of a crash, the same request may crash one more engine
+        on each of them.
         """
         interval_s = self._state.settings.exchange_interval_ms / 1_000
         while True:
@@ -57,16 +57,16 @@
                     await self._state.dispatch.wait_for_crash()
 
     async def exchange(self) -> None:
-        """Exchange once.
+        """Run one exchange.
 
-        :raises aiohttp.ClientError: or another error, if the agent is away
+        :raises aiohttp.ClientError: or another error, if the agent cannot be reached
         """
-        self._take(await self._ask())
+        self._process_view(await self._send_report())
 
-    async def _ask(self) -> AgentView:
+    async def _send_report(self) -> AgentView:
         self._records.put(self._crashes.take_drafts())
         self._records.put(self._usage.take_drafts())
-        query = self._records.query()
+        query = self._records.build_query()
         report = GatewayReport(
             self._state.owner.vm,
             self._state.owner.incarnation,
@@ -90,11 +90,11 @@
         control_bytes.labels("sent").inc(len(sent))
         control_bytes.labels("received").inc(len(received))
         view = _VIEW_DECODER.decode(received)
-        self._records.take(view, query)
+        self._records.process_view(view, query)
         return view
 
-    def _take(self, view: AgentView) -> None:
-        self._state.agent_heard_ms = self._state.clock.now_ms()
+    def _process_view(self, view: AgentView) -> None:
+        self._state.last_agent_response_ms = self._state.clock.now_ms()
         bundle = view.bundle
         if bundle is not None and bundle.version > self._state.bundle_version:
             self._state.apply_bundle(bundle)
--- a/src/quetzaldeck/gateway/group_reservation.py
+++ b/src/quetzaldeck/gateway/group_reservation.py
@@ -1,4 +1,4 @@
-"""Memory set aside on all members of a group, or on none."""
+"""Reserves memory on all members of a group of engines, or on none."""
 
 from __future__ import annotations
 
@@ -18,32 +18,33 @@
 
 
 class GroupReservation:
-    """Reserves all members or none; whatever happens, releases them on exit.
-
-    :param plan: members in canonical order, and what each holds
-    :param ask: asks a member for tokens; tells whether it has set them aside
-    :param release: hands a member over to what releases it, which outlives a handler
-        that is cancelled because its caller has gone
-    :param until_ms: monotonic time at which waiting is of no use any more
+    """Reserves memory on all members or none, and always releases it on exit.
+
+    :param plan: members in canonical order, and the tokens of each
+    :param request_memory: requests tokens of a member; returns whether it reserved them
+    :param release: queues the release of a member; it must outlive the handler, which
+        is cancelled when its caller disconnects
+    :param deadline_ms: monotonic time after which waiting is useless
+    :param bounds: limits on the waits for members
     """
 
     def __init__(
         self,
         plan: GroupPlan,
         *,
-        ask: Callable[[str, int], Awaitable[bool]],
+        request_memory: Callable[[str, int], Awaitable[bool]],
         release: Callable[[str], None],
         clock: Clock,
-        until_ms: float,
+        deadline_ms: float,
         bounds: GroupBounds | None = None,
     ) -> None:
         self._plan = plan
-        self._ask = ask
+        self._request_memory = request_memory
         self._release = release
         self._clock = clock
-        self._until_ms = until_ms
+        self._deadline_ms = deadline_ms
         self._bounds = bounds or GroupBounds()
-        self._n_asked = 0
+        self._n_requested = 0
 
     async def __aenter__(self) -> GroupReservation:
         try:
@@ -61,30 +62,33 @@
     ) -> None:
         self._release_all()
 
-    def has_asked(self, name: str) -> bool:
-        """:returns: whether a member was asked for memory"""
-        return name in self._plan.upstreams[: self._n_asked]
+    def has_requested(self, name: str) -> bool:
+        """:returns: whether memory was requested of a member"""
+        return name in self._plan.upstreams[: self._n_requested]
 
     async def _reserve_all(self) -> None:
-        """Reserve member after member, in the order that all VMs keep.
+        """Reserve the members one by one, in the same order on all VMs.
 
-        A VM that holds a member only ever waits for later ones, so two VMs cannot
-        wait for each other.
+        A VM that has reserved a member only waits for later members, so two VMs cannot
+        deadlock.
         """
         n_members = len(self._plan.upstreams)
-        left_ms = max(1.0, self._until_ms - self._clock.now_ms())
-        wait_ms = self._bounds.member_wait_ms(left_ms, n_members)
+        remaining_ms = max(1.0, self._deadline_ms - self._clock.now_ms())
+        wait_ms = self._bounds.member_wait_ms(remaining_ms, n_members)
         for name, n_tokens in zip(
             self._plan.upstreams, self._plan.reserved_tokens, strict=True
         ):
-            self._n_asked += 1
+            self._n_requested += 1
             await self._reserve(name, n_tokens, wait_ms)
 
     async def _reserve(self, name: str, n_tokens: int, wait_ms: float) -> None:
-        give_up_ms = self._clock.now_ms() + wait_ms
-        while not await self._ask(name, n_tokens):
-            if self._clock.now_ms() >= give_up_ms:
-                detail = f"{name}: no room for {n_tokens} tokens in {wait_ms:.0f} ms"
+        wait_until_ms = self._clock.now_ms() + wait_ms
+        while not await self._request_memory(name, n_tokens):
+            if self._clock.now_ms() >= wait_until_ms:
+                detail = (
+                    f"{name}: {n_tokens} tokens could not be reserved within "
+                    f"{wait_ms:.0f} ms"
+                )
                 raise UpstreamError(
                     AttemptFault.NO_ROOM,
                     detail,
@@ -95,7 +99,7 @@
             await asyncio.sleep(self._bounds.poll_interval_ms / 1_000)
 
     def _release_all(self) -> None:
-        for name in self._plan.upstreams[: self._n_asked]:
+        for name in self._plan.upstreams[: self._n_requested]:
             self._release(name)
 
 
--- a/src/quetzaldeck/gateway/group_run.py
+++ b/src/quetzaldeck/gateway/group_run.py
@@ -1,4 +1,4 @@
-"""One attempt that runs under a reservation, on one engine or on a group."""
+"""Runs one attempt under a reservation, on one engine or a group of engines."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
     from quetzaldeck.upstreams.connections import Connections
 
 LEASE_MARGIN_MS = 2_000.0
-"""Added to the time for which members hold memory: cut off by the lease, an answer that
-is nearly whole would be lost."""
+"""Added to the time for which members reserve memory, so that the end of the lease does
+not abort an answer that is almost complete."""
 
 
 class GroupRun:
-    """Reserves all members or none; whatever happens, releases them on exit.
+    """Reserves memory on all members or none, and always releases it on exit.
 
-    :param connections: adapters to the members
-    :param release: takes what is to be released
-    :param plan: members and what each holds
+    :param connections: adapters for the members
+    :param release: queues a release
+    :param plan: members of the group and the tokens of each
     :param attempt: the attempt as it would run on one engine
     """
 
@@ -51,13 +51,13 @@
         self._attempt = attempt
         self._clock = clock
         self._reservation_id = f"{attempt.attempt_id}.group"
-        self._until_ms = clock.now_ms() + attempt.timeout_ms
+        self._deadline_ms = clock.now_ms() + attempt.timeout_ms
         self._reservation = GroupReservation(
             plan,
-            ask=self._ask,
+            request_memory=self._request_memory,
             release=self._release_member,
             clock=clock,
-            until_ms=self._until_ms,
+            deadline_ms=self._deadline_ms,
             bounds=bounds,
         )
 
@@ -74,9 +74,9 @@
         await self._reservation.__aexit__(exc_type, exc, traceback)
 
     async def prefill(self) -> Attempt:
-        """Prefill all parts but the last, each after the ones before it.
+        """Prefill all prompt parts but the last, one after the other.
 
-        :returns: the attempt for the last member
+        :returns: the attempt to run on the last member
         :raises UpstreamError: if a member fails
         """
         texts = split_prompt(self._attempt.call.prompt, self._plan.prompt_tokens)
@@ -89,31 +89,31 @@
                 model=self._attempt.call.model,
                 adapter=self._attempt.call.adapter,
                 priority=self._attempt.priority,
-                timeout_ms=self._left_ms(),
+                timeout_ms=self._remaining_ms(),
                 text=text,
                 imports=imports,
             )
             async with self._connections.use_engine(name) as engine:
                 imports = (*imports, await engine.prefill(part))
         return self._attempt._replace(
-            timeout_ms=self._left_ms(),
+            timeout_ms=self._remaining_ms(),
             reservation_id=self._reservation_id,
             imports=imports,
             prompt_part=texts[-1] if imports else None,
         )
 
-    async def _ask(self, name: str, n_tokens: int) -> bool:
+    async def _request_memory(self, name: str, n_tokens: int) -> bool:
         reservation = Reservation(
             self._reservation_id,
             self._attempt.owner,
             n_tokens,
-            self._left_ms() + LEASE_MARGIN_MS,
+            self._remaining_ms() + LEASE_MARGIN_MS,
         )
         try:
             async with self._connections.use_engine(name) as engine:
                 return await engine.reserve(reservation)
         except UpstreamError as error:
-            # Memory was asked for and nothing else: the prompt has not left yet.
+            # Only memory was requested; the prompt has not been sent yet.
             raise UpstreamError(
                 error.fault,
                 str(error),
@@ -125,12 +125,12 @@
     def _release_member(self, name: str) -> None:
         self._release(Release(name, self._reservation_id))
 
-    def _left_ms(self) -> float:
-        return max(1.0, self._until_ms - self._clock.now_ms())
+    def _remaining_ms(self) -> float:
+        return max(1.0, self._deadline_ms - self._clock.now_ms())
 
 
 def split_prompt(prompt: str, prompt_tokens: Sequence[int]) -> list[str]:
-    """:returns: the prompt cut in proportion to the members' tokens"""
+    """:returns: the prompt split in proportion to the members' tokens"""
     total = sum(prompt_tokens)
     texts = []
     n_before = 0
--- a/src/quetzaldeck/gateway/in_flight.py
+++ b/src/quetzaldeck/gateway/in_flight.py
@@ -1,4 +1,4 @@
-"""The requests that a gateway serves now, and how they are cut off."""
+"""Requests in progress, and how a shutdown aborts them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     from collections.abc import Iterator
 
 
-class _Served:
+class _TrackedRequest:
     """One request in progress.
 
-    :param task: the task that serves it
+    :param task: the task that handles it
     """
 
     def __init__(self, task: asyncio.Task[object]) -> None:
@@ -25,76 +25,76 @@
 
 
 class InFlightRequests:
-    """Counts requests in progress, and ends them when a stop cannot wait."""
+    """Tracks requests in progress, and aborts them if a shutdown cannot wait."""
 
     def __init__(self) -> None:
-        self._served: dict[str, _Served] = {}
+        self._requests: dict[str, _TrackedRequest] = {}
         self._is_empty = asyncio.Event()
         self._is_empty.set()
 
     def __len__(self) -> int:
-        return len(self._served)
+        return len(self._requests)
 
     @contextmanager
     def track(
         self, request_id: str, *, task: asyncio.Task[object] | None = None
     ) -> Iterator[None]:
-        """Count a request while the context is open.
+        """Track a request while the context is open.
 
-        :param task: the task that serves it; the current one if not given
-        :raises RequestError: if it was cut off meanwhile
+        :param task: the task that handles it; the current one if not given
+        :raises RequestError: if it was aborted meanwhile
         """
         task = task or asyncio.current_task()
         assert task is not None
-        self._served[request_id] = _Served(task)
+        self._requests[request_id] = _TrackedRequest(task)
         self._is_empty.clear()
         try:
             with self.translate_abort(request_id):
                 yield
         finally:
-            del self._served[request_id]
-            if not self._served:
+            del self._requests[request_id]
+            if not self._requests:
                 self._is_empty.set()
 
     @contextmanager
     def translate_abort(self, request_id: str) -> Iterator[None]:
-        """Turn a cut-off into the failure that the caller is told.
+        """Turn the cancellation of an aborted request into a failure for its caller.
 
-        Contexts may stand inside each other: the innermost one raises, so that a
-        streamed answer ends with an error event and not just with its bytes. A
-        cancellation for any other reason goes through.
+        Contexts may be nested: the innermost one raises, so that a streamed answer ends
+        with an error event and is not just truncated. A cancellation for any other
+        reason is passed on.
 
-        :raises RequestError: if the request was cut off in this context
+        :raises RequestError: if the request was aborted in this context
         """
         try:
             yield
         except asyncio.CancelledError:
-            served = self._served.get(request_id)
-            if served is None or not served.is_aborted:
+            tracked = self._requests.get(request_id)
+            if tracked is None or not tracked.is_aborted:
                 raise
-            served.task.uncancel()
+            tracked.task.uncancel()
             failure = Failure(Reason.SHUTTING_DOWN, Ran.UNKNOWN, retry_after_ms=1_000)
             raise RequestError(failure) from None
 
     def is_aborted(self, request_id: str) -> bool:
-        """:returns: whether a stop ended the request"""
-        served = self._served.get(request_id)
-        return served is not None and served.is_aborted
+        """:returns: whether a shutdown aborted the request"""
+        tracked = self._requests.get(request_id)
+        return tracked is not None and tracked.is_aborted
 
     async def wait_empty(self) -> None:
         """Wait until no request is in progress."""
         await self._is_empty.wait()
 
-    def cut_off(self) -> tuple[str, ...]:
-        """End every request in progress; each caller is told.
+    def abort_all(self) -> tuple[str, ...]:
+        """Abort every request in progress; each caller receives an error.
 
-        :returns: ids of the requests cut off
+        :returns: ids of the aborted requests
         """
         request_ids = []
-        for request_id, served in self._served.items():
-            if not served.is_aborted:
-                served.is_aborted = True
-                served.task.cancel()
+        for request_id, tracked in self._requests.items():
+            if not tracked.is_aborted:
+                tracked.is_aborted = True
+                tracked.task.cancel()
                 request_ids.append(request_id)
         return tuple(request_ids)
 
--- a/src/quetzaldeck/gateway/messages.py
+++ b/src/quetzaldeck/gateway/messages.py
@@ -16,7 +16,7 @@
 
 
 class Submit(NamedTuple):
-    """Admit a request; decisions about it go to ``decisions``."""
+    """Admit a request; decisions on it are put into ``decisions``."""
 
     request: Request
     reply: asyncio.Future[Failure | None]
@@ -30,13 +30,13 @@
 
 
 class NoteReserved(NamedTuple):
-    """An attempt has the reservation that its dispatch asked for."""
+    """An attempt was granted the reservation that its dispatch needs."""
 
     attempt_id: str
 
 
 class JudgeSilence(NamedTuple):
-    """An attempt has said nothing for a while: is it to be left for another one?"""
+    """Ask whether to abandon an attempt that has been silent for ``silent_ms``."""
 
     attempt_id: str
     silent_ms: float
@@ -51,7 +51,7 @@
 
 
 class Withdraw(NamedTuple):
-    """Forget a request: its caller is gone or has its answer."""
+    """Remove a request: its caller disconnected or has received its answer."""
 
     request_id: str
 
@@ -63,7 +63,7 @@
 
 
 class Observe(NamedTuple):
-    """Load reports and leaving upstreams from the agent."""
+    """Load reports and leaving upstreams, as reported by the agent."""
 
     loads: tuple[LoadReport, ...]
     leaving: tuple[str, ...]
@@ -71,26 +71,26 @@
 
 
 class ObserveIncarnations(NamedTuple):
-    """By name, which of its starts each upstream says that this is."""
+    """The incarnation that each upstream reports, by name."""
 
     incarnations: tuple[tuple[str, str], ...]
 
 
 class ObserveLoad(NamedTuple):
-    """Load that an upstream told with an answer."""
+    """Load that an upstream reported in a response."""
 
     report: LoadReport
 
 
 class ObservePeerLoad(NamedTuple):
-    """What of another VM is at some upstreams."""
+    """Load of another VM on some upstreams."""
 
     vm: str
     loads: tuple[tuple[str, VmLoad], ...]
 
 
 class ObservePaces(NamedTuple):
-    """How many times longer than stated the work of some engines takes."""
+    """Slowdown of some engines, as a multiple of their configured times."""
 
     paces: tuple[tuple[str, float], ...]
 
@@ -109,7 +109,7 @@
 
 
 class ObserveCrashes(NamedTuple):
-    """What another VM saw of a request and engine crashes."""
+    """Crash sightings of another VM for a request."""
 
     sightings: tuple[CrashSighting, ...]
 
--- a/src/quetzaldeck/gateway/parse.py
+++ b/src/quetzaldeck/gateway/parse.py
@@ -1,4 +1,4 @@
-"""Callers' JSON bodies."""
+"""Parses the JSON bodies of completion and chat calls."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     from quetzaldeck.gateway.settings import CallerBounds
 
 MAX_NAME_LENGTH = 200
-"""Characters of a model's name; longer ones would only fill logs."""
-_OWN_FIELDS = frozenset(
+"""Maximum length of names, in characters, so that long ones do not fill the logs."""
+_KNOWN_FIELDS = frozenset(
     (
         "adapter",
         "max_completion_tokens",
@@ -61,22 +61,22 @@
 def parse_call(body: bytes, bounds: CallerBounds, *, is_chat: bool) -> CompletionCall:
     """Parse the body of a completion or chat call.
 
-    :raises RequestError: with the place of the first fault
+    :raises RequestError: if it is invalid, with the path of the first invalid field
     """
     try:
         raw = msgspec.json.decode(body, type=dict[str, Any])
-        of_type = _ChatFields if is_chat else _CompletionFields
-        fields: Any = msgspec.convert(raw, of_type)
+        field_types = _ChatFields if is_chat else _CompletionFields
+        fields: Any = msgspec.convert(raw, field_types)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise _malformed(str(error)) from error
+        raise _build_error(str(error)) from error
     required = "messages" if is_chat else "prompt"
     for name in ("model", required):
         if not fields.get(name):
-            raise _malformed(f"`{name}` is missing or empty - at `$.{name}`")
+            raise _build_error(f"`{name}` is missing or empty - at `$.{name}`")
     messages = tuple(_read_message(item) for item in fields.get("messages", ()))
     prompt = _read_prompt(fields, messages)
     if not prompt:
-        raise _malformed(f"`{required}` has no text - at `$.{required}`")
+        raise _build_error(f"`{required}` has no text - at `$.{required}`")
     return CompletionCall(
         model=fields["model"],
         prompt=prompt,
@@ -84,7 +84,7 @@
         messages=messages,
         adapter=fields.get("adapter", ""),
         is_streamed=fields.get("stream", False),
-        parameters={k: v for k, v in raw.items() if k not in _OWN_FIELDS},
+        parameters={k: v for k, v in raw.items() if k not in _KNOWN_FIELDS},
     )
 
 
@@ -108,14 +108,14 @@
         if value is None:
             continue
         if not 1 <= value <= bounds.max_output_tokens:
-            raise _malformed(
+            raise _build_error(
                 f"must be 1 to {bounds.max_output_tokens}, not {value} - at `$.{name}`"
             )
         return int(value)
     return bounds.default_output_tokens
 
 
-def _malformed(detail: str) -> RequestError:
+def _build_error(detail: str) -> RequestError:
     return RequestError(Failure(Reason.MALFORMED_REQUEST, detail=detail))
 
 
--- a/src/quetzaldeck/gateway/record_exchange.py
+++ b/src/quetzaldeck/gateway/record_exchange.py
@@ -1,4 +1,4 @@
-"""The gateway's side of the records that VMs spread: what to tell, what is new."""
+"""The gateway's side of the exchange of records with its agent."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RecordQuery(NamedTuple):
-    """What the next report says about records."""
+    """Drafts and cursor that the next report to the agent contains."""
 
     drafts: tuple[RecordDraft, ...]
     cursor: int
@@ -24,10 +24,10 @@
 
 
 class RecordExchange:
-    """Keeps drafts until the agent has them, and the place in the agent's records.
+    """Keeps drafts until the agent has them, and the cursor into the agent's records.
 
-    An exchange may fail after the agent took the drafts; they are then sent again,
-    and the later one replaces the earlier one.
+    An exchange may fail after the agent received the drafts. They are then sent again,
+    and the agent replaces the earlier ones.
     """
 
     def __init__(self) -> None:
@@ -36,24 +36,24 @@
         self._cursor = 0
         self._agent_incarnation = ""
 
-    def handle(self, kind: str, handler: RecordHandler) -> None:
-        """Have the records of other VMs of one kind passed to ``handler``."""
+    def register_handler(self, kind: str, handler: RecordHandler) -> None:
+        """Pass the records of one kind that other VMs publish to ``handler``."""
         self._handlers[kind] = handler
 
     def put(self, drafts: Iterable[RecordDraft]) -> None:
-        """Spread facts; a newer one of the same kind and key replaces the older."""
+        """Publish records; a newer one replaces the older one of its kind and key."""
         for draft in drafts:
             self._drafts[draft.kind, draft.key] = draft
 
-    def query(self) -> RecordQuery:
-        """:returns: what to put into the next report"""
+    def build_query(self) -> RecordQuery:
+        """:returns: drafts and cursor for the next report"""
         return RecordQuery(
             tuple(self._drafts.values()), self._cursor, self._agent_incarnation
         )
 
-    def take(self, view: AgentView, asked: RecordQuery) -> None:
-        """Take the answer to a report with ``asked``."""
-        for draft in asked.drafts:
+    def process_view(self, view: AgentView, sent: RecordQuery) -> None:
+        """Process the agent's response to a report that contained ``sent``."""
+        for draft in sent.drafts:
             key = (draft.kind, draft.key)
             if self._drafts.get(key) is draft:
                 del self._drafts[key]
--- a/src/quetzaldeck/gateway/relay.py
+++ b/src/quetzaldeck/gateway/relay.py
@@ -1,4 +1,4 @@
-"""The relay: attempts of one request until its answer is whole."""
+"""Runs the attempts of one request until its answer is complete."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.decisions import AttemptEnd, AttemptFault
-from quetzaldeck.gateway.answer import Answer, Drop
+from quetzaldeck.gateway.answer import Answer, DropReason
 from quetzaldeck.gateway.errors import RequestError
 from quetzaldeck.gateway.group_run import GroupRun
 from quetzaldeck.gateway.release_task import Release
@@ -25,10 +25,10 @@
 
 
 class Relay:
-    """Runs attempts and yields the answer's text, each character once.
+    """Runs attempts and yields the text of the answer, each character once.
 
     :param ticket: the admitted request
-    :param call: what the caller asked for
+    :param call: the caller's call
     """
 
     def __init__(
@@ -42,10 +42,11 @@
         self.has_noted_ttft = False
 
     async def stream(self) -> AsyncGenerator[str, None]:
-        """Yield the answer as it arrives; close it, also after an error.
+        """Yield the text of the answer as it arrives.
 
-        A reader that fails leaves a generator that nobody closes: the engine would
-        go on, and the group's memory stay taken, until the garbage is collected.
+        The consumer must close the generator, even after an error (``aclosing``).
+        Otherwise the engine would continue to run and the memory of the group would
+        stay reserved until the generator is garbage-collected.
 
         :raises RequestError: if the answer cannot be completed in time
         """
@@ -117,7 +118,7 @@
                     if chunk.cache_events is not None:
                         self._state.note_cache_events(chunk.cache_events)
                     text = self.answer.accept(chunk)
-                    if isinstance(text, Drop):
+                    if isinstance(text, DropReason):
                         self._note_drop(text)
                         continue
                     if is_first:
@@ -133,21 +134,21 @@
                 self._state.releases.send(Release(name, attempt.attempt_id))
 
     def _check_end(self) -> None:
-        """Check that the attempt gave the end of the answer.
+        """Check that the attempt completed the answer.
 
-        An engine may end its stream with a chunk missing; taken for a success, the
-        request would wait for a dispatch that never comes.
+        An engine may end its stream although a chunk is missing. If that counted as a
+        success, the request would wait for a dispatch that never comes.
 
-        :raises UpstreamError: if it did not
+        :raises UpstreamError: if the answer is incomplete
         """
         if self.answer.finish_reason is None:
-            detail = "the answer ended with a gap"
+            detail = "the stream ended with a chunk missing"
             raise UpstreamError(AttemptFault.BAD_ANSWER, detail)
 
-    def _note_drop(self, drop: Drop) -> None:
+    def _note_drop(self, drop: DropReason) -> None:
         self._state.metrics.dropped_chunks.labels(drop.value).inc()
-        if drop is Drop.GAP:
-            detail = "the answer has a gap"
+        if drop is DropReason.GAP:
+            detail = "a chunk is missing from the stream"
             raise UpstreamError(AttemptFault.BAD_ANSWER, detail)
 
     def _build_attempt(self, dispatch: Dispatch) -> Attempt:
--- a/src/quetzaldeck/gateway/release_task.py
+++ b/src/quetzaldeck/gateway/release_task.py
@@ -1,4 +1,4 @@
-"""The task that releases what abandoned attempts hold at engines."""
+"""The task that releases the allocations of abandoned attempts at engines."""
 
 from __future__ import annotations
 
@@ -15,22 +15,25 @@
     from quetzaldeck.telemetry import UpstreamMetrics
 
 RELEASE_TIMEOUT_MS = 1_000.0
-"""For an answer that is due in milliseconds; nobody waits for it."""
-FIRST_PAUSE_MS = 100.0
-N_TRIES = 6
-"""Tries with pauses that double from the first: six seconds in all, longer than an
-upstream takes to restart, which frees its memory as well."""
-REPEAT_PAUSE_MS = 2_000.0
-"""Less than the time for which memory may stay taken for nobody."""
+"""Timeout of one release. The response is due within milliseconds, and no request waits
+for it."""
+INITIAL_BACKOFF_MS = 100.0
+MAX_TRIES = 6
+"""Maximum number of tries. The backoff doubles after each: six seconds in all, which is
+longer than an upstream takes to restart, and a restart frees its memory as well."""
+REPEAT_INTERVAL_MS = 2_000.0
+"""Shorter than the time for which unused memory may stay allocated."""
 STOP_TIMEOUT_MS = 1_000.0
-"""For releases that are under way when the program stops; leases free the rest."""
+"""Timeout of running releases at shutdown; the rest is freed by the end of leases."""
 
 
 class Release(NamedTuple):
-    """Cancel an id at an engine: a sequence or a reservation with its exports.
+    """Cancel an id at an engine: a sequence, or a reservation with its exports.
 
-    :param repeat_ms: release again for this long: an order that was not answered may
-        be carried out after the release that takes it back
+    :param upstream: name of the engine
+    :param held_id: id of the allocation
+    :param repeat_ms: time for which the release is repeated, since a request that got
+        no response may be executed after the release that should undo it
     """
 
     upstream: str
@@ -39,13 +42,14 @@
 
 
 class ReleaseTask:
-    """Cancels ids at engines, again if an engine does not answer.
+    """Cancels ids at engines, and retries if an engine does not respond.
 
-    Closing a connection may not reach an engine behind a silent flow, and a caller
-    that has gone takes its handler with it. The memory would stay taken until the
-    engine's own bound ends it.
+    Closing a connection is not enough: the engine may not notice it if the network
+    drops the packets. The handler cannot release either, since it is cancelled when its
+    caller disconnects. The memory would stay allocated until the engine's own timeout.
 
     :param cancel: cancels one id
+    :param metrics: counts the releases
     """
 
     def __init__(
@@ -57,11 +61,11 @@
         self._running: set[asyncio.Task[None]] = set()
 
     def send(self, release: Release) -> None:
-        """Put a release into the task's mailbox."""
+        """Add a release to the task's mailbox."""
         self._mailbox.put_nowait(release)
 
     async def run(self) -> None:
-        """Release until cancelled, then finish what was asked for before."""
+        """Handle releases until cancelled, then finish those already requested."""
         try:
             while True:
                 self._start(await self._mailbox.get())
@@ -78,19 +82,19 @@
 
     async def _release(self, release: Release) -> None:
         await self._release_once(release)
-        n_repeats = math.ceil(release.repeat_ms / REPEAT_PAUSE_MS)
+        n_repeats = math.ceil(release.repeat_ms / REPEAT_INTERVAL_MS)
         for _ in range(n_repeats):
-            await asyncio.sleep(REPEAT_PAUSE_MS / 1_000)
+            await asyncio.sleep(REPEAT_INTERVAL_MS / 1_000)
             await self._try(release)
 
     async def _release_once(self, release: Release) -> None:
-        pause_ms = FIRST_PAUSE_MS
-        for _ in range(N_TRIES):
+        backoff_ms = INITIAL_BACKOFF_MS
+        for _ in range(MAX_TRIES):
             if await self._try(release):
                 self._metrics.releases.labels("done").inc()
                 return
-            await asyncio.sleep(pause_ms / 1_000)
-            pause_ms *= 2
+            await asyncio.sleep(backoff_ms / 1_000)
+            backoff_ms *= 2
         self._metrics.releases.labels("given_up").inc()
         log_event("release_given_up", level="WARNING", **release._asdict())
 
--- a/src/quetzaldeck/gateway/request_headers.py
+++ b/src/quetzaldeck/gateway/request_headers.py
@@ -1,4 +1,4 @@
-"""Headers by which callers state deadline, priority and idempotency key."""
+"""Reads deadline, priority and idempotency key from the headers of a request."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 PRIORITY_HEADER = "X-Priority"
 KEY_HEADER = "Idempotency-Key"
 MAX_DEADLINE_MS = 24 * 3_600_000
-"""A day: no answer takes so long, and larger numbers overflow somewhere."""
+"""One day: no answer takes that long, and much larger numbers may cause overflows."""
 MAX_PRIORITY = 9
-"""Least urgent one that callers may name."""
+"""Lowest priority that callers may set."""
 MAX_DIGITS = 12
-"""Longest number that is looked at: a thousand years of seconds in milliseconds."""
+"""Maximum length of a number that is parsed; 12 digits of milliseconds are 31 years."""
 MAX_KEY_LENGTH = 200
-"""Characters; several times that of a UUID with a prefix."""
+"""In characters; several times the length of a UUID with a prefix."""
 
 
 def read_deadline_ms(headers: Mapping[str, str], default_ms: int) -> int:
-    """:returns: time that the caller gives the request, in milliseconds
+    """:returns: time that the caller allows for the request, in milliseconds
 
-    :raises RequestError: if the header is no number in range
+    :raises RequestError: if the header is not a number in range
     """
     return _read_int(headers, DEADLINE_HEADER, 1, MAX_DEADLINE_MS, default_ms)
 
 
 def read_priority(headers: Mapping[str, str], customer: CustomerSpec) -> int:
-    """:returns: priority of the request; a caller may lower its own, not raise it
+    """:returns: priority of the request; callers may lower it, but not raise it
 
-    :raises RequestError: if the header is no number in range
+    :raises RequestError: if the header is not a number in range
     """
     asked = _read_int(headers, PRIORITY_HEADER, 0, MAX_PRIORITY, customer.priority)
     return max(asked, customer.priority)
@@ -49,20 +49,20 @@
     """
     key = headers.get(KEY_HEADER, "")
     if len(key) > MAX_KEY_LENGTH:
-        detail = f"{KEY_HEADER} is over {MAX_KEY_LENGTH} characters"
+        detail = f"{KEY_HEADER} is longer than {MAX_KEY_LENGTH} characters"
         raise RequestError(Failure(Reason.MALFORMED_REQUEST, detail=detail))
     return key
 
 
 def _read_int(
-    headers: Mapping[str, str], name: str, least: int, most: int, default: int
+    headers: Mapping[str, str], name: str, minimum: int, maximum: int, default: int
 ) -> int:
     text = headers.get(name)
     if text is None:
         return default
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS
-    if not is_number or not least <= int(text) <= most:
-        detail = f"{name} must be a whole number from {least} to {most}"
+    if not is_number or not minimum <= int(text) <= maximum:
+        detail = f"{name} must be an integer from {minimum} to {maximum}"
         raise RequestError(Failure(Reason.MALFORMED_REQUEST, detail=detail))
     return int(text)
 
--- a/src/quetzaldeck/gateway/responses.py
+++ b/src/quetzaldeck/gateway/responses.py
@@ -1,4 +1,4 @@
-"""What callers receive: OpenAI-compatible bodies, events and errors."""
+"""Builds the responses to callers: OpenAI-compatible bodies, chunks and errors."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def error_response(failure: Failure, request_id: str) -> web.Response:
-    """:returns: the response for a refusal or failure"""
+    """:returns: the HTTP response for a refusal or failure"""
     headers = {REQUEST_ID_HEADER: request_id}
     effective_retry_after_ms = failure.effective_retry_after_ms
     if effective_retry_after_ms is not None:
@@ -34,7 +34,7 @@
 def build_chunk(
     call: CompletionCall, request_id: str, text: str, finish_reason: str | None
 ) -> dict[str, Any]:
-    """:returns: one streamed chunk of an answer"""
+    """:returns: the body of one chunk of a streamed answer"""
     if call.is_chat:
         choice: dict[str, Any] = {"delta": {"content": text}}
     else:
@@ -50,7 +50,7 @@
 def build_answer(
     call: CompletionCall, request_id: str, answer: Answer
 ) -> dict[str, Any]:
-    """:returns: the whole answer of a call that is not streamed"""
+    """:returns: the response body of a call that is not streamed"""
     if call.is_chat:
         choice: dict[str, Any] = {
             "message": {"role": "assistant", "content": answer.text}
--- a/src/quetzaldeck/gateway/service.py
+++ b/src/quetzaldeck/gateway/service.py
@@ -1,4 +1,4 @@
-"""The gateway's HTTP side."""
+"""The gateway's HTTP service."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from quetzaldeck.telemetry import log_event
 
 RETRY_AFTER_MS = 1_000
-"""When to come back after a fault of this VM itself; the next call reaches another."""
+"""Wait before a retry if this VM shuts down; the retry is sent to another VM."""
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -39,7 +39,7 @@
 
 
 class GatewayService(HttpServiceBase):
-    """The data path of one VM."""
+    """Serves the requests of callers on one VM."""
 
     def __init__(
         self, settings: GatewaySettings, *, clock: Clock | None = None, **kwargs: Any
@@ -54,12 +54,12 @@
             clock,
             request_ms=settings.callers.request_head_ms,
             read_ms=settings.callers.write_idle_ms,
-            on_break=self._note_stall,
+            on_break=self._note_broken_connection,
         )
 
     @property
     def session(self) -> GatewaySession:
-        """:returns: the run that the service serves"""
+        """:returns: the session that handles the requests"""
         return self._session
 
     async def open(self) -> web.Application:
@@ -86,17 +86,17 @@
         return application
 
     async def drain(self) -> int:
-        """Go out of service; see :class:`quetzaldeck.gateway.drain.Drain`."""
-        n_cut_off = await self._session.state.drain.run()
-        await self._session.tell_agent()
-        return n_cut_off
+        """Shut down gracefully; see :class:`quetzaldeck.gateway.drain.Drain`."""
+        n_aborted = await self._session.state.drain.run()
+        await self._session.report_to_agent()
+        return n_aborted
 
     def cut_off(self) -> None:
-        """Cut off what is still in progress."""
+        """Abort the requests that are still in progress."""
         self._session.state.drain.cut_off()
 
     async def close(self) -> None:
-        """End the session."""
+        """Close the session."""
         if self._guard_task is not None:
             self._guard_task.cancel()
         await self._session.__aexit__(None, None, None)
@@ -111,7 +111,7 @@
     def _guard(
         self, kind: str, handler: Handler
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
-        """:returns: ``handler`` with errors turned into the one error shape"""
+        """:returns: ``handler``, with errors turned into JSON error responses"""
 
         async def serve(request: web.Request) -> web.StreamResponse:
             request_id = uuid.uuid4().hex
@@ -155,15 +155,15 @@
         return response
 
     def _close_if_leaving(self, response: web.StreamResponse) -> None:
-        """Let the balancer move its connection to another VM.
+        """Close the connection, so that the load balancer opens one to another VM.
 
-        A connection that stays open would carry the next request to a gateway
-        that no longer takes work.
+        If it stayed open, the next request on it would reach a gateway that no longer
+        accepts requests.
         """
         if self._session.state.drain.is_leaving and not response.prepared:
             response.force_close()
 
-    def _note_stall(self, stall: Stall) -> None:
+    def _note_broken_connection(self, stall: Stall) -> None:
         self._session.metrics.connections_broken.labels(stall.value).inc()
         log_event("connection_broken", why=stall.value)
 
--- a/src/quetzaldeck/gateway/service_path.py
+++ b/src/quetzaldeck/gateway/service_path.py
@@ -1,4 +1,4 @@
-"""Paths of plain services' calls, as the upstream and as the bundle see them."""
+"""Paths of calls of plain services: prefix removal and non-repeatable patterns."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def strip_prefix(service: ServiceSpec, raw_path: str) -> str:
-    """:returns: the path below the service's prefix, with its query
+    """:returns: the path without the service's prefix, with the query string
 
-    :param raw_path: path and query as they came, still percent-encoded
+    :param raw_path: path and query string as received, still percent-encoded
     :raises RequestError: if the prefix itself is percent-encoded
     """
     if not raw_path.startswith(service.prefix):
-        detail = f"write the prefix {service.prefix} without percent-encoding"
+        detail = f"the prefix {service.prefix} must not be percent-encoded"
         raise RequestError(Failure(Reason.MALFORMED_REQUEST, detail=detail))
     return raw_path[len(service.prefix) :]
 
@@ -29,12 +29,12 @@
 def may_repeat(service: ServiceSpec, method: str, path: str) -> bool:
     """:returns: whether a call of ``service`` may run more than once
 
-    One path can be written in many ways (``/%62ookings``, ``//bookings``,
-    ``/x/../bookings``), and the service may take them all for the same. Matched in
-    one way only, a booking written in another would be retried and run twice. So
-    one match in any form is enough.
+    The same path can be written in many ways (``/%62ookings``, ``//bookings``,
+    ``/x/../bookings``), which the service may treat as equal. If only one form were
+    matched, a booking written in another form could be retried and run twice. So a
+    match of any form makes the call non-repeatable.
 
-    :param path: path below the prefix, with its query
+    :param path: path without the prefix, with the query string
     """
     forms = _list_forms(path.partition("?")[0])
     return not any(
--- a/src/quetzaldeck/gateway/services.py
+++ b/src/quetzaldeck/gateway/services.py
@@ -1,4 +1,4 @@
-"""Handler of plain services."""
+"""Request handler for calls of plain services."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from quetzaldeck.decisions import AttemptEnd, Request
 from quetzaldeck.exchange.claim_messages import ClaimOrder
 from quetzaldeck.gateway.body import read_body
-from quetzaldeck.gateway.claimed_call import ClaimedCall, new_order_id
+from quetzaldeck.gateway.claimed_call import ClaimedCall, new_claim_request_id
 from quetzaldeck.gateway.errors import RequestError
 from quetzaldeck.gateway.request_headers import read_deadline_ms, read_idempotency_key
 from quetzaldeck.gateway.responses import REQUEST_ID_HEADER
@@ -28,7 +28,7 @@
     from quetzaldeck.gateway.ticket import Ticket
     from quetzaldeck.upstreams import ServiceAnswer
 
-_NOT_PASSED_ON = HOP_BY_HOP | {"authorization", REQUEST_ID_HEADER.lower()}
+_NOT_FORWARDED = HOP_BY_HOP | {"authorization", REQUEST_ID_HEADER.lower()}
 
 
 class ServiceHandler:
@@ -57,8 +57,11 @@
             raise RequestError(Failure(Reason.KEY_REQUIRED))
         deadline_ms = arrived_ms + read_deadline_ms(headers, service.deadline_ms)
         body = await read_body(http_request, self._state.settings.callers)
-        passed_on = (*_pass_on(http_request), (REQUEST_ID_HEADER, request_id))
-        call = ServiceCall(http_request.method, path, passed_on, body)
+        forwarded_headers = (
+            *_list_forwarded_headers(http_request),
+            (REQUEST_ID_HEADER, request_id),
+        )
+        call = ServiceCall(http_request.method, path, forwarded_headers, body)
         request = Request(
             request_id=request_id,
             customer=customer.name,
@@ -92,9 +95,9 @@
     async def _serve_once(
         self, request: Request, call: ServiceCall, key: str
     ) -> ServiceAnswer:
-        """Serve a call that may not be repeated, or relay its earlier answer."""
+        """Serve a call that may not be repeated, or replay its earlier answer."""
         order = ClaimOrder(
-            new_order_id(),
+            new_claim_request_id(),
             request.customer,
             key,
             _digest(request.service, call),
@@ -107,7 +110,7 @@
         except asyncio.CancelledError:
             is_aborted = self._state.in_flight.is_aborted(request.request_id)
             if claimed.has_run and not is_aborted:
-                self._state.late_calls.keep(request.request_id, running)
+                self._state.detached_calls.add(request.request_id, running)
             else:
                 running.cancel()
                 await asyncio.wait({running})
@@ -120,17 +123,17 @@
             if claimed.answer is not None:
                 return claimed.answer
             answer = await self._serve(request, call, claimed)
-            claimed.keep(answer)
+            claimed.store_answer(answer)
             return answer
 
     async def _serve(
         self, request: Request, call: ServiceCall, claimed: ClaimedCall | None = None
     ) -> ServiceAnswer:
-        left_ms = request.deadline_ms - self._state.clock.now_ms()
+        remaining_ms = request.deadline_ms - self._state.clock.now_ms()
         dispatch: Dispatch | None = None
         try:
             async with (
-                asyncio.timeout(left_ms / 1_000),
+                asyncio.timeout(remaining_ms / 1_000),
                 self._state.dispatch.open_ticket(request) as ticket,
             ):
                 while True:
@@ -150,12 +153,12 @@
         claimed: ClaimedCall | None,
     ) -> ServiceAnswer | None:
         name = dispatch.upstreams[0]
-        left_ms = ticket.request.deadline_ms - self._state.clock.now_ms()
+        remaining_ms = ticket.request.deadline_ms - self._state.clock.now_ms()
         if claimed is not None:
             claimed.begin_dispatch()
         try:
             async with self._state.connections.use_service(name) as upstream:
-                answer = await upstream.call(call, left_ms)
+                answer = await upstream.call(call, remaining_ms)
         except UpstreamError as error:
             if claimed is not None and not error.may_have_run:
                 claimed.undo_dispatch()
@@ -171,16 +174,16 @@
 
 
 def _digest(service: str, call: ServiceCall) -> str:
-    """:returns: digest by which a key that is used for another call is found"""
+    """:returns: digest of a call, to detect the reuse of its key for another call"""
     head = f"{service} {call.method} {call.path}\n".encode()
     return hashlib.blake2b(head + call.body, digest_size=16).hexdigest()
 
 
-def _pass_on(http_request: web.Request) -> tuple[tuple[str, str], ...]:
+def _list_forwarded_headers(http_request: web.Request) -> tuple[tuple[str, str], ...]:
     return tuple(
         (name, value)
         for name, value in http_request.headers.items()
-        if name.lower() not in _NOT_PASSED_ON
+        if name.lower() not in _NOT_FORWARDED
     )
 
 
--- a/src/quetzaldeck/gateway/session.py
+++ b/src/quetzaldeck/gateway/session.py
@@ -1,4 +1,4 @@
-"""One run of the gateway: it owns the tasks and the connections."""
+"""The session of a gateway, which owns its tasks and connections."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class GatewaySession(SessionBase[GatewayState]):
-    """Builds the scheduler from the settings and runs the gateway's tasks."""
+    """Creates the scheduler from the settings and runs the gateway's tasks."""
 
     def __init__(self, settings: GatewaySettings, clock: Clock) -> None:
         super().__init__(clock)
         self._settings = settings
 
     async def open(self) -> None:
-        """Build the state and start the tasks; see the base class."""
+        """Create the state and start the tasks; see :meth:`SessionBase.open`."""
         client = await self._stack.enter_async_context(aiohttp.ClientSession())
         connections = await self._stack.enter_async_context(self._build_connections())
 
@@ -57,10 +57,10 @@
         await self._stack.enter_async_context(
             run_tasks(dispatch.run(), self._exchange.run(), releases.run())
         )
-        await self._stack.enter_async_context(self._state.late_calls)
+        await self._stack.enter_async_context(self._state.detached_calls)
 
-    async def tell_agent(self) -> None:
-        """Exchange with the agent now, e.g. to say that the gateway has stopped."""
+    async def report_to_agent(self) -> None:
+        """Send a report to the agent now, e.g. that the gateway has stopped."""
         try:
             await self._exchange.exchange()
         except EXCHANGE_ERRORS as error:
--- a/src/quetzaldeck/gateway/session_base.py
+++ b/src/quetzaldeck/gateway/session_base.py
@@ -1,4 +1,4 @@
-"""What a run of a gateway and of an entry have in common."""
+"""Base class of the sessions of the gateway and the entry."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class SessionBase(ABC, Generic[StateT]):
-    """One run of a data path: it owns the tasks and the connections.
+    """Owns the tasks and connections of a gateway or an entry while it runs.
 
-    A subclass opens them in :meth:`open` on the stack, which closes them in turn.
+    A subclass enters them on the exit stack in :meth:`open`; the stack closes them in
+    reverse order.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -30,9 +31,9 @@
 
     @property
     def state(self) -> StateT:
-        """:returns: what handlers share
+        """:returns: the state that the handlers share
 
-        :raises RuntimeError: before the session is entered
+        :raises RuntimeError: if the session has not been entered
         """
         if self._state is None:
             msg = f"the {type(self).__name__} is not open; enter it first"
@@ -53,7 +54,7 @@
 
     @abstractmethod
     async def open(self) -> None:
-        """Build the state and start the tasks."""
+        """Create the state and start the tasks."""
 
 
 __all__ = ("SessionBase",)
--- a/src/quetzaldeck/gateway/state.py
+++ b/src/quetzaldeck/gateway/state.py
@@ -1,4 +1,4 @@
-"""What all handlers of one gateway share."""
+"""The state that all request handlers of a gateway share."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from quetzaldeck.decisions.placement import CacheCursor
 from quetzaldeck.gateway.customers import CustomerIndex
+from quetzaldeck.gateway.detached_calls import DetachedCalls
 from quetzaldeck.gateway.drain import Drain
 from quetzaldeck.gateway.errors import RequestError
 from quetzaldeck.gateway.in_flight import InFlightRequests
-from quetzaldeck.gateway.late_calls import LateCalls
 from quetzaldeck.gateway.messages import ApplyBundle, ObserveCache
 from quetzaldeck.outcomes import Failure, Reason
 
@@ -28,7 +28,7 @@
 
 
 class GatewayState:
-    """The bundle in force and the adapters to its upstreams."""
+    """The bundle in force, the adapters for its upstreams, and the gateway's tasks."""
 
     def __init__(
         self,
@@ -51,24 +51,24 @@
         self.releases = releases
         self.agent_client = agent_client
         self.in_flight = InFlightRequests()
-        self.late_calls = LateCalls(self.in_flight)
+        self.detached_calls = DetachedCalls(self.in_flight)
         metrics.in_flight.set_function(self.in_flight.__len__)
         self.drain = Drain(self.in_flight, settings.shutdown, metrics)
-        self.agent_heard_ms: float | None = None
+        self.last_agent_response_ms: float | None = None
         self._cache_cursors: dict[str, CacheCursor] = {}
         self._bundle: Bundle | None = None
         self._customers: CustomerIndex | None = None
 
     @property
     def bundle_version(self) -> int:
-        """:returns: version in force; 0 if there is none"""
+        """:returns: version of the bundle in force; 0 if there is none"""
         return 0 if self._bundle is None else self._bundle.version
 
     @property
     def bundle(self) -> Bundle:
         """:returns: the bundle in force
 
-        :raises RequestError: if there is none or its validity has ended
+        :raises RequestError: if there is none or it has expired
         """
         if self._bundle is None:
             raise RequestError(Failure(Reason.NO_BUNDLE, retry_after_ms=1_000))
@@ -87,17 +87,17 @@
         return self._customers
 
     def cache_cursor(self, upstream: str) -> CacheCursor:
-        """:returns: the cache events of an engine that are known"""
+        """:returns: the position up to which cache events of an engine are known"""
         return self._cache_cursors.get(upstream, CacheCursor())
 
     def note_cache_events(self, events: CacheEvents) -> None:
-        """Pass cache events on that came with an answer."""
+        """Pass the cache events of a response to the scheduler."""
         cursor = self.cache_cursor(events.upstream)
         self._cache_cursors[events.upstream] = cursor.after(events)
         self.dispatch.send(ObserveCache(events))
 
     def apply_bundle(self, bundle: Bundle) -> None:
-        """Put a newer bundle in force for requests that arrive from now on."""
+        """Put a newer bundle in force for new requests."""
         self._bundle = bundle
         self._customers = CustomerIndex(bundle)
         self.connections.apply_specs(bundle.upstreams)
--- a/src/quetzaldeck/gateway/status.py
+++ b/src/quetzaldeck/gateway/status.py
@@ -1,4 +1,4 @@
-"""What a gateway says about itself at ``GET /v1/status``."""
+"""The status of a gateway, served at ``GET /v1/status``."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class GatewayStatus(TypedDict):
-    """State of one gateway.
+    """Status of one gateway.
 
-    ``agent_silent_ms`` is the time since the agent last answered, ``None`` if it
-    never did.
+    ``agent_silent_ms`` is the time since the last response of the agent; ``None`` if
+    there was none.
     """
 
     program: str
@@ -31,8 +31,8 @@
 
 
 def build_status(state: GatewayState) -> GatewayStatus:
-    """:returns: the gateway's state now"""
-    heard_ms = state.agent_heard_ms
+    """:returns: the gateway's current status"""
+    response_ms = state.last_agent_response_ms
     return {
         "program": "gateway",
         "version": __version__,
@@ -45,8 +45,8 @@
         "n_queued": state.dispatch.n_queued,
         "n_running": state.dispatch.n_running,
         "agent_silent_ms": None
-        if heard_ms is None
-        else state.clock.now_ms() - heard_ms,
+        if response_ms is None
+        else state.clock.now_ms() - response_ms,
     }
 
 
--- a/src/quetzaldeck/gateway/stream_writer.py
+++ b/src/quetzaldeck/gateway/stream_writer.py
@@ -1,4 +1,4 @@
-"""Writes a streamed answer: never silent for long, never a false end."""
+"""Writes a streamed answer, with keep-alives and explicit errors."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 
 
 class StreamWriter:
-    """Sends events to a caller; while open, keeps the stream from going silent.
+    """Sends events to a caller, and keep-alives while there are none.
 
-    The response begins with the first event, or with a comment after the longest
-    silence allowed: until then a refusal still has its own HTTP status.
+    The response starts with the first event, or with a keep-alive comment after the
+    maximum silence. Until then a refusal can still set the HTTP status.
 
-    :param bounds: longest silence, and longest pause of the reader
+    :param http_request: the caller's request
+    :param bounds: maximum silence, and the timeout for slow readers
     :param headers: headers of the response
     """
 
@@ -63,15 +64,15 @@
     async def send(self, data: bytes) -> None:
         """Send one event.
 
-        :raises RequestError: if the reader takes nothing for too long
+        :raises RequestError: if the caller disconnected or does not read in time
         """
         self._has_sent = True
         await self._write(encode_event(data))
 
     async def finish(self) -> web.StreamResponse:
-        """End a whole answer.
+        """End a complete answer.
 
-        :returns: the response, ended
+        :returns: the finished response
         """
         await self._write(encode_event(DONE))
         await self._response.write_eof()
@@ -80,11 +81,11 @@
     async def fail(self, failure: Failure, request_id: str) -> RequestError:
         """End an answer that cannot be completed.
 
-        Once the stream began its status is spent: the caller is told by an error
-        event, without which the bytes so far would look like a whole answer. A
-        caller that takes nothing any more gets its connection broken instead.
+        Once the response has started, its status can no longer change. So the caller
+        receives an error event, without which a truncated answer would look complete.
+        If the caller no longer reads, its connection is aborted instead.
 
-        :returns: the error to raise, with the response if one began
+        :returns: the error to raise, with the response if it was started
         """
         if not self._response.prepared:
             return RequestError(failure)
--- a/src/quetzaldeck/gateway/ticket.py
+++ b/src/quetzaldeck/gateway/ticket.py
@@ -1,4 +1,4 @@
-"""A request's handle on the dispatch task."""
+"""The interface through which a handler uses the dispatch task for one request."""
 
 from __future__ import annotations
 
@@ -27,9 +27,10 @@
 
 
 class Ticket:
-    """Admits a request on entry; whatever happens, forgets it on exit.
+    """Admits a request on entry and always withdraws it on exit.
 
-    :param send: puts a message into the dispatch task's mailbox
+    :param request: the request to admit
+    :param send: adds a message to the dispatch task's mailbox
     """
 
     def __init__(self, request: Request, send: Callable[[Message], None]) -> None:
@@ -39,7 +40,7 @@
 
     @property
     def request(self) -> Request:
-        """:returns: the request as it was admitted"""
+        """:returns: the admitted request"""
         return self._request
 
     async def __aenter__(self) -> Ticket:
@@ -63,9 +64,9 @@
         self._send(Withdraw(self._request.request_id))
 
     async def next_dispatch(self) -> Dispatch:
-        """:returns: where the request goes, once it has been placed
+        """:returns: the next dispatch of the request, as soon as it has been placed
 
-        :raises RequestError: if it was rejected while it waited
+        :raises RequestError: if the request was rejected while it was queued
         """
         decision = await self._decisions.get()
         if isinstance(decision, Rejection):
@@ -73,24 +74,24 @@
         return decision
 
     def note_first_token(self, attempt_id: str) -> None:
-        """Tell the scheduler that the prompt is prefilled."""
+        """Notify the scheduler that the prompt has been prefilled."""
         self._send(NoteFirstToken(attempt_id))
 
     def note_reserved(self, attempt_id: str) -> None:
-        """Tell the scheduler that the attempt no longer waits for memory."""
+        """Notify the scheduler that the attempt no longer waits for memory."""
         self._send(NoteReserved(attempt_id))
 
     async def judge_silence(self, attempt_id: str, silent_ms: float) -> SilenceVerdict:
-        """:returns: whether a silent attempt is left for another one, or why not"""
+        """:returns: whether to abandon a silent attempt, or why not"""
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[SilenceVerdict] = loop.create_future()
         self._send(JudgeSilence(attempt_id, silent_ms, reply))
         return await reply
 
     async def end_attempt(self, end: AttemptEnd) -> None:
-        """Tell the scheduler how an attempt ended.
+        """Notify the scheduler of the end of an attempt.
 
-        :raises RequestError: if the request failed for good
+        :raises RequestError: if the request failed and is not retried
         """
         reply = self._new_reply()
         self._send(EndAttempt(end, reply))
--- a/src/quetzaldeck/gateway/usage_records.py
+++ b/src/quetzaldeck/gateway/usage_records.py
@@ -1,4 +1,4 @@
-"""Usage of limited customers between this gateway and the others, by records."""
+"""Exchanges the usage of limited customers with the other gateways by records."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 class UsageRecords:
-    """Turns usage into records by customer, and records into messages."""
+    """Converts usage to one record per customer, and records to scheduler messages."""
 
     def __init__(self, dispatch: DispatchTask) -> None:
         self._dispatch = dispatch
 
     def take_drafts(self) -> list[RecordDraft]:
-        """:returns: records on the customers whose usage changed"""
+        """:returns: records for the customers whose usage changed"""
         return [
-            RecordDraft(USAGE_KIND, news.customer, list(news.usage), _TTL_MS)
-            for news in self._dispatch.take_usage_updates()
+            RecordDraft(USAGE_KIND, update.customer, list(update.usage), _TTL_MS)
+            for update in self._dispatch.take_usage_updates()
         ]
 
     def handle(self, record: Record) -> None:
-        """Pass on what another VM uses; it ends with its record."""
+        """Pass another VM's usage to the scheduler; it expires with its record."""
         if record.value is None:
             return
         try:
@@ -41,8 +41,8 @@
         except msgspec.ValidationError as error:
             log_event("usage_ignored", level="WARNING", vm=record.vm, error=error)
             return
-        news = UsageUpdate(record.key, usage)
-        self._dispatch.send(ObserveUsage(record.vm, news))
+        update = UsageUpdate(record.key, usage)
+        self._dispatch.send(ObserveUsage(record.vm, update))
 
 
 __all__ = ("USAGE_KIND", "UsageRecords")
--- a/tests/fuzz/test_upstreams.py
+++ b/tests/fuzz/test_upstreams.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from quetzaldeck.bundle import UpstreamSpec
-from quetzaldeck.gateway.answer import MAX_HELD_CHUNKS, Answer, Drop
+from quetzaldeck.gateway.answer import MAX_BUFFERED_CHUNKS, Answer, DropReason
 from quetzaldeck.upstreams import (
     Attempt,
     Chunk,
@@ -66,7 +66,7 @@
     given_out = ""
     for piece in pieces:
         text = answer.accept(piece)
-        if not isinstance(text, Drop):
+        if not isinstance(text, DropReason):
             given_out += text
         if answer.finish_reason is not None:
             break
@@ -81,7 +81,7 @@
 def test_answer_is_whole_in_any_order(order: list[int]) -> None:
     answer = Answer()
     answer.begin_attempt("a.1")
-    assert len(TEXT) < MAX_HELD_CHUNKS
+    assert len(TEXT) < MAX_BUFFERED_CHUNKS
     for start in order:
         is_last = start + 1 == len(TEXT)
         finish_reason = "stop" if is_last else None
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: bodies, bounds and the one shape of every refusal."""
+"""Tests of the interface for callers: bodies, limits and error responses."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
         ),
     ],
 )
-def test_completions_refuses_a_faulty_body(
+def test_completions_refuses_an_invalid_body(
     path: str, body: Any, status: int, reason: str
 ) -> None:
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
@@ -149,7 +149,7 @@
         {"X-Priority": "10"},
     ],
 )
-def test_completions_refuses_a_faulty_header(header: dict[str, str]) -> None:
+def test_completions_refuses_an_invalid_header(header: dict[str, str]) -> None:
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
         body = {"model": MODEL, "prompt": "p"}
         async with client.post(
@@ -206,7 +206,7 @@
     run(check)
 
 
-def test_models_lists_what_the_customer_may_ask_for() -> None:
+def test_models_lists_the_models_of_the_customer() -> None:
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
         async with client.get("/v1/models", headers=AUTHORIZATION) as response:
             body = await response.json()
@@ -229,11 +229,11 @@
         "/desk/bookings;v=1?rack=3",
     ],
 )
-def test_services_asks_for_a_key_however_the_path_is_written(path: str) -> None:
-    """A caller writes the path of a booking in an unusual but equal way.
+def test_services_requires_a_key_for_all_forms_of_a_path(path: str) -> None:
+    """Guards against a double booking when the path is written in an unusual form.
 
-    Taken for a call that may be repeated, it would be retried after a broken
-    connection, and the service, which reads both paths alike, would book twice.
+    If the call counted as repeatable, it would be retried after its connection was
+    lost, and the service, which treats both forms as equal, would book twice.
     """
 
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
@@ -280,9 +280,9 @@
 
 @pytest.mark.parametrize("head", [b"", b"POST /v1/completions HTTP/1.1\r\nHost:"])
 def test_connection_without_a_request_is_broken(head: bytes) -> None:
-    """A caller connects and never completes a request's head.
+    """Guards against connections that stay open without a complete request head.
 
-    No handler ever starts, so no bound of a handler can end it.
+    No handler is started for them, so no timeout of a handler applies.
     """
 
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
@@ -299,7 +299,7 @@
     run(check)
 
 
-def test_header_over_the_limit_is_refused() -> None:
+def test_header_larger_than_the_limit_is_refused() -> None:
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
         async with connect(fleet) as (reader, writer):
             writer.write(
@@ -311,11 +311,11 @@
     run(check)
 
 
-def test_stream_is_not_silent_while_its_request_waits() -> None:
-    """Another request fills the only engine; a streamed one waits behind it.
+def test_stream_sends_keep_alives_while_its_request_is_queued() -> None:
+    """Guards against a silent stream while its request is queued.
 
-    A caller that reads nothing for long cannot tell a full system from a dead
-    one, so that the wait carries comments.
+    Another request occupies the only engine. Without keep-alive comments, the caller
+    could not tell a busy system from one that is down.
     """
     profile = EngineProfile(kv_tokens=2_000, step_ms=5.0)
     settings = FleetSettings(n_vms=1, n_engines=1, profile=profile, callers=BOUNDS)
--- a/tests/gateway/test_claimed_call.py
+++ b/tests/gateway/test_claimed_call.py
@@ -1,4 +1,4 @@
-"""A gateway that paused dispatches nothing that it won before."""
+"""Tests that a claim cannot be used any more after a pause of the gateway."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     CLAIM_END_PATH,
     CLAIM_PATH,
     ClaimedCall,
-    new_order_id,
+    new_claim_request_id,
 )
 from quetzaldeck.gateway.errors import RequestError
 from quetzaldeck.http import HttpServiceBase, ListenAddress, json_response
@@ -37,7 +37,7 @@
 
 
 class FakeAgent(HttpServiceBase):
-    """Grants every claim and notes how it ended."""
+    """Grants every claim and records the ends of the calls."""
 
     def __init__(self) -> None:
         super().__init__(ListenAddress())
@@ -51,7 +51,7 @@
         return application
 
     async def close(self) -> None:
-        """Nothing is left to end."""
+        """Do nothing; there are no tasks to stop."""
 
     async def _claim(self, request: web.Request) -> web.Response:
         return json_response(ClaimDecision(ClaimVerdict.GRANTED, LEASE_MS))
@@ -62,14 +62,14 @@
 
 
 class FakeSettings:
-    """The one setting that a claimed call reads."""
+    """The only setting that a claimed call reads."""
 
     def __init__(self, agent_address: str) -> None:
         self.agent_address = agent_address
 
 
 class FakeState:
-    """What a claimed call needs of the gateway."""
+    """The part of the gateway's state that a claimed call needs."""
 
     def __init__(self, agent_address: str, clock: ManualClock) -> None:
         self.settings = FakeSettings(agent_address)
@@ -82,19 +82,19 @@
     agent = FakeAgent()
     await agent.start()
     state: GatewayState = FakeState(agent.address, clock)  # type: ignore[assignment]
-    order = ClaimOrder(new_order_id(), "club", "key", "digest", LEASE_MS)
+    order = ClaimOrder(new_claim_request_id(), "club", "key", "digest", LEASE_MS)
     try:
         async with ClientSession() as client, ClaimedCall(state, client, order) as call:
             clock.advance(pause_ms)
             call.begin_dispatch()
-            call.keep(ServiceAnswer(200, (), b"booked"))
+            call.store_answer(ServiceAnswer(200, (), b"booked"))
     finally:
         await agent.stop()
         assert len(agent.ends) == 1
     return agent
 
 
-def test_begin_dispatch_allows_what_is_fresh() -> None:
+def test_begin_dispatch_allows_a_call_within_its_lease() -> None:
     agent = uvloop.run(run_call(LEASE_MS - 1))
     end = agent.ends[0]
     assert end.has_run
@@ -102,9 +102,10 @@
 
 
 def test_begin_dispatch_refuses_after_a_pause() -> None:
-    """A gateway wins a claim and stands still for an hour before it dispatches.
+    """Guards against running a call twice after the gateway was paused.
 
-    The voters have forgotten the key by then, and another VM may have run it.
+    The pause of an hour follows the grant of the claim. By then the voters have dropped
+    the key, and another VM may have run the call.
     """
     with pytest.raises(RequestError) as caught:
         uvloop.run(run_call(HOUR_MS))
--- a/tests/gateway/test_dispatch_task.py
+++ b/tests/gateway/test_dispatch_task.py
@@ -1,4 +1,4 @@
-"""The task between the callers' handlers and the scheduler."""
+"""Tests of the task between the request handlers and the scheduler."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 SERVICE = "desk"
 N_SLOTS = 8
 TIMEOUT_MS = 1_000.0
-QUIET_MS = 5_000.0
+IDLE_MS = 5_000.0
 TEST_TIMEOUT_S = 5
 
 
 class Caller:
-    """One call, and what the task said of it."""
+    """One call, and the task's replies and decisions on it."""
 
     def __init__(self, number: int, now_ms: float) -> None:
         self.request = Request(
@@ -46,12 +46,12 @@
         self.decisions: asyncio.Queue[Decision] = asyncio.Queue()
 
     def submit(self, task: DispatchTask) -> None:
-        """Put the call into the task's mailbox."""
+        """Add the call to the task's mailbox."""
         task.send(Submit(self.request, self.refusal, self.decisions))
 
 
 def make_task(clock: ManualClock, n_replicas: int = 1) -> DispatchTask:
-    """:returns: a task before replicas ``d0``, ``d1`` and so on"""
+    """:returns: a task with the replicas ``d0``, ``d1`` and so on"""
     scheduler = build_scheduler(Policies(), clock=clock, random_state=random.Random(1))
     specs = tuple(
         UpstreamSpec(
@@ -67,12 +67,12 @@
     return DispatchTask(scheduler, GatewayMetrics(), clock)
 
 
-def make_news(name: str, n_requests: int) -> ObservePeerLoad:
+def make_peer_load(name: str, n_requests: int) -> ObservePeerLoad:
     return ObservePeerLoad("other", ((name, VmLoad(n_requests)),))
 
 
-def n_told(task: DispatchTask, name: str, clock: ManualClock) -> int:
-    """:returns: requests of other VMs that the task knows of at a replica"""
+def count_peer_requests(task: DispatchTask, name: str, clock: ManualClock) -> int:
+    """:returns: number of other VMs' requests on a replica, as known by the task"""
     state = task._scheduler.upstreams.get(name)
     assert state is not None
     return state.peers.total(clock.now_ms()).n_requests
@@ -81,11 +81,12 @@
 def test_calls_that_arrive_together_are_not_refused_before_idle_upstreams(
     clock: ManualClock,
 ) -> None:
-    """Seven members check in within a millisecond; five are turned away at the door.
+    """Guards against refusals in a burst of calls although all replicas are idle.
 
-    One call in five seconds has come so far, so that is the rate at which the queue is
-    known to drain. All seven are in the mailbox before the first of them is placed, and
-    the last ones seem to stand in a line of half a minute. All places are free.
+    There was one call in five seconds so far, so this is the rate at which the queue is
+    expected to drain. Seven calls are in the mailbox before the first of them is
+    placed. If they counted as queued, the last ones would appear to wait for half a
+    minute, and five of the seven would be refused.
     """
 
     async def run() -> None:
@@ -95,7 +96,7 @@
         first.submit(task)
         async with asyncio.timeout(TEST_TIMEOUT_S):
             assert isinstance(await first.decisions.get(), Dispatch)
-        clock.advance(QUIET_MS)
+        clock.advance(IDLE_MS)
         callers = [Caller(number, clock.now_ms()) for number in range(1, N_SLOTS)]
         for caller in callers:
             caller.submit(task)
@@ -109,18 +110,19 @@
     asyncio.run(run())
 
 
-def test_news_of_other_vms_count_for_the_next_call(clock: ManualClock) -> None:
-    """A member checks in just after another VM told that a desk is full.
+def test_deferred_loads_are_used_to_place_the_next_call(clock: ManualClock) -> None:
+    """Guards against placing a call with outdated loads of other VMs.
 
-    The news lie until somebody needs them; the call is placed by them all the same.
+    Another VM has just reported that a replica is full. The message is deferred until a
+    call arrives, and must be handled before the call is placed.
     """
 
     async def run() -> None:
         task = make_task(clock, n_replicas=2)
         running = asyncio.create_task(task.run())
-        task.send_deferrable(make_news("d0", N_SLOTS))
+        task.send_deferrable(make_peer_load("d0", N_SLOTS))
         await asyncio.sleep(0.01)
-        assert n_told(task, "d0", clock) == 0, "nobody needs it yet"
+        assert count_peer_requests(task, "d0", clock) == 0, "no call needs it yet"
         for number in range(4):
             caller = Caller(number, clock.now_ms())
             caller.submit(task)
@@ -133,34 +135,40 @@
     asyncio.run(run())
 
 
-def test_news_that_nobody_needs_are_taken_before_long(clock: ManualClock) -> None:
-    """A VM without callers hears three hundred messages a second and keeps none."""
+def test_deferred_messages_are_handled_on_an_idle_vm(clock: ManualClock) -> None:
+    """Guards against an unlimited number of deferred messages on a VM without calls.
+
+    It receives three hundred messages a second, and none must stay deferred.
+    """
 
     async def run() -> None:
         task = make_task(clock)
         running = asyncio.create_task(task.run())
         for number in range(300):
-            task.send_deferrable(make_news("d0", number))
+            task.send_deferrable(make_peer_load("d0", number))
         await asyncio.sleep(1.5 * IDLE_INTERVAL_MS / 1_000)
-        assert n_told(task, "d0", clock) == 299
-        assert not task._news
+        assert count_peer_requests(task, "d0", clock) == 299
+        assert not task._deferred
         running.cancel()
 
     asyncio.run(run())
 
 
-def test_news_of_room_place_a_call_that_waits_at_once(clock: ManualClock) -> None:
-    """A call waits, as all places are taken by another VM; then that one is done."""
+def test_free_capacity_places_a_queued_call_at_once(clock: ManualClock) -> None:
+    """Guards against a delay of a queued call after another VM freed the replica.
+
+    The call is queued since requests of the other VM occupy all slots.
+    """
 
     async def run() -> None:
         task = make_task(clock)
         running = asyncio.create_task(task.run())
-        task.send_deferrable(make_news("d0", N_SLOTS))
+        task.send_deferrable(make_peer_load("d0", N_SLOTS))
         caller = Caller(1, clock.now_ms())
         caller.submit(task)
         await asyncio.sleep(0.01)
         assert caller.decisions.empty()
-        task.send_deferrable(make_news("d0", 0))
+        task.send_deferrable(make_peer_load("d0", 0))
         async with asyncio.timeout(TEST_TIMEOUT_S):
             assert isinstance(await caller.decisions.get(), Dispatch)
         running.cancel()
--- a/tests/gateway/test_usage_records.py
+++ b/tests/gateway/test_usage_records.py
@@ -1,4 +1,4 @@
-"""Fleet-wide limits of customers, through real gateways and agents."""
+"""Tests of fleet-wide customer limits, with real gateways and agents."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 LIMIT = 4
 N_OUTPUT = 500
-"""An answer of more than a second: all calls arrive before the first one ends."""
+"""Makes an answer take more than a second, so that all calls arrive before it ends."""
 
 WAIT_S = 10.0
 
@@ -48,12 +48,12 @@
     await fleet.publish(bundle._replace(customers=customers))
     async with asyncio.timeout(WAIT_S):
         for address in fleet.gateway_addresses:
-            while not await is_informed(client, address):
+            while not await is_up_to_date(client, address):
                 await asyncio.sleep(0.02)
 
 
-async def is_informed(client: aiohttp.ClientSession, address: str) -> bool:
-    """:returns: whether a gateway has the limit and knows the other VM"""
+async def is_up_to_date(client: aiohttp.ClientSession, address: str) -> bool:
+    """:returns: whether a gateway has the limit in force and knows the other VM"""
     async with client.get(f"{address}/metrics") as response:
         lines = (await response.text()).splitlines()
     return {"quetzaldeck_bundle_version 2.0", "quetzaldeck_limit_vms 2.0"} <= set(lines)
@@ -66,10 +66,11 @@
     return counts
 
 
-def test_limit_holds_over_two_vms_that_are_asked_at_once() -> None:
-    """A customer with four requests sends eight to each VM in one instant.
+def test_limit_holds_when_two_vms_receive_calls_at_once() -> None:
+    """Guards against exceeding a customer's limit on two VMs together.
 
-    Were each VM to allow the whole limit, eight would run.
+    The limit is four requests, and each VM receives eight at once. If each VM allowed
+    the whole limit, eight would run.
     """
 
     async def run() -> None:
@@ -123,12 +124,13 @@
     )
 
 
-def test_usage_is_told_so_that_only_what_is_unused_is_lent(
+def test_usage_of_another_vm_reduces_the_limit_of_this_one(
     clock: ManualClock,
 ) -> None:
-    """One VM has three requests in flight; the other may have seven, not ten.
+    """Guards against ignoring the usage of a limit on another VM.
 
-    The news travel as records: JSON, with the time that they are true.
+    One VM has three requests in flight, so the other may have seven, not ten. The usage
+    is sent in records: as JSON, with a time to live.
     """
     first, first_scheduler = make_dispatch(clock, 1)
     second, second_scheduler = make_dispatch(clock, 2)
@@ -150,16 +152,16 @@
             is_urgent=False,
         )
         UsageRecords(second).handle(record)
-    second.handle_waiting()
+    second.handle_pending()
     assert submit(second_scheduler, clock, 20) == 6
 
 
 def test_usage_of_an_unknown_shape_is_ignored(clock: ManualClock) -> None:
-    """A VM of a later version says something else; this one must go on."""
+    """Guards against a failure when a VM of a newer version sends another format."""
     dispatch, scheduler = make_dispatch(clock, 1)
     record = Record(
         "usage", "gym", "vm-2", "i", 1, 1_000, is_urgent=False, value={"a": "b"}
     )
     UsageRecords(dispatch).handle(record)
-    dispatch.handle_waiting()
+    dispatch.handle_pending()
     assert submit(scheduler, clock, 1) == 1
