--- a/src/quetzaldeck/gateway/customers.py
+++ b/src/quetzaldeck/gateway/customers.py
@@ -38,7 +38,7 @@
         :raises RequestError: if there is no such customer
         """
         if authorization is None or not authorization.lower().startswith(_SCHEME):
-            detail = "the header 'Authorization: Bearer <API key>' is missing"
+            detail = "the header 'Authorization: Bearer <API key>' is required"
             raise RequestError(Failure(Reason.UNKNOWN_CUSTOMER, detail=detail))
         key_hash = hash_key(authorization[len(_SCHEME) :].strip())
         customer = self._by_hash.get(key_hash)
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -105,7 +105,7 @@
         return self._scheduler.limits.take_updates(self._clock.now_ms())
 
     def send(self, message: Message) -> None:
-        """Put a message into the task's mailbox."""
+        """Add a message to the task's mailbox."""
         self._mailbox.put_nowait(message)
 
     def send_deferrable(self, message: Message) -> None:
@@ -125,7 +125,7 @@
             self._deferred.append(message)
 
     def open_ticket(self, request: Request) -> Ticket:
-        """:returns: the caller side of one request; a context manager"""
+        """:returns: a context manager that admits and later withdraws a request"""
         return Ticket(request, self.send)
 
     async def run(self) -> None:
--- a/src/quetzaldeck/gateway/settings.py
+++ b/src/quetzaldeck/gateway/settings.py
@@ -26,7 +26,7 @@
         Option("Timeout for the first request on a connection.", unit="ms", minimum=10),
     ] = 10_000
     write_idle_ms: Annotated[
-        int, Option("Timeout for a write to a slow reader.", unit="ms", minimum=10)
+        int, Option("Timeout for a caller that stops reading.", unit="ms", minimum=10)
     ] = 15_000
     silence_ms: Annotated[
         int,
