--- a/src/quetzaldeck/decisions/admission/api.py
+++ b/src/quetzaldeck/decisions/admission/api.py
@@ -32,7 +32,7 @@
         self._random_state = random_state
         self._bounds = bounds or SchedulerBounds()
 
-    def configure(  # noqa: B027 - optional
+    def configure(  # noqa: B027 - BoundsOnly needs none
         self, bundle: Bundle, tuning: Tuning
     ) -> None:
         """Apply the engines of a bundle and the parameters of its profile."""
@@ -75,12 +75,12 @@
     ) -> None:
         """Record that a request no longer waits."""
 
-    def note_first_token(  # noqa: B027 - optional
+    def note_first_token(  # noqa: B027 - BoundsOnly does not learn
         self, request: Request, elapsed_ms: float, now_ms: float
     ) -> None:
         """Record the time between a dispatch and its first token."""
 
-    def note_answer(  # noqa: B027 - optional
+    def note_answer(  # noqa: B027 - BoundsOnly does not learn
         self, request: Request, n_tokens: int, elapsed_ms: float, now_ms: float
     ) -> None:
         """Record the time between the first token and the last."""
