--- a/src/quetzaldeck/decisions/expiry.py
+++ b/src/quetzaldeck/decisions/expiry.py
@@ -16,7 +16,7 @@
     lists them unchanged. A reader of that list can tell the deadline of each without
     asking the owner, and the protocol needs no extra field.
 
-    :returns: ``request_id`` followed by the deadline, in seconds rounded up, in hexadecimal
+    :returns: ``request_id`` and the deadline in hexadecimal seconds, rounded up
     """
     seconds = int(deadline_wall_ms // MS_PER_SECOND) + 1
     return f"{request_id}{EXPIRY_MARKER}{seconds:x}"
