--- a/Makefile
+++ b/Makefile
@@ -56,9 +56,9 @@
 capacity-entries: install
 	PYTHONPATH=$(CURDIR)/src:$(CURDIR) $(BIN)/python -m tests.support.platform.sharing_cost
 
-# What telling each other loads costs, by way and size of the fleet; some minutes.
+# Cost of exchanging loads between VMs, by strategy and fleet size; takes some minutes.
 capacity-telling: install
-	PYTHONPATH=$(CURDIR)/src:$(CURDIR) $(BIN)/python -m tests.entry.peers.telling_cost
+	PYTHONPATH=$(CURDIR)/src:$(CURDIR) $(BIN)/python -m tests.entry.peers.update_cost
 
 # Fault runs on real processes: every fault alone, then pairs, for SOAK_SECONDS.
 SEED ?= 1
--- a/src/quetzaldeck/entry/peers/__init__.py
+++ b/src/quetzaldeck/entry/peers/__init__.py
@@ -1,4 +1,4 @@
-"""What entry VMs tell each other: who is there, what runs where, what is believed."""
+"""State that entry VMs exchange: known VMs, load at upstreams, and the fleet state."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/entry/peers/belief_feed.py
+++ b/src/quetzaldeck/entry/peers/belief_feed.py
@@ -1,4 +1,4 @@
-"""Tells other VMs what this one believes, as soon as it changes."""
+"""Publishes this VM's fleet state to other VMs as soon as it changes."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class BeliefFeed:
-    """Answers questions of other VMs from this VM's belief.
+    """Answers long polls of other VMs from this VM's fleet state.
 
-    :param belief: may be old; what is told states its age
+    :param belief: this VM's fleet state; may be old, so each answer states its age
     """
 
     def __init__(self, belief: FleetBelief, clock: Clock) -> None:
@@ -25,23 +25,23 @@
         self._log = ChangeLog()
         self._changed = asyncio.Event()
 
-    def note(self, reading: SourceAnswer) -> None:
-        """Take what this VM has just read, and wake the VMs that wait for news."""
-        self._log.note(reading)
-        if reading.changes:
+    def note(self, answer: SourceAnswer) -> None:
+        """Note what this VM has just read, and answer the long polls if it changed."""
+        self._log.note(answer)
+        if answer.changes:
             self._changed.set()
             self._changed = asyncio.Event()
 
     async def wait_for_news(
         self, revision: int, version: int, wait_ms: float
     ) -> BeliefNews | None:
-        """Wait until there is something new, or for ``wait_ms``.
+        """Wait until there is a change, at most for ``wait_ms``.
 
-        :param revision: counter of changes that the asker knows
-        :param version: version of the configuration that the asker has
-        :returns: the news; ``None`` if this VM knows nothing itself
+        :param revision: revision of the store that the polling VM has
+        :param version: version of the configuration that the polling VM has
+        :returns: the changes; ``None`` if this VM has no fleet state yet
         """
-        asked_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         if self._belief.revision <= revision and version >= self._version:
             changed = self._changed
             try:
@@ -51,7 +51,7 @@
                 pass
         if self._belief.configuration is None:
             return None
-        return self._build(revision, version, self._clock.now_ms() - asked_ms)
+        return self._build(revision, version, self._clock.now_ms() - started_ms)
 
     @property
     def _version(self) -> int:
--- a/src/quetzaldeck/entry/peers/belief_news.py
+++ b/src/quetzaldeck/entry/peers/belief_news.py
@@ -1,4 +1,4 @@
-"""What one entry VM tells another of its belief, in JSON over HTTP."""
+"""The fleet state as one entry VM sends it to another, in JSON over HTTP."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class BeliefNews(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the teller believes, or what of it is new to the one that asks.
-
-    :param revision: the source's counter of changes that the teller has seen
-    :param age_ms: age of the teller's belief when it told
-    :param waited_ms: for how long the teller held the question
-    :param is_complete: whether ``replicas`` lists all
-    :param configuration: if it is newer than the asker's
-    :param removed: ids of replicas that have no entry any more
-    :param trouble_age_ms: how long ago the teller had trouble with the source
+    """The fleet state of the peer queried, or the part that is new to the polling VM.
+
+    :param revision: revision of the store that the peer has read
+    :param age_ms: age of the peer's fleet state when it answered
+    :param waited_ms: how long the peer held the long poll
+    :param is_complete: whether ``replicas`` lists all replicas, not only changed ones
+    :param configuration: only if it is newer than the polling VM's
+    :param removed: ids of replicas that no longer have an entry
+    :param trouble_age_ms: time since the peer last had trouble with the store
     """
 
     revision: int
@@ -41,7 +41,7 @@
     trouble_age_ms: float | None = None
 
     def translate(self) -> SourceAnswer:
-        """:returns: the news as any source of belief gives them"""
+        """:returns: the update in the form that all sources of the fleet state use"""
         changes: list[Change] = []
         if self.configuration is not None:
             changes.append(ConfigurationRead(self.configuration))
@@ -61,9 +61,9 @@
 
 
 def decode_belief_news(data: bytes) -> BeliefNews:
-    """:returns: the news in a body
+    """:returns: the update in a response body
 
-    :raises msgspec.DecodeError: with the place of the fault
+    :raises msgspec.DecodeError: if it is not valid; the message names the faulty field
     """
     return _DECODER.decode(data)
 
--- a/src/quetzaldeck/entry/peers/belief_service.py
+++ b/src/quetzaldeck/entry/peers/belief_service.py
@@ -1,4 +1,4 @@
-"""The HTTP side of what a VM tells other VMs."""
+"""The HTTP endpoint that publishes a VM's fleet state to other VMs."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
     from quetzaldeck.entry.peers.belief_feed import BeliefFeed
 
 MAX_WAIT_MS = 30_000.0
-"""Longest time for which a question is held, whatever it asks for."""
+"""Longest time for which a long poll is held, whatever wait it requests."""
 
-UNKNOWING_STATUS = 503
-FAULTY_STATUS = 400
+NO_STATE_STATUS = 503
+BAD_REQUEST_STATUS = 400
 
-QUICK_SHUTDOWN_S = 0.1
-"""VMs that wait for news ask another one as soon as the connection is closed."""
+SHUTDOWN_TIMEOUT_S = 0.1
+"""Short, since polling VMs turn to another VM as soon as the connection is closed."""
 
 
 class BeliefService(HttpServiceBase):
-    """Answers other VMs on the port that is theirs.
+    """Answers long polls on the port for other VMs.
 
-    :param read_feed: gives the feed, once the session is open
+    :param read_feed: returns the feed, once the session is open
     """
 
-    shutdown_timeout_s = QUICK_SHUTDOWN_S
+    shutdown_timeout_s = SHUTDOWN_TIMEOUT_S
 
     def __init__(
         self, listen: ListenAddress, read_feed: Callable[[], BeliefFeed], **kwargs: Any
@@ -50,7 +50,7 @@
         return application
 
     async def close(self) -> None:
-        """Nothing is open but the socket."""
+        """Do nothing: the socket, the only resource, is closed already."""
 
     async def _answer(self, request: web.Request) -> web.Response:
         try:
@@ -59,11 +59,11 @@
             wait_ms = float(request.query[WAIT_FIELD])
         except (KeyError, ValueError) as error:
             text = f"{BELIEF_PATH}: {error!r}"
-            return web.Response(status=FAULTY_STATUS, text=text)
+            return web.Response(status=BAD_REQUEST_STATUS, text=text)
         wait_ms = min(max(0.0, wait_ms), MAX_WAIT_MS)
         news = await self._read_feed().wait_for_news(revision, version, wait_ms)
         if news is None:
-            return web.Response(status=UNKNOWING_STATUS)
+            return web.Response(status=NO_STATE_STATUS)
         return json_response(news)
 
 
--- a/src/quetzaldeck/entry/peers/belief_source.py
+++ b/src/quetzaldeck/entry/peers/belief_source.py
@@ -1,4 +1,4 @@
-"""Another VM as a source of belief."""
+"""Another VM as a source of the fleet state."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 )
 
 OK_STATUS = 200
-NOTHING_KNOWN = -1
-"""Less than any revision: everything is new."""
+BEFORE_ANY_REVISION = -1
+"""Lower than any revision: the answer contains everything."""
 
 
 class PeerSource(BeliefSource):
-    """Asks one VM for what it believes.
+    """Queries one VM for its fleet state.
 
     :param client: used for other VMs only
-    :param address: IP number and port
+    :param address: IP address and port
     :param version: version of the configuration that this VM has
-    :param answer_ms: how long the answer may take beyond the wait
+    :param answer_ms: time allowed for the answer, beyond the wait of a long poll
     """
 
     def __init__(
@@ -44,14 +44,14 @@
         self._answer_ms = answer_ms
 
     async def read_all(self) -> SourceAnswer:
-        """Read all that the other VM believes; see the base class."""
-        return await self._ask(NOTHING_KNOWN, 0)
+        """Read the whole fleet state of the other VM; see the base class."""
+        return await self._query(BEFORE_ANY_REVISION, 0)
 
     async def wait_for_changes(self, revision: int, wait_ms: int) -> SourceAnswer:
-        """Wait for changes of the other VM's belief; see the base class."""
-        return await self._ask(revision, wait_ms)
+        """Wait for changes of the other VM's fleet state; see the base class."""
+        return await self._query(revision, wait_ms)
 
-    async def _ask(self, revision: int, wait_ms: int) -> SourceAnswer:
+    async def _query(self, revision: int, wait_ms: int) -> SourceAnswer:
         params = {
             AFTER_FIELD: str(revision),
             VERSION_FIELD: str(self._version),
--- a/src/quetzaldeck/entry/peers/messages.py
+++ b/src/quetzaldeck/entry/peers/messages.py
@@ -1,4 +1,4 @@
-"""What entry VMs tell each other, in datagrams of JSON."""
+"""Datagrams that entry VMs exchange, encoded as JSON."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from quetzaldeck.decisions.peer_load import VmLoad
 
 
-class LoadNews(msgspec.Struct, frozen=True, array_like=True):
-    """What of a VM is at one upstream; see ``VmLoad``."""
+class LoadUpdate(msgspec.Struct, frozen=True, array_like=True):
+    """Load of a VM at one upstream; see :class:`VmLoad` for the fields."""
 
     upstream: str
     n_requests: int
@@ -25,7 +25,7 @@
 
     @property
     def says_anything(self) -> bool:
-        """:returns: whether another VM learns anything from it"""
+        """:returns: whether any field carries information for another VM"""
         return bool(
             self.n_requests
             or self.n_prefill_tokens
@@ -37,8 +37,11 @@
         )
 
 
-class CrashNews(msgspec.Struct, frozen=True, array_like=True):
-    """A crash with a request on board, or its acquittal; see ``CrashSighting``."""
+class CrashUpdate(msgspec.Struct, frozen=True, array_like=True):
+    """A request that was running on an engine when it crashed, or was cleared.
+
+    See ``CrashSighting`` for the fields.
+    """
 
     fingerprint: int
     upstream: str
@@ -46,59 +49,60 @@
     age_ms: float
 
 
-class VmNews(msgspec.Struct, frozen=True, array_like=True):
-    """What one VM has to tell all others; may come by way of other VMs.
+class VmUpdate(msgspec.Struct, frozen=True, array_like=True):
+    """What one VM announces to all others; may be relayed by other VMs.
 
-    :param vm: id of the VM and of its run: a VM that starts again is another one
-    :param sequence: grows with each of the VM's news; the highest is the latest
-    :param paces: by name, engines that are slow, or were when they were told of last
+    :param vm: id of this incarnation of the VM: it changes when the VM restarts
+    :param sequence: increases with each update of the VM; the highest is the latest
+    :param paces: slowdown factors by engine name, for engines that are slow now or were
+        slow in the VM's previous update
     """
 
     vm: str
     sequence: int
-    loads: tuple[LoadNews, ...] = ()
-    crashes: tuple[CrashNews, ...] = ()
+    loads: tuple[LoadUpdate, ...] = ()
+    crashes: tuple[CrashUpdate, ...] = ()
     paces: dict[str, float] = {}
 
     @property
     def says_anything(self) -> bool:
-        """:returns: whether there is anything in it"""
+        """:returns: whether the update is not empty"""
         return bool(self.loads or self.crashes or self.paces)
 
 
 Reach = Literal["", "fleet", "members"]
-"""To whom the receiver passes news on: to nobody, all VMs, or those that joined it."""
+"""Where the receiver forwards the updates: nowhere, to all VMs, or to its members."""
 
 Join = Literal["", "member", "relay", "leave"]
-"""Whether the sender wants to be told news, and as what; see ``Subscribers``."""
+"""Whether the sender subscribes to updates, and in which role; see ``Subscribers``."""
 
 
 class PeerMessage(msgspec.Struct, frozen=True, omit_defaults=True):
     """One datagram.
 
-    :param vm: id of the sender and of its run
-    :param availability_zone: the sender's; ``""`` in messages that carry news only
-    :param capacity: the sender's processor, in cores; 0 in messages without a zone
-    :param known: VMs that the sender heard lately: their processors in cores, 0 if
-        unknown, by availability zone and address
-    :param news: of the sender, or of others that it passes on
-    :param number: the receiver confirms it; 0: it need not
-    :param confirmed: number of a message that the sender has received; 0: none
+    :param vm: id of the sender's incarnation
+    :param availability_zone: the sender's; only in greetings, otherwise ``""``
+    :param capacity: the sender's processor, in cores; only in greetings, otherwise 0
+    :param known: VMs that the sender has received a message from recently: their
+        processors in cores, 0 if unknown, by availability zone and address
+    :param news: updates of the sender, or of other VMs that it forwards
+    :param number: the receiver acknowledges this number; 0: no acknowledgement needed
+    :param confirmed: number of a received message that the sender acknowledges; 0: none
     """
 
     vm: str
     availability_zone: str = ""
     capacity: float = 0.0
     known: dict[str, dict[str, float]] = {}
-    news: tuple[VmNews, ...] = ()
+    news: tuple[VmUpdate, ...] = ()
     reach: Reach = ""
     join: Join = ""
     number: int = 0
     confirmed: int = 0
 
 
-N_DIGITS = 2
-"""Digits after the point of counts that age; more would be bytes without use."""
+N_OUTCOME_DIGITS = 2
+"""Decimal places of the decaying outcome counts; more would only add bytes."""
 
 _DECODER = msgspec.json.Decoder(PeerMessage)
 
@@ -111,48 +115,48 @@
 def decode_message(data: bytes) -> PeerMessage:
     """:returns: the message in a datagram
 
-    :raises msgspec.DecodeError: if it holds none
+    :raises msgspec.DecodeError: if the datagram is not a valid message
     """
     return _DECODER.decode(data)
 
 
-def build_load_news(upstream: str, share: VmLoad) -> LoadNews:
-    """:returns: what the other VMs are told of one upstream"""
-    return LoadNews(
+def build_load_update(upstream: str, load: VmLoad) -> LoadUpdate:
+    """:returns: the update that announces this VM's load at one upstream"""
+    return LoadUpdate(
         upstream,
-        share.n_requests,
-        share.n_prefill_tokens,
-        share.n_kv_tokens,
-        share.n_parts,
-        round(share.outcomes.n_answered, N_DIGITS),
-        round(share.outcomes.n_failed, N_DIGITS),
-        share.incarnation,
-        share.refuses_help,
-    )
-
-
-def read_load_news(load: LoadNews) -> VmLoad:
-    """:returns: what another VM has at one upstream"""
-    return VmLoad(
         load.n_requests,
         load.n_prefill_tokens,
         load.n_kv_tokens,
         load.n_parts,
-        Outcomes(load.n_answered, load.n_failed),
+        round(load.outcomes.n_answered, N_OUTCOME_DIGITS),
+        round(load.outcomes.n_failed, N_OUTCOME_DIGITS),
         load.incarnation,
         load.refuses_help,
     )
 
 
+def read_load_update(update: LoadUpdate) -> VmLoad:
+    """:returns: the load of another VM at one upstream"""
+    return VmLoad(
+        update.n_requests,
+        update.n_prefill_tokens,
+        update.n_kv_tokens,
+        update.n_parts,
+        Outcomes(update.n_answered, update.n_failed),
+        update.incarnation,
+        update.refuses_help,
+    )
+
+
 __all__ = (
-    "CrashNews",
+    "CrashUpdate",
     "Join",
-    "LoadNews",
+    "LoadUpdate",
     "PeerMessage",
     "Reach",
-    "VmNews",
-    "build_load_news",
+    "VmUpdate",
+    "build_load_update",
     "decode_message",
     "encode_message",
-    "read_load_news",
+    "read_load_update",
 )
--- a/src/quetzaldeck/entry/peers/node.py
+++ b/src/quetzaldeck/entry/peers/node.py
@@ -1,7 +1,8 @@
-"""What one VM sends to which others; needs no socket.
+"""Decides which messages one VM sends to which others, without a socket.
 
-How news travel is decided in :mod:`quetzaldeck.decisions.relays`. In a small fleet each
-VM tells all others itself.
+The paths of updates in a large fleet are decided in
+:mod:`quetzaldeck.decisions.relays`. In a small fleet each VM sends its updates to all
+others directly.
 """
 
 from __future__ import annotations
@@ -14,33 +15,34 @@
     RelaySelector,
     Subscribers,
 )
-from quetzaldeck.entry.peers.messages import PeerMessage, VmNews
-from quetzaldeck.entry.peers.news_book import NewsBook, NewsQueue, split_news
+from quetzaldeck.entry.peers.messages import PeerMessage, VmUpdate
+from quetzaldeck.entry.peers.update_store import UpdateQueue, UpdateStore, split_updates
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from quetzaldeck.entry.peers.messages import CrashNews, Join, LoadNews
+    from quetzaldeck.entry.peers.messages import CrashUpdate, Join, LoadUpdate
     from quetzaldeck.entry.peers.table import PeerTable
 
-N_LOADS = 20
-"""Loads in one datagram, so that it fits into one packet, with ids of their VMs."""
+MAX_ENTRIES_PER_DATAGRAM = 20
+"""Loads, crashes and paces in one datagram, so that it fits into one packet together
+with the ids of their VMs."""
 
-EXPIRE_MS = 1_000.0
+EXPIRE_INTERVAL_MS = 1_000.0
 
 
 class Outgoing(NamedTuple):
-    """A message and where it goes."""
+    """A message and the addresses of its receivers."""
 
     message: PeerMessage
     addresses: tuple[str, ...]
 
 
 class PeerNode:
-    """One VM among those that tell each other news.
+    """One VM in the exchange of updates between entry VMs.
 
     :param own: this VM's address
-    :param vm: id of this run of this VM
+    :param vm: id of this incarnation of this VM
     :param table: the other VMs
     :param capacity: this VM's processor, in cores
     """
@@ -59,14 +61,14 @@
         self._table = table
         self._vm = vm
         self._capacity = capacity
-        self._choice = RelaySelector(
+        self._selector = RelaySelector(
             own, availability_zone, capacity=capacity, bounds=self._bounds
         )
         self._subscribers = Subscribers(self._bounds)
         self._pending_acks: PendingAcks[PeerMessage] = PendingAcks(self._bounds)
-        self._book = NewsBook()
-        self._to_members = NewsQueue()
-        self._to_relays = NewsQueue()
+        self._store = UpdateStore()
+        self._member_queue = UpdateQueue()
+        self._relay_queue = UpdateQueue()
         self._outgoing: list[Outgoing] = []
         self._sequence = 0
         self._has_joined = False
@@ -75,18 +77,18 @@
         self._expired_ms = float("-inf")
 
     @property
-    def is_relayed(self) -> bool:
-        """:returns: whether this VM's news travel by way of relays"""
+    def uses_relays(self) -> bool:
+        """:returns: whether this VM sends its updates to a relay, not to each VM"""
         return len(self._table) > self._bounds.n_peers_relayed
 
     @property
     def parent(self) -> str | None:
-        """:returns: the relay of this VM; ``None``: it relays itself"""
-        return self._choice.parent
+        """:returns: the relay of this VM; ``None``: it is a relay itself"""
+        return self._selector.parent
 
     @property
     def n_members(self) -> int:
-        """:returns: VMs that this one tells all news"""
+        """:returns: number of VMs that receive all updates from this one"""
         return len(self._subscribers.list_members())
 
     @property
@@ -103,177 +105,180 @@
         next_ms = min(
             self._pending_acks.next_ms(), self._joined_ms + self._bounds.join_ms
         )
-        if self._to_members or self._to_relays:
+        if self._member_queue or self._relay_queue:
             next_ms = min(next_ms, self._flushed_ms + self._flush_ms)
         return max(0.0, next_ms - now_ms)
 
-    def tell(
+    def announce(
         self,
         now_ms: float,
         *,
-        loads: Iterable[LoadNews] = (),
-        crashes: Iterable[CrashNews] = (),
+        loads: Iterable[LoadUpdate] = (),
+        crashes: Iterable[CrashUpdate] = (),
         paces: Mapping[str, float] | None = None,
     ) -> None:
-        """Tell all other VMs what this one has to say."""
+        """Send an update of this VM to all other VMs."""
         self._sequence += 1
-        news = VmNews(
+        update = VmUpdate(
             self._vm, self._sequence, tuple(loads), tuple(crashes), dict(paces or {})
         )
-        self._book.take(news, now_ms)
-        if not self.is_relayed:
+        self._store.merge(update, now_ms)
+        if not self.uses_relays:
             addresses = self._table.addresses
-            for part in split_news((news,), N_LOADS):
+            for part in split_updates((update,), MAX_ENTRIES_PER_DATAGRAM):
                 self._send(PeerMessage(self._vm, news=part), *addresses)
             return
-        self._pass_to_fleet((news,), now_ms)
+        self._forward_to_fleet((update,), now_ms)
         self._flush(now_ms)
 
     def receive(
         self, message: PeerMessage, address: str, now_ms: float
-    ) -> list[VmNews]:
-        """Take a message of another VM.
+    ) -> list[VmUpdate]:
+        """Handle a message of another VM.
 
-        :returns: what this VM did not know
+        :returns: the updates in it, without what this VM knew already
         """
         if message.number:
             self._send(PeerMessage(self._vm, confirmed=message.number), address)
         if message.confirmed:
-            # Also after it was given up: a VM that confirms late is not gone.
+            # Also if it was no longer expected: a VM that acknowledges late is alive.
             self._pending_acks.acknowledge(message.confirmed, address)
-            self._choice.note_ack(address)
+            self._selector.note_ack(address)
         if message.join:
-            self._take_join(message.join, message.vm, address, now_ms)
-        fresh = [
-            self._book.take(news, now_ms)
-            for news in message.news
-            if news.vm != self._vm
+            self._handle_join(message.join, message.vm, address, now_ms)
+        new_updates = [
+            self._store.merge(update, now_ms)
+            for update in message.news
+            if update.vm != self._vm
         ]
         if message.reach == "fleet":
-            self._pass_to_fleet(fresh, now_ms)
+            self._forward_to_fleet(new_updates, now_ms)
         elif message.reach == "members":
-            self._pass_to_members(fresh)
+            self._queue_for_members(new_updates)
         self._flush(now_ms)
-        return fresh
+        return new_updates
 
-    def welcome(self, address: str, loads: Iterable[LoadNews]) -> None:
-        """Tell a VM that has just started what this one has at upstreams.
+    def send_current_loads(self, address: str, loads: Iterable[LoadUpdate]) -> None:
+        """Send this VM's loads to a VM that has just started.
 
-        Only in a small fleet; in a large one it joins a relay, which tells it.
+        Only in a small fleet; in a large one that VM joins a relay, which sends it the
+        loads of all VMs.
         """
         if len(self._table) > self._bounds.n_peers_joining:
             return
         self._sequence += 1
-        news = VmNews(self._vm, self._sequence, tuple(loads))
-        for part in split_news((news,), N_LOADS):
+        update = VmUpdate(self._vm, self._sequence, tuple(loads))
+        for part in split_updates((update,), MAX_ENTRIES_PER_DATAGRAM):
             self._send(PeerMessage(self._vm, news=part), address)
 
     def note_fleet_changed(self) -> None:
         """Note that VMs were found or lost.
 
-        A VM that has no relay yet looks for one at once: it knows of no load.
+        A VM that has not joined a relay yet tries to at once: it does not know the load
+        of any other VM.
         """
         if not self._has_joined:
             self._joined_ms = float("-inf")
 
     def advance(self, now_ms: float) -> None:
-        """Do what is due: join relays, send again what was lost, pass news on."""
-        if now_ms - self._expired_ms >= EXPIRE_MS:
+        """Do what is due: join relays, resend lost messages, flush queued updates."""
+        if now_ms - self._expired_ms >= EXPIRE_INTERVAL_MS:
             self._expired_ms = now_ms
-            self._book.expire(now_ms)
+            self._store.expire(now_ms)
             self._subscribers.expire(now_ms)
-        self._send_again(now_ms)
+        self._resend_unacked(now_ms)
         if now_ms - self._joined_ms >= self._bounds.join_ms:
             self._join(now_ms)
         self._flush(now_ms)
 
-    def _take_join(self, join: Join, vm: str, address: str, now_ms: float) -> None:
+    def _handle_join(self, join: Join, vm: str, address: str, now_ms: float) -> None:
         if join == "leave":
             self._subscribers.leave(address)
             return
         is_relay = join == "relay"
         if not self._subscribers.join(address, vm, is_relay=is_relay, now_ms=now_ms):
             return
-        # It may have members already, which joined before it knew of anything.
-        for part in split_news(self._book.list_current(now_ms), N_LOADS):
+        # The VM may have members already, which joined before it had any updates.
+        for part in split_updates(
+            self._store.list_current(now_ms), MAX_ENTRIES_PER_DATAGRAM
+        ):
             self._send(PeerMessage(self._vm, news=part, reach="members"), address)
-        if is_relay and self._choice.parent is None:
-            # Its view of who relays has this VM in it, while this one's may not have
-            # it: without an answer in kind, news would travel one way only.
-            self._ask("relay", address, now_ms)
+        if is_relay and self._selector.parent is None:
+            # The sender takes this VM for a relay, while this VM may not take the
+            # sender for one. Unless this VM subscribes as well, updates flow in one
+            # direction only.
+            self._send_join("relay", address, now_ms)
 
     def _join(self, now_ms: float) -> None:
-        """Ask the relay, or the other relays, to be told news."""
+        """Subscribe to the updates of the relay, or of the other relays."""
         self._joined_ms = now_ms
         if len(self._table) <= self._bounds.n_peers_joining:
             return
         self._has_joined = True
-        before = self._choice.parent
-        self._choice.update(self._table.list_capacities(), now_ms)
-        parent = self._choice.parent
+        before = self._selector.parent
+        self._selector.update(self._table.list_capacities(), now_ms)
+        parent = self._selector.parent
         if before is not None and before != parent:
             self._send(PeerMessage(self._vm, join="leave"), before)
         if parent is not None:
-            self._ask("member", parent, now_ms)
+            self._send_join("member", parent, now_ms)
             return
-        for address in {*self._choice.peers, *self._subscribers.list_relays()}:
-            self._ask("relay", address, now_ms)
+        for address in {*self._selector.peers, *self._subscribers.list_relays()}:
+            self._send_join("relay", address, now_ms)
 
-    def _ask(self, join: Join, address: str, now_ms: float) -> None:
+    def _send_join(self, join: Join, address: str, now_ms: float) -> None:
         message = PeerMessage(self._vm, join=join)
-        self._send_confirmed(message, address, now_ms)
+        self._send_with_ack(message, address, now_ms)
 
-    def _pass_to_fleet(self, news: Iterable[VmNews], now_ms: float) -> None:
-        """Pass news of this VM, or of one that asked it to, on to all."""
-        news = [one for one in news if one.says_anything]
-        self._pass_to_members(news)
+    def _forward_to_fleet(self, updates: Iterable[VmUpdate], now_ms: float) -> None:
+        """Forward updates of this VM, or of a VM that uses it as its relay, to all."""
+        updates = [update for update in updates if update.says_anything]
+        self._queue_for_members(updates)
         if self._subscribers:
-            for one in news:
-                self._to_relays.add(one)
-        parent = self._choice.parent or self._choice.fallback
+            for update in updates:
+                self._relay_queue.add(update)
+        parent = self._selector.parent or self._selector.fallback
         if parent is not None:
-            for part in split_news(news, N_LOADS):
+            for part in split_updates(updates, MAX_ENTRIES_PER_DATAGRAM):
                 message = PeerMessage(self._vm, news=part, reach="fleet")
-                self._send_confirmed(message, parent, now_ms)
+                self._send_with_ack(message, parent, now_ms)
 
-    def _pass_to_members(self, news: Iterable[VmNews]) -> None:
-        # Whoever joins later is told from the book.
+    def _queue_for_members(self, updates: Iterable[VmUpdate]) -> None:
+        # A VM that joins later is sent the updates of the store.
         if self._subscribers:
-            for one in news:
-                self._to_members.add(one)
+            for update in updates:
+                self._member_queue.add(update)
 
     def _flush(self, now_ms: float) -> None:
-        """Send what waits, unless something was sent a moment ago."""
-        if not (self._to_members or self._to_relays):
+        """Send the queued updates, unless the last flush was too recent."""
+        if not (self._member_queue or self._relay_queue):
             return
         if now_ms - self._flushed_ms < self._flush_ms:
             return
         self._flushed_ms = now_ms
         for queue, addresses in (
-            (self._to_members, self._subscribers.list_members()),
-            (self._to_relays, self._subscribers.list_relays()),
+            (self._member_queue, self._subscribers.list_members()),
+            (self._relay_queue, self._subscribers.list_relays()),
         ):
-            news = queue.take()
+            updates = queue.take()
             if addresses:
-                for part in split_news(news, N_LOADS):
+                for part in split_updates(updates, MAX_ENTRIES_PER_DATAGRAM):
                     message = PeerMessage(self._vm, news=part, reach="members")
                     self._send(message, *addresses)
 
-    def _send_again(self, now_ms: float) -> None:
-        """Send again what was not confirmed, in the end to another VM."""
+    def _resend_unacked(self, now_ms: float) -> None:
+        """Resend messages that were not acknowledged, finally by way of another VM."""
         for late in self._pending_acks.pop_overdue(now_ms):
             if late.n_sent < self._bounds.n_sends:
-                self._send_confirmed(
-                    late.message, late.address, now_ms, late.n_sent + 1
-                )
+                self._send_with_ack(late.message, late.address, now_ms, late.n_sent + 1)
                 continue
-            self._choice.note_missed_ack(late.address, now_ms)
-            if late.address == self._choice.parent:
+            self._selector.note_missed_ack(late.address, now_ms)
+            if late.address == self._selector.parent:
                 self._join(now_ms)
             if late.message.news:
-                self._pass_to_fleet(late.message.news, now_ms)
+                self._forward_to_fleet(late.message.news, now_ms)
 
-    def _send_confirmed(
+    def _send_with_ack(
         self, message: PeerMessage, address: str, now_ms: float, n_sent: int = 1
     ) -> None:
         number = self._pending_acks.next_number()
@@ -292,4 +297,4 @@
             self._outgoing.append(Outgoing(message, addresses))
 
 
-__all__ = ("N_LOADS", "Outgoing", "PeerNode")
+__all__ = ("MAX_ENTRIES_PER_DATAGRAM", "Outgoing", "PeerNode")
--- a/src/quetzaldeck/entry/peers/table.py
+++ b/src/quetzaldeck/entry/peers/table.py
@@ -9,34 +9,40 @@
     import random
     from collections.abc import Mapping
 
-FORGET_MS = 20_000.0
-"""A VM that was not heard of for this long is gone. Telling a dead one costs a few
-bytes; a VM that stood still or was cut off should be known when it comes back."""
+PEER_TTL_MS = 20_000.0
+"""A VM that neither sent nor was reported by others for this long is removed. Sending
+to a dead VM costs a few bytes; one that was paused or unreachable should still be known
+when it comes back."""
 
-N_TOLD = 48
-"""Addresses told in one message: with messages to a few VMs each second, all of a fleet
-of a hundred know each other within ten seconds; they fit into one packet."""
+MAX_SHARED_ADDRESSES = 48
+"""Addresses in one greeting: with greetings to a few VMs each second, all VMs of a
+fleet of a hundred know each other within ten seconds. It fits into one packet."""
 
 UNKNOWN_CAPACITY = 0.1
-"""Processor in cores of a VM that did not tell it: none to choose for others' work."""
+"""Processor, in cores, assumed for a VM that did not report it: too small for the VM to
+be chosen for work on behalf of others."""
 
-CALM_MS = 10_000.0
-"""Time without a VM found or lost after which less is told."""
+STABLE_AFTER_MS = 10_000.0
+"""Time without a VM found or lost after which greetings list fewer addresses."""
 
 N_SEED_GREETERS = 8
-"""VMs that greet a seed at a time, on average, however many there are."""
+"""VMs that greet a seed in each interval, on average, for any size of the fleet."""
 
-MIN_TOLD = 16
-CALM_TOLD_DIVISOR = 8
-"""Part of a calm fleet that one message tells of. With four messages a second each
-VM is told of each other one every two seconds, a tenth of the time that it is kept."""
+MIN_SHARED_ADDRESSES = 16
+STABLE_FLEET_DIVISOR = 8
+"""A greeting in a stable fleet lists the fleet's size divided by this. With four
+greetings a second, a VM is reported to each other VM every two seconds, a tenth of
+``PEER_TTL_MS``."""
 
 
 class PeerTable:
-    """Addresses of other VMs, learned from seeds and from what they tell.
+    """Addresses of other VMs, learned from the seeds and from messages.
+
+    A VM counts as heard if it sent a message to this one, and as reported if another VM
+    listed it.
 
     :param own: this VM's address, which is never a peer
-    :param seeds: addresses to begin with; they may be gone
+    :param seeds: addresses to contact first; they may be gone
     """
 
     def __init__(
@@ -46,7 +52,7 @@
         self._seeds = tuple(seed for seed in seeds if seed != own)
         self._random_state = random_state
         self._heard_ms: dict[str, float] = {}
-        self._told_ms: dict[str, float] = {}
+        self._reported_ms: dict[str, float] = {}
         self._zones: dict[str, str] = {}
         self._capacities: dict[str, float] = {}
         self._addresses: tuple[str, ...] | None = None
@@ -57,18 +63,18 @@
 
     @property
     def addresses(self) -> tuple[str, ...]:
-        """:returns: VMs that were heard or heard of lately"""
+        """:returns: VMs that were heard or reported recently"""
         if self._addresses is None:
-            self._addresses = tuple(self._heard_ms.keys() | self._told_ms.keys())
+            self._addresses = tuple(self._heard_ms.keys() | self._reported_ms.keys())
         return self._addresses
 
     @property
     def unheard_seeds(self) -> tuple[str, ...]:
-        """:returns: seeds that nobody has told of lately; they may be gone"""
+        """:returns: seeds that were not heard or reported recently; they may be gone"""
         return tuple(set(self._seeds).difference(self.addresses))
 
     def list_by_zone(self) -> dict[str, list[str]]:
-        """:returns: the VMs by availability zone, ``""`` for those of an unknown one"""
+        """:returns: the VMs by availability zone; ``""`` if the zone is not known"""
         zones: dict[str, list[str]] = {}
         for address in self.addresses:
             zones.setdefault(self._zones.get(address, ""), []).append(address)
@@ -83,7 +89,7 @@
         return zones
 
     def find_capacity(self, address: str) -> float:
-        """:returns: the processor of a VM in cores"""
+        """:returns: the processor of a VM, in cores"""
         return self._capacities.get(address, UNKNOWN_CAPACITY)
 
     def list_zone(self, availability_zone: str) -> tuple[str, ...]:
@@ -95,7 +101,7 @@
         )
 
     def list_others(self, availability_zone: str) -> tuple[str, ...]:
-        """:returns: the VMs of other zones, and those of an unknown one"""
+        """:returns: the VMs of other zones, and those whose zone is not known"""
         return tuple(
             address
             for address in self.addresses
@@ -103,7 +109,7 @@
         )
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other addresses to begin with."""
+        """Replace the seeds."""
         self._seeds = tuple(seed for seed in seeds if seed != self._own)
 
     def note_heard(
@@ -113,10 +119,11 @@
         availability_zone: str = "",
         capacity: float = 0.0,
     ) -> bool:
-        """:returns: whether a VM that sent something is new
+        """Note a VM that has sent a message.
 
-        :param availability_zone: the VM's, if it said so
-        :param capacity: the VM's processor in cores, if it said so
+        :param availability_zone: the VM's, if the message states it
+        :param capacity: the VM's processor in cores, if the message states it
+        :returns: whether the VM was not known before
         """
         if address == self._own:
             return False
@@ -124,16 +131,16 @@
             self._zones[address] = availability_zone
         if capacity > 0:
             self._capacities[address] = capacity
-        is_new = address not in self._heard_ms and address not in self._told_ms
+        is_new = address not in self._heard_ms and address not in self._reported_ms
         self._heard_ms[address] = now_ms
         if is_new:
             self._note_change(now_ms)
         return is_new
 
-    def note_told(
+    def note_reported(
         self, known: Mapping[str, Mapping[str, float]], now_ms: float
     ) -> None:
-        """Take VMs that another VM has heard.
+        """Note the VMs that another VM has heard.
 
         :param known: processors in cores, 0 if unknown, by zone and address
         """
@@ -141,41 +148,45 @@
             for address, capacity in vms.items():
                 if address == self._own:
                     continue
-                if address not in self._told_ms and address not in self._heard_ms:
+                if address not in self._reported_ms and address not in self._heard_ms:
                     if not _is_address(address):
                         continue
                     self._note_change(now_ms)
-                self._told_ms[address] = now_ms
+                self._reported_ms[address] = now_ms
                 if availability_zone:
                     self._zones[address] = availability_zone
                 if capacity > 0:
                     self._capacities[address] = capacity
 
     def expire(self, now_ms: float) -> tuple[str, ...]:
-        """:returns: VMs that were not heard of for too long; they are forgotten"""
+        """Remove VMs whose ``PEER_TTL_MS`` has passed.
+
+        :returns: the removed VMs
+        """
         before = self.addresses
         self._addresses = None
-        for times in (self._heard_ms, self._told_ms):
+        for times in (self._heard_ms, self._reported_ms):
             for address, at_ms in tuple(times.items()):
-                if now_ms - at_ms > FORGET_MS:
+                if now_ms - at_ms > PEER_TTL_MS:
                     del times[address]
-        gone = set(before) - set(self.addresses)
-        for address in gone:
+        removed = set(before) - set(self.addresses)
+        for address in removed:
             self._zones.pop(address, None)
             self._capacities.pop(address, None)
-        if gone:
+        if removed:
             self._note_change(now_ms)
-        return tuple(gone)
+        return tuple(removed)
 
-    def is_calm(self, now_ms: float) -> bool:
-        """:returns: whether no VM was found or lost for a while"""
-        return now_ms - self._changed_ms > CALM_MS
+    def is_stable(self, now_ms: float) -> bool:
+        """:returns: whether no VM was found or lost for ``STABLE_AFTER_MS``"""
+        return now_ms - self._changed_ms > STABLE_AFTER_MS
 
-    def choose(self, n_peers: int) -> tuple[str, ...]:
-        """:returns: some peers to greet, among them a seed now and then
+    def choose_greeted(self, n_peers: int) -> tuple[str, ...]:
+        """:returns: a random choice of peers to greet, sometimes with a seed
 
-        Seeds are greeted for ever: two halves of a fleet that lost each other find
-        together again there. The more VMs there are, the more rarely each does so.
+        Seeds are greeted for as long as the VM runs: two halves of a partitioned fleet
+        find each other again by way of the seeds. The probability falls with the size
+        of the fleet, so that the load on the seeds does not grow with it.
         """
         known = sorted(self.addresses)
         chosen = set(self._random_state.sample(known, min(n_peers, len(known))))
@@ -188,25 +199,28 @@
         self._addresses = None
         self._changed_ms = now_ms
 
-    def list_told(self, now_ms: float) -> dict[str, dict[str, float]]:
-        """:returns: some of the addresses heard, for another VM, by availability zone
+    def sample_heard(self, now_ms: float) -> dict[str, dict[str, float]]:
+        """:returns: a random sample of the VMs heard, to be listed in a greeting
 
-        What was only told is not told on: VMs that tell each other of one that is gone
-        would keep it for ever.
+        VMs that were only reported are left out: otherwise VMs would go on reporting a
+        dead one to each other and never remove it.
         """
         known = [*self._heard_ms]
-        told: dict[str, dict[str, float]] = {}
-        n_told = N_TOLD
-        if self.is_calm(now_ms):
-            n_told = max(MIN_TOLD, min(N_TOLD, len(self) // CALM_TOLD_DIVISOR))
-        for address in self._random_state.sample(known, min(n_told, len(known))):
-            zone = told.setdefault(self._zones.get(address, ""), {})
+        sample: dict[str, dict[str, float]] = {}
+        n_addresses = MAX_SHARED_ADDRESSES
+        if self.is_stable(now_ms):
+            n_addresses = max(
+                MIN_SHARED_ADDRESSES,
+                min(MAX_SHARED_ADDRESSES, len(self) // STABLE_FLEET_DIVISOR),
+            )
+        for address in self._random_state.sample(known, min(n_addresses, len(known))):
+            zone = sample.setdefault(self._zones.get(address, ""), {})
             zone[address] = self._capacities.get(address, 0.0)
-        return told
+        return sample
 
 
 def _is_address(text: str) -> bool:
-    """:returns: whether datagrams can be sent there; names are not looked up"""
+    """:returns: whether ``text`` is an IPv4 address; host names are not resolved"""
     try:
         IPv4Address(text)
     except AddressValueError:
@@ -214,4 +228,4 @@
     return True
 
 
-__all__ = ("FORGET_MS", "N_TOLD", "PeerTable")
+__all__ = ("MAX_SHARED_ADDRESSES", "PEER_TTL_MS", "PeerTable")
--- a/src/quetzaldeck/entry/peers/task.py
+++ b/src/quetzaldeck/entry/peers/task.py
@@ -1,4 +1,4 @@
-"""The task that owns the socket to the other VMs."""
+"""The task that owns the socket for datagrams to and from the other VMs."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from quetzaldeck.decisions.load_changes import LoadChanges, max_send_delay_ms
 from quetzaldeck.decisions.poison import CrashSighting
 from quetzaldeck.entry.peers.messages import (
-    CrashNews,
+    CrashUpdate,
     PeerMessage,
-    build_load_news,
+    build_load_update,
     decode_message,
     encode_message,
-    read_load_news,
+    read_load_update,
 )
 from quetzaldeck.entry.peers.node import PeerNode
 from quetzaldeck.gateway.messages import (
@@ -28,33 +28,34 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from quetzaldeck.entry.peers.messages import VmNews
+    from quetzaldeck.entry.peers.messages import VmUpdate
     from quetzaldeck.entry.peers.table import PeerTable
     from quetzaldeck.entry.state import EntryState
 
 TICK_MS = 20.0
-"""Pause between two looks at what has changed: what changes within it is told once."""
+"""Interval at which changes are collected; those within it are sent together."""
 
-GREET_MS = 500.0
-"""Pause between greetings: VMs that start together know each other within seconds."""
+GREETING_INTERVAL_MS = 500.0
+"""Interval of greetings: VMs that start together know each other within seconds."""
 N_GREETED = 3
-N_GREETED_CALM = 2
-"""VMs that are greeted at a time; see ``PeerTable``."""
+N_GREETED_STABLE = 2
+"""Number of VMs greeted in each interval, also in a stable fleet; see ``PeerTable``."""
 
-UNDECODABLE_MS = 10_000.0
-"""Pause between two lines about datagrams of one peer that cannot be read."""
+UNDECODABLE_LOG_INTERVAL_MS = 10_000.0
+"""Minimum time between two log lines about undecodable datagrams of one peer."""
 MAX_UNDECODABLE_PEERS = 256
-"""Peers that are remembered for it; who sends them may make addresses up."""
+"""Limit on the peers whose last such log line is remembered: sender addresses may be
+forged."""
 
 
 class PeerTask(asyncio.DatagramProtocol):
-    """Tells the other VMs what this one does, and takes what they tell.
+    """Sends this VM's updates to the other VMs and receives theirs.
 
-    Everything told is soft: without it, decisions rest on this VM's own view.
+    Updates are soft state: without them, decisions rest on this VM's own view.
 
     :param own: this VM's address
-    :param vm: id of this run of this VM
-    :param port: where every VM listens
+    :param vm: id of this incarnation of this VM
+    :param port: UDP port on which every VM listens
     """
 
     def __init__(
@@ -73,7 +74,7 @@
             capacity=state.settings.processor.capacity,
         )
         self._changes = LoadChanges()
-        self._runs: dict[str, str] = {}
+        self._incarnations: dict[str, str] = {}
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._due_ms = float("inf")
@@ -81,7 +82,7 @@
         self._metrics = state.metrics.peers
 
     async def run(self, host: str) -> None:
-        """Listen, and tell until cancelled."""
+        """Receive and send until cancelled."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, self._port)
@@ -91,10 +92,10 @@
         try:
             while True:
                 now_ms = self._state.clock.now_ms()
-                if now_ms - greeted_ms >= GREET_MS:
+                if now_ms - greeted_ms >= GREETING_INTERVAL_MS:
                     greeted_ms = now_ms
                     self._greet(now_ms)
-                self._tell(now_ms)
+                self._announce_changes(now_ms)
                 self._advance()
                 await asyncio.sleep(TICK_MS / 1_000)
                 await self._wait()
@@ -104,8 +105,8 @@
             transport.close()
 
     async def _wait(self) -> None:
-        """Wait for news, or for the time to greet, to repeat and to tell old news."""
-        wait_ms = GREET_MS
+        """Wait for a load change, or until a greeting, refresh or delayed update."""
+        wait_ms = GREETING_INTERVAL_MS
         if self._changes.has_unsent:
             wait_ms = min(wait_ms, max_send_delay_ms(len(self._table)))
         try:
@@ -115,12 +116,12 @@
             return
 
     def tell_paces(self, paces: Mapping[str, float]) -> None:
-        """Tell all other VMs how fast some engines are."""
-        self._node.tell(self._state.clock.now_ms(), paces=paces)
+        """Announce the slowdown factors of some engines to all other VMs."""
+        self._node.announce(self._state.clock.now_ms(), paces=paces)
         self._send_outgoing()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a datagram; one that is none of ours changes nothing."""
+        """Handle a datagram; one that cannot be decoded is only logged."""
         try:
             message = decode_message(data)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -131,20 +132,23 @@
         self._metrics.note_received(_kind_of(message), len(data))
         now_ms = self._state.clock.now_ms()
         self._note_peer(message, addr[0], now_ms)
-        for news in self._node.receive(message, addr[0], now_ms):
-            self._observe(news)
+        for update in self._node.receive(message, addr[0], now_ms):
+            self._observe(update)
         self._send_outgoing()
         self._schedule(now_ms)
 
     def error_received(self, exc: Exception) -> None:
-        """Note that a VM does not listen; it may come back, or will be forgotten."""
+        """Log that a VM is not listening; it may come back, otherwise it expires."""
         log_event("peer_unreachable", level="DEBUG", error=repr(exc))
 
     def _note_undecodable(self, peer: str, error: Exception) -> None:
-        """Log a datagram that is none of ours, the first of a peer in a while."""
+        """Log an undecodable datagram, at a limited rate for each peer."""
         self._metrics.note_received("undecodable", 0)
         now_ms = self._state.clock.now_ms()
-        if now_ms - self._undecodable_ms.get(peer, float("-inf")) < UNDECODABLE_MS:
+        if (
+            now_ms - self._undecodable_ms.get(peer, float("-inf"))
+            < UNDECODABLE_LOG_INTERVAL_MS
+        ):
             return
         if len(self._undecodable_ms) >= MAX_UNDECODABLE_PEERS:
             self._undecodable_ms.clear()
@@ -157,38 +161,40 @@
         if self._table.note_heard(address, now_ms, zone, capacity):
             n_peers = len(self._table)
             log_event("peer_found", peer=address, vm=message.vm, n_peers=n_peers)
-        self._table.note_told(message.known, now_ms)
+        self._table.note_reported(message.known, now_ms)
         if len(self._table) != n_known:
             self._node.note_fleet_changed()
-        if self._runs.get(address) != message.vm:
-            self._runs[address] = message.vm
-            self._welcome(address, now_ms)
+        if self._incarnations.get(address) != message.vm:
+            self._incarnations[address] = message.vm
+            self._send_state_to_new_peer(address, now_ms)
 
-    def _observe(self, news: VmNews) -> None:
-        """Hand what a VM told to the decisions."""
+    def _observe(self, update: VmUpdate) -> None:
+        """Pass the update of a VM to the dispatch task."""
         dispatch = self._state.dispatch
-        if news.loads:
-            loads = tuple((load.upstream, read_load_news(load)) for load in news.loads)
-            dispatch.send_news(ObservePeerLoad(news.vm, loads))
-        if news.crashes:
+        if update.loads:
+            loads = tuple(
+                (load.upstream, read_load_update(load)) for load in update.loads
+            )
+            dispatch.send_news(ObservePeerLoad(update.vm, loads))
+        if update.crashes:
             crashes = tuple(
                 CrashSighting(c.fingerprint, c.upstream, c.incarnation, c.age_ms)
-                for c in news.crashes
+                for c in update.crashes
             )
             dispatch.send_news(ObserveCrashes(crashes))
-        if news.paces:
-            dispatch.send_news(ObservePaces(tuple(news.paces.items())))
+        if update.paces:
+            dispatch.send_news(ObservePaces(tuple(update.paces.items())))
 
     def _greet(self, now_ms: float) -> None:
-        lost = self._table.expire(now_ms)
-        for peer in lost:
-            self._runs.pop(peer, None)
+        expired = self._table.expire(now_ms)
+        for peer in expired:
+            self._incarnations.pop(peer, None)
             log_event("peer_lost", peer=peer, n_peers=len(self._table))
-        if lost:
+        if expired:
             self._node.note_fleet_changed()
         greeting = self._build_greeting(now_ms)
-        n_greeted = N_GREETED_CALM if self._table.is_calm(now_ms) else N_GREETED
-        self._send(greeting, self._table.choose(n_greeted))
+        n_greeted = N_GREETED_STABLE if self._table.is_stable(now_ms) else N_GREETED
+        self._send(greeting, self._table.choose_greeted(n_greeted))
 
     def _build_greeting(self, now_ms: float) -> PeerMessage:
         settings = self._state.settings
@@ -196,42 +202,44 @@
             self._vm,
             settings.availability_zone,
             settings.processor.capacity,
-            self._table.list_told(now_ms),
+            self._table.sample_heard(now_ms),
         )
 
-    def _welcome(self, address: str, now_ms: float) -> None:
-        """Tell a VM that has just started who is there and what runs here.
+    def _send_state_to_new_peer(self, address: str, now_ms: float) -> None:
+        """Send the known VMs and this VM's loads to a VM that has just started.
 
-        It knows of nothing that the others have sent, and would place its first
-        requests behind their long reads until they repeat themselves, a second later.
-        Where there are relays, it learns of the loads when it joins one.
+        It does not know what the others have sent to the engines, and would place its
+        first requests behind their long prefills until they repeat their loads, a
+        second later. In a fleet with relays, it receives the loads on joining a relay.
         """
         self._send(self._build_greeting(now_ms), (address,))
-        shares = self._state.dispatch.list_shares()
-        current = (entry for entry in shares if entry[1].says_anything)
-        self._node.welcome(address, [build_load_news(*entry) for entry in current])
+        own_loads = self._state.dispatch.list_shares()
+        current = (entry for entry in own_loads if entry[1].says_anything)
+        self._node.send_current_loads(
+            address, [build_load_update(*entry) for entry in current]
+        )
 
-    def _tell(self, now_ms: float) -> None:
-        shares = self._state.dispatch.list_shares()
-        changed = self._changes.take(shares, now_ms, len(self._table))
+    def _announce_changes(self, now_ms: float) -> None:
+        own_loads = self._state.dispatch.list_shares()
+        changed = self._changes.take(own_loads, now_ms, len(self._table))
         crashes = [
-            CrashNews(*sighting)
+            CrashUpdate(*sighting)
             for sightings in self._state.dispatch.take_crash_news()
             for sighting in sightings
         ]
         if changed or crashes:
-            loads = [build_load_news(upstream, share) for upstream, share in changed]
-            self._node.tell(now_ms, loads=loads, crashes=crashes)
+            loads = [build_load_update(upstream, load) for upstream, load in changed]
+            self._node.announce(now_ms, loads=loads, crashes=crashes)
 
     def _advance(self) -> None:
-        """Do and send what is due, and come back for what is due next."""
+        """Do and send what is due, and schedule the next call."""
         now_ms = self._state.clock.now_ms()
         self._node.advance(now_ms)
         self._send_outgoing()
         self._schedule(now_ms)
 
     def _schedule(self, now_ms: float) -> None:
-        """Come back when something is due, unless that is planned already."""
+        """Schedule :meth:`_advance` for the next due time, unless it already is."""
         due_ms = now_ms + self._node.wait_ms(now_ms)
         if self._timer is not None:
             if now_ms < self._due_ms <= due_ms:
@@ -256,7 +264,7 @@
 
 
 def _kind_of(message: PeerMessage) -> str:
-    """:returns: what a message is for, in metrics"""
+    """:returns: the kind of a message, as the metrics label it"""
     if message.news:
         return "relayed" if message.reach else "news"
     if message.join:
--- a/tests/entry/peers/peer_fleet.py
+++ b/tests/entry/peers/peer_fleet.py
@@ -1,4 +1,4 @@
-"""VMs that tell each other their loads over a network that fails, without sockets."""
+"""Simulates VMs that exchange loads over a faulty network, without sockets."""
 
 from __future__ import annotations
 
@@ -11,16 +11,20 @@
 from quetzaldeck.decisions.peer_load import PeerLoad, VmLoad
 from quetzaldeck.decisions.relays import RelayBounds
 from quetzaldeck.entry.peers.messages import (
-    LoadNews,
+    LoadUpdate,
     PeerMessage,
-    build_load_news,
+    build_load_update,
     decode_message,
     encode_message,
-    read_load_news,
+    read_load_update,
 )
 from quetzaldeck.entry.peers.node import PeerNode
 from quetzaldeck.entry.peers.table import PeerTable
-from quetzaldeck.entry.peers.task import GREET_MS, N_GREETED, N_GREETED_CALM
+from quetzaldeck.entry.peers.task import (
+    GREETING_INTERVAL_MS,
+    N_GREETED,
+    N_GREETED_STABLE,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -31,11 +35,11 @@
 SMALL = 0.12
 LARGE = 0.5
 LARGE_DIVISOR = 13
-"""One VM in so many has a large processor; both are in cores."""
+"""One VM in this many has a processor of ``LARGE`` cores, the others of ``SMALL``."""
 
 
 class Counts(NamedTuple):
-    """What the network has carried."""
+    """Traffic that the network has carried."""
 
     n_datagrams: int
     n_bytes: int
@@ -43,7 +47,7 @@
 
 
 class PeerVm:
-    """One VM: what it has at upstreams, and what it was told of the others'."""
+    """One VM, with its own loads at upstreams and those that the others announced."""
 
     def __init__(
         self,
@@ -51,14 +55,14 @@
         zone: str,
         seeds: tuple[str, ...],
         *,
-        run: int,
+        incarnation: int,
         seed: int,
         bounds: RelayBounds,
         capacity: float,
     ) -> None:
         self.address = address
         self.zone = zone
-        self.vm = f"{address}/{run}"
+        self.vm = f"{address}/{incarnation}"
         random_state = random.Random(f"{seed} {self.vm}")
         self.table = PeerTable(address, seeds, random_state=random_state)
         self.node = PeerNode(
@@ -70,61 +74,70 @@
             bounds=bounds,
         )
         self.capacity = capacity
-        self.shares: dict[str, VmLoad] = {}
-        self.peers: dict[str, PeerLoad] = {}
-        self.frozen_until_ms = 0.0
+        self.own_loads: dict[str, VmLoad] = {}
+        self.peer_loads: dict[str, PeerLoad] = {}
+        self.paused_until_ms = 0.0
         self.greeted_ms = float("-inf")
-        self.runs: dict[str, str] = {}
+        self.incarnations: dict[str, str] = {}
         self.n_datagrams = 0
-        self.heard: list[tuple[float, LoadNews]] = []
+        self.received: list[tuple[float, LoadUpdate]] = []
         self._changes = LoadChanges()
 
     def total(self, upstream: str, now_ms: float) -> VmLoad:
-        """:returns: what it believes that the others have at an upstream"""
-        load = self.peers.get(upstream)
+        """:returns: the load of all other VMs at an upstream, as this VM knows it"""
+        load = self.peer_loads.get(upstream)
         return VmLoad() if load is None else load.total(now_ms)
 
-    def tell(self, now_ms: float) -> None:
-        """Tell what has changed."""
-        changed = self._changes.take(self.shares.items(), now_ms, len(self.table))
+    def announce(self, now_ms: float) -> None:
+        """Announce the loads that have changed."""
+        changed = self._changes.take(self.own_loads.items(), now_ms, len(self.table))
         if changed:
-            self.node.tell(now_ms, loads=[build_load_news(*entry) for entry in changed])
+            self.node.announce(
+                now_ms, loads=[build_load_update(*entry) for entry in changed]
+            )
 
-    def take(
+    def receive(
         self, message: PeerMessage, sender: str, now_ms: float
     ) -> PeerMessage | None:
-        """:returns: a greeting, for a VM whose run it had not heard of"""
+        """Handle a message.
+
+        :returns: a greeting, if the sender's incarnation is new
+        """
         n_known = len(self.table)
         zone, capacity = message.availability_zone, message.capacity
         self.table.note_heard(sender, now_ms, zone, capacity)
-        self.table.note_told(message.known, now_ms)
+        self.table.note_reported(message.known, now_ms)
         if len(self.table) != n_known:
             self.node.note_fleet_changed()
-        is_new = self.runs.get(sender) != message.vm
-        self.runs[sender] = message.vm
+        is_new = self.incarnations.get(sender) != message.vm
+        self.incarnations[sender] = message.vm
         if is_new:
-            current = [e for e in self.shares.items() if e[1].says_anything]
-            self.node.welcome(sender, [build_load_news(*entry) for entry in current])
-        for news in self.node.receive(message, sender, now_ms):
-            for load in news.loads:
-                share = read_load_news(load)
-                self.peers.setdefault(load.upstream, PeerLoad()).take(
-                    news.vm, share, now_ms
+            current = [e for e in self.own_loads.items() if e[1].says_anything]
+            self.node.send_current_loads(
+                sender, [build_load_update(*entry) for entry in current]
+            )
+        for update in self.node.receive(message, sender, now_ms):
+            for load_update in update.loads:
+                load = read_load_update(load_update)
+                self.peer_loads.setdefault(load_update.upstream, PeerLoad()).take(
+                    update.vm, load, now_ms
                 )
-                self.heard.append((now_ms, load))
-        return self.greet(now_ms) if is_new else None
+                self.received.append((now_ms, load_update))
+        return self.build_greeting(now_ms) if is_new else None
 
-    def greet(self, now_ms: float) -> PeerMessage:
+    def build_greeting(self, now_ms: float) -> PeerMessage:
         """:returns: a greeting"""
-        told = self.table.list_told(now_ms)
-        return PeerMessage(self.vm, self.zone, self.capacity, told)
+        known = self.table.sample_heard(now_ms)
+        return PeerMessage(self.vm, self.zone, self.capacity, known)
 
 
 class PeerFleet:
-    """Steps VMs and a network.
+    """Steps the VMs and the network between them.
 
     :param loss: share of datagrams that are lost
-    :param jitter_ms: by how much they may overtake each other
+    :param jitter_ms: largest extra delay of a datagram, so that datagrams arrive out of
+        order
+    :param duplication: share of datagrams that arrive twice
     """
 
     def __init__(
@@ -140,13 +153,13 @@
         self.random_state = random.Random(seed)
         self.loss = loss
         self.jitter_ms = 0.0
-        self.repeat = 0.0
+        self.duplication = 0.0
         self.now_ms = 0.0
-        self.is_cut: Callable[[str, str], bool] = lambda sender, receiver: False
+        self.is_partitioned: Callable[[str, str], bool] = lambda sender, receiver: False
         self._seed = seed
-        self._runs = itertools.count()
+        self._incarnations = itertools.count()
         self._order = itertools.count()
-        self._under_way: list[tuple[float, int, str, str, bytes]] = []
+        self._in_flight: list[tuple[float, int, str, str, bytes]] = []
         self._counts = Counts(0, 0, 0)
         places = [(f"10.{i % n_zones}.0.{i}", f"z{i % n_zones}") for i in range(n_vms)]
         self.zones = dict(places)
@@ -156,14 +169,14 @@
             self.start(address)
 
     def start(self, address: str) -> PeerVm:
-        """Start a VM, for the first time or again."""
+        """Start or restart a VM."""
         zone = self.zones.setdefault(address, "z0")
         number = list(self.zones).index(address)
         vm = PeerVm(
             address,
             zone,
             self._seeds,
-            run=next(self._runs),
+            incarnation=next(self._incarnations),
             seed=self._seed,
             bounds=self._bounds,
             capacity=LARGE if number % LARGE_DIVISOR == 0 else SMALL,
@@ -176,38 +189,38 @@
         del self.vms[address]
 
     def run(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += STEP_MS
             self._deliver()
             for vm in tuple(self.vms.values()):
-                if vm.frozen_until_ms <= self.now_ms:
+                if vm.paused_until_ms <= self.now_ms:
                     self._step(vm)
 
     def take_counts(self) -> Counts:
-        """:returns: what was carried since the last call"""
+        """:returns: the traffic since the last call"""
         counts, self._counts = self._counts, Counts(0, 0, 0)
         return counts
 
     def expected(self, address: str, upstream: str) -> VmLoad:
-        """:returns: what the other VMs have at an upstream"""
-        shares = [
-            vm.shares.get(upstream, VmLoad())
+        """:returns: the sum of the other VMs' loads at an upstream"""
+        loads = [
+            vm.own_loads.get(upstream, VmLoad())
             for vm in self.vms.values()
             if vm.address != address
         ]
         return VmLoad(
-            sum(share.n_requests for share in shares),
-            sum(share.n_prefill_tokens for share in shares),
-            sum(share.n_kv_tokens for share in shares),
-            sum(share.n_parts for share in shares),
+            sum(load.n_requests for load in loads),
+            sum(load.n_prefill_tokens for load in loads),
+            sum(load.n_kv_tokens for load in loads),
+            sum(load.n_parts for load in loads),
         )
 
-    def list_wrong(self) -> list[tuple[str, str]]:
-        """:returns: VMs and upstreams of which they believe what is not so"""
-        upstreams = {u for vm in self.vms.values() for u in vm.shares}
-        upstreams |= {u for vm in self.vms.values() for u in vm.peers}
+    def list_mismatches(self) -> list[tuple[str, str]]:
+        """:returns: pairs of VM and upstream for which the VM knows a wrong total"""
+        upstreams = {u for vm in self.vms.values() for u in vm.own_loads}
+        upstreams |= {u for vm in self.vms.values() for u in vm.peer_loads}
         return [
             (address, upstream)
             for address, vm in self.vms.items()
@@ -216,34 +229,36 @@
         ]
 
     def _step(self, vm: PeerVm) -> None:
-        if self.now_ms - vm.greeted_ms >= GREET_MS:
+        if self.now_ms - vm.greeted_ms >= GREETING_INTERVAL_MS:
             vm.greeted_ms = self.now_ms
             if vm.table.expire(self.now_ms):
                 vm.node.note_fleet_changed()
-            is_calm = vm.table.is_calm(self.now_ms)
-            for address in vm.table.choose(N_GREETED_CALM if is_calm else N_GREETED):
-                self._send(vm, vm.greet(self.now_ms), address)
-        vm.tell(self.now_ms)
+            is_stable = vm.table.is_stable(self.now_ms)
+            for address in vm.table.choose_greeted(
+                N_GREETED_STABLE if is_stable else N_GREETED
+            ):
+                self._send(vm, vm.build_greeting(self.now_ms), address)
+        vm.announce(self.now_ms)
         vm.node.advance(self.now_ms)
         self._send_outgoing(vm)
 
     def _deliver(self) -> None:
         waiting = []
-        while self._under_way and self._under_way[0][0] <= self.now_ms:
-            entry = heapq.heappop(self._under_way)
+        while self._in_flight and self._in_flight[0][0] <= self.now_ms:
+            entry = heapq.heappop(self._in_flight)
             _, _, sender, receiver, data = entry
             vm = self.vms.get(receiver)
             if vm is None:
                 continue
-            if vm.frozen_until_ms > self.now_ms:
-                waiting.append((vm.frozen_until_ms, *entry[1:]))
+            if vm.paused_until_ms > self.now_ms:
+                waiting.append((vm.paused_until_ms, *entry[1:]))
                 continue
-            greeting = vm.take(decode_message(data), sender, self.now_ms)
+            greeting = vm.receive(decode_message(data), sender, self.now_ms)
             if greeting is not None:
                 self._send(vm, greeting, sender)
             self._send_outgoing(vm)
         for entry in waiting:
-            heapq.heappush(self._under_way, entry)
+            heapq.heappush(self._in_flight, entry)
 
     def _send_outgoing(self, vm: PeerVm) -> None:
         for message, addresses in vm.node.take_outgoing():
@@ -258,16 +273,16 @@
         self._counts = Counts(
             n_datagrams + 1, n_bytes + len(data), n_between + is_between * len(data)
         )
-        if self.is_cut(vm.address, address):
+        if self.is_partitioned(vm.address, address):
             return
-        n_copies = 1 + (self.random_state.random() < self.repeat)
+        n_copies = 1 + (self.random_state.random() < self.duplication)
         for _ in range(n_copies):
             if self.random_state.random() < self.loss:
                 continue
             delay_ms = LATENCY_MS + self.random_state.uniform(0.0, self.jitter_ms)
             at_ms = self.now_ms + delay_ms
             order = next(self._order)
-            heapq.heappush(self._under_way, (at_ms, order, vm.address, address, data))
+            heapq.heappush(self._in_flight, (at_ms, order, vm.address, address, data))
 
 
 __all__ = ("Counts", "PeerFleet", "PeerVm")
--- a/tests/entry/peers/test_peer_task.py
+++ b/tests/entry/peers/test_peer_task.py
@@ -1,4 +1,4 @@
-"""Datagrams between two entry VMs, and datagrams that are none."""
+"""Datagrams between two entry VMs, valid and undecodable ones."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from quetzaldeck.entry.peers import PeerTable, PeerTask
 from quetzaldeck.entry.peers.messages import (
     PeerMessage,
-    VmNews,
-    build_load_news,
+    VmUpdate,
+    build_load_update,
     decode_message,
     encode_message,
 )
@@ -33,7 +33,7 @@
 IDLE = VmLoad()
 BUSY = VmLoad(2, 5_000, 6_000, 1, Outcomes(7.25, 2.0))
 DONE = VmLoad(outcomes=Outcomes(8.0, 2.0))
-"""Nothing runs there any more: what came of it is told once, and not repeated."""
+"""Nothing runs there any more: the outcomes are sent once and not repeated."""
 
 
 def send(port: int, data: bytes) -> None:
@@ -42,7 +42,7 @@
         sender.sendto(data, ("127.0.0.1", port))
 
 
-def test_load_that_another_vm_tells_counts_and_nonsense_does_not() -> None:
+def test_load_of_another_vm_counts_and_undecodable_datagrams_do_not() -> None:
     async def test(site: Site) -> None:
         state = site.entry.session.state
         table = PeerTable("127.0.0.9", (), random_state=state.random_state)
@@ -55,17 +55,19 @@
         await asyncio.sleep(0.05)
         for data in (b"", b"\xff\x00", b"[]", b'{"vm": 3}'):
             send(port, data)
-        loads = (build_load_news("e0", BUSY), build_load_news("unknown", BUSY))
-        news = VmNews("other", 1, loads)
-        send(port, encode_message(PeerMessage("other", news=(news,))))
+        loads = (build_load_update("e0", BUSY), build_load_update("unknown", BUSY))
+        update = VmUpdate("other", 1, loads)
+        send(port, encode_message(PeerMessage("other", news=(update,))))
         await site.wait(lambda: bool(table.addresses))
         engines = state.dispatch._scheduler.upstreams
         engine = engines.get("e0")
         assert engine is not None
         await site.wait(lambda: engine.n_requests(state.clock.now_ms()) > 0)
-        assert engine.n_requests(state.clock.now_ms()) == 1, "a part takes no place"
-        told = engine.peers.total(state.clock.now_ms())
-        assert told == BUSY._replace(outcomes=Outcomes())
+        assert engine.n_requests(state.clock.now_ms()) == 1, (
+            "a prompt part takes no slot"
+        )
+        total = engine.peers.total(state.clock.now_ms())
+        assert total == BUSY._replace(outcomes=Outcomes())
         outcomes = engine.peers.outcomes.at(state.clock.now_ms())
         assert 6.0 < outcomes.n_answered <= 7.25
         assert 1.5 < outcomes.n_failed <= 2.0
@@ -76,7 +78,7 @@
     run_site(test)
 
 
-def test_change_is_told_once_and_repeated_while_it_holds() -> None:
+def test_change_is_sent_once_and_repeated_while_the_load_lasts() -> None:
     changes = LoadChanges()
     assert not changes.take([("e0", IDLE)], 0.0)
     assert changes.take([("e0", BUSY)], 10.0) == [("e0", BUSY)]
@@ -89,10 +91,10 @@
     assert not changes.take([("e0", IDLE)], done_ms + 17_600.0)
 
 
-def test_wrong_datagrams_of_one_peer_are_one_line(
+def test_undecodable_datagrams_of_one_peer_are_logged_once(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards against a peer that fills the log."""
+    """Guards against a peer that floods the log."""
 
     async def test(site: Site) -> None:
         state = site.entry.session.state
@@ -107,61 +109,65 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_datagram_is_decoded_or_refused(data: bytes) -> None:
+def test_any_datagram_is_decoded_or_rejected(data: bytes) -> None:
     with suppress(msgspec.DecodeError):
         decode_message(data)
 
 
-def test_vm_that_has_just_started_is_told_what_runs_here_at_once() -> None:
-    """All VMs lose power; the first plans after it stand behind a long read.
+def test_vm_that_has_just_started_receives_the_loads_at_once() -> None:
+    """Guards against requests placed behind a long prefill after all VMs restart.
 
-    A VM that has just started knows of no other's requests. Whoever hears of a new run
-    answers with its loads and whom it knows, without waiting for the next repeat.
+    A VM that has just started does not know the others' requests. A VM that receives a
+    message of a new incarnation answers with its loads and the VMs that it knows,
+    without waiting for the next refresh.
     """
 
     async def test(site: Site) -> None:
         state = site.entry.session.state
         table = PeerTable("127.0.0.9", (), random_state=state.random_state)
         task = PeerTask(state, table, own="127.0.0.1", vm="own", port=1)
-        wire = task._transport = Wire()
+        transport = task._transport = RecordingTransport()
         call = asyncio.create_task(site.call(PLAN_PATH, prompt=(5_000, 10)))
         await site.wait(lambda: bool(site.engines[0].calls))
         address = ("127.0.0.2", 1)
-        task.datagram_received(encode_message(PeerMessage("first run")), address)
-        assert wire.take_requests() == 1
-        task.datagram_received(encode_message(PeerMessage("first run")), address)
-        assert not wire.sent, "it is known by now"
-        task.datagram_received(encode_message(PeerMessage("second run")), address)
-        assert wire.take_requests() == 1
+        task.datagram_received(encode_message(PeerMessage("incarnation 1")), address)
+        assert transport.take_requests() == 1
+        task.datagram_received(encode_message(PeerMessage("incarnation 1")), address)
+        assert not transport.sent, "the incarnation is known already"
+        task.datagram_received(encode_message(PeerMessage("incarnation 2")), address)
+        assert transport.take_requests() == 1
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
 
-    run_site(test, engines=(stand_still,))
+    run_site(test, engines=(never_answer,))
 
 
-async def stand_still(arrival: Arrival, connection: Connection) -> None:
-    """Answer nothing."""
+async def never_answer(arrival: Arrival, connection: Connection) -> None:
+    """Leave the request unanswered."""
     await asyncio.sleep(3_600)
 
 
-class Wire(asyncio.DatagramTransport):
-    """Keeps what is sent."""
+class RecordingTransport(asyncio.DatagramTransport):
+    """Records the messages sent."""
 
     def __init__(self) -> None:
         super().__init__()
         self.sent: list[PeerMessage] = []
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        """Keep a datagram."""
+        """Record a datagram."""
         assert addr == ("127.0.0.2", 1)
         self.sent.append(decode_message(data))
 
     def take_requests(self) -> int:
-        """:returns: requests that what was sent tells of"""
+        """Clear the record.
+
+        :returns: number of requests that the sent messages announce
+        """
         sent, self.sent = self.sent, []
         return sum(
             load.n_requests
             for message in sent
-            for news in message.news
-            for load in news.loads
+            for update in message.news
+            for load in update.loads
         )
--- a/tests/entry/peers/telling_cost.py
+++ b/tests/entry/peers/update_cost.py
@@ -1,6 +1,7 @@
-"""What telling each other loads costs as the fleet grows, and how old the news are.
+"""Measures the cost and the age of load updates for growing fleets.
 
-Prints a row for each way and size: ``python -m tests.entry.peers.telling_cost``.
+Prints a row for each strategy and fleet size. To run it:
+``python -m tests.entry.peers.update_cost``.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 REQUESTS_PER_VM_S = 0.5
 FIRST_TOKEN_MS = 180.0
 ANSWER_MS = 2_000.0
-MEET_MS = 15_000.0
+WARM_UP_MS = 15_000.0
 MEASURED_S = 4.0
 STEP_MS = 10.0
 NEVER = 1 << 30
 
-WAYS = {
+STRATEGIES = {
     "direct": RelayBounds(n_peers_relayed=NEVER, n_peers_joining=NEVER),
     "relays": RelayBounds(),
     "one relay a zone": RelayBounds(n_members_per_core=float(NEVER)),
@@ -36,9 +37,9 @@
 
 
 class Cost(NamedTuple):
-    """Rates of one VM a second, and ages of what it was told.
+    """Rates per VM and second, and the age of received updates.
 
-    :param most_datagrams: sent by the VM that sends most
+    :param most_datagrams: rate of the VM that sends most
     """
 
     datagrams: float
@@ -50,7 +51,7 @@
 
 
 class Requests:
-    """Requests that begin, get their first token and end at random engines."""
+    """Simulates requests at random engines: their start, first token and end."""
 
     def __init__(self, fleet: PeerFleet, seed: int) -> None:
         self._fleet = fleet
@@ -60,7 +61,7 @@
         self.changed_ms: dict[int, float] = {}
 
     def step(self) -> None:
-        """Begin requests, and change what is due."""
+        """Start requests, and apply the load changes that are due."""
         now_ms = self._fleet.now_ms
         rate = REQUESTS_PER_VM_S * STEP_MS / 1_000
         for address in self._fleet.vms:
@@ -74,18 +75,18 @@
                 ]
         due = [event for event in self._events if event[0] <= now_ms]
         self._events = [event for event in self._events if event[0] > now_ms]
-        for _, address, upstream, share in due:
+        for _, address, upstream, load in due:
             number = next(self._ids)
             self.changed_ms[number] = now_ms
-            marked = share._replace(n_kv_tokens=number)
-            self._fleet.vms[address].shares[upstream] = marked
+            marked = load._replace(n_kv_tokens=number)
+            self._fleet.vms[address].own_loads[upstream] = marked
 
 
 def measure(n_vms: int, bounds: RelayBounds, seed: int = 1) -> Cost:
-    """:returns: what it costs at one size"""
+    """:returns: the cost at one fleet size"""
     fleet = PeerFleet(n_vms, n_zones=N_ZONES, seed=seed, bounds=bounds)
     requests = Requests(fleet, seed)
-    fleet.run(MEET_MS)
+    fleet.run(WARM_UP_MS)
     fleet.take_counts()
     for vm in fleet.vms.values():
         vm.n_datagrams = 0
@@ -94,9 +95,9 @@
         fleet.run(STEP_MS)
     counts = fleet.take_counts()
     ages = [
-        heard_ms - requests.changed_ms[load.n_kv_tokens]
+        received_ms - requests.changed_ms[load.n_kv_tokens]
         for vm in fleet.vms.values()
-        for heard_ms, load in vm.heard
+        for received_ms, load in vm.received
         if load.n_prefill_tokens
     ]
     scale = n_vms * MEASURED_S
@@ -113,18 +114,19 @@
 @click.command()
 @click.option("--most", type=int, default=SIZES[-1], show_default=True)
 def main(*, most: int) -> None:
-    """Measure all ways at all sizes."""
+    """Measure all strategies at all sizes."""
     click.echo(
-        "way               vms  datagrams  most  KB/s  between zones  age, p99 ms"
+        "strategy          vms  datagrams  most  KB/s  between zones  age, p99 ms"
     )
-    for way, bounds in WAYS.items():
+    for name, bounds in STRATEGIES.items():
         for n_vms in SIZES:
             if n_vms > most:
                 continue
             cost = measure(n_vms, bounds)
             click.echo(
-                f"{way:16} {n_vms:4} {cost.datagrams:10.1f} {cost.most_datagrams:5.0f} "
-                f"{cost.n_bytes / 1_000:5.1f} {cost.bytes_between_zones / 1_000:14.2f} "
+                f"{name:16} {n_vms:4} {cost.datagrams:10.1f} "
+                f"{cost.most_datagrams:5.0f} {cost.n_bytes / 1_000:5.1f} "
+                f"{cost.bytes_between_zones / 1_000:14.2f} "
                 f"{cost.median_age_ms:5.0f} {cost.p99_age_ms:6.0f}"
             )
 
