--- a/src/quetzaldeck/decisions/queueing/__init__.py
+++ b/src/quetzaldeck/decisions/queueing/__init__.py
@@ -1,9 +1,9 @@
-"""Queue policies: which request goes next."""
+"""Queue policies, which choose the next request to dispatch, and queue counters."""
 
 from __future__ import annotations
 
-from quetzaldeck.decisions.queueing.account import QueueAccount, Queued
 from quetzaldeck.decisions.queueing.api import QueuePolicy, queue_policies
+from quetzaldeck.decisions.queueing.counters import QueueCounters, QueueSize
 from quetzaldeck.decisions.queueing.deadline_heap import DeadlineHeap
 from quetzaldeck.decisions.queueing.fair import FairQueue
 from quetzaldeck.decisions.queueing.fifo import FifoQueue
@@ -12,8 +12,8 @@
     "DeadlineHeap",
     "FairQueue",
     "FifoQueue",
-    "QueueAccount",
+    "QueueCounters",
     "QueuePolicy",
-    "Queued",
+    "QueueSize",
     "queue_policies",
 )
