--- a/src/quetzaldeck/platform/__init__.py
+++ b/src/quetzaldeck/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its names, formats and calls; nothing is decided here."""
+"""Adapter to the platform: its header names, data formats and API calls, no policy."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/platform/headers.py
+++ b/src/quetzaldeck/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names of headers on the platform, and what they say."""
+"""Header names of the platform, and the translation of their values."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     from quetzaldeck.entry.send_terms import Helper, SendTerms
 
 CALL_ID = "Quetzaldeck-Attempt-Id"
-"""Id of what a caller sent once; a caller's own retry has another."""
+"""Id of one attempt of a caller; its own retry has another id."""
 _KEY = "Quetzaldeck-Key"
 _DEADLINE = "Quetzaldeck-Deadline-Ms"
-"""A duration, not a time."""
+"""A duration, not a point in time."""
 _TOKEN_COUNTS = "Quetzaldeck-Token-Counts"
 _LENGTH_HINT = "Quetzaldeck-Length-Hint"
 _LAST_EVENT = "Last-Event-Id"
@@ -30,14 +30,14 @@
 _NOT_RUN = "Quetzaldeck-Not-Executed"
 _REPLICA = "Quetzaldeck-Instance-Id"
 _LOAD = "Quetzaldeck-Instance-Load"
-_FAULTY = "At-Server"
+_FAULTY_ADDRESS = "At-Server"
 WRONG_REPLICA_STATUS = 421
 
 MAX_NUMBER = 1 << 40
-"""Largest number in a header: 34 years of milliseconds, a million times the longest
-prompt."""
+"""Largest number accepted in a header: 34 years in milliseconds, or a million times the
+tokens of the longest prompt."""
 
-_ONE_CONNECTION = (
+_HOP_BY_HOP_HEADERS = (
     "Connection",
     "Content-Length",
     "Expect",
@@ -50,7 +50,7 @@
     "Transfer-Encoding",
     "Upgrade",
 )
-_SET_BY_VM = (_KEY, _DEADLINE, EXPECTED_REPLICA, _CUSTOMER, _RANK, _HELPERS)
+_HEADERS_SET_BY_VM = (_KEY, _DEADLINE, EXPECTED_REPLICA, _CUSTOMER, _RANK, _HELPERS)
 
 
 def read_call_head(headers: Mapping[str, str]) -> CallHead:
@@ -79,7 +79,7 @@
         "Content-Encoding" in headers,
         _read_load(headers.get(_LOAD)),
         headers.get(_REPLICA, ""),
-        headers.get(_FAULTY, ""),
+        headers.get(_FAULTY_ADDRESS, ""),
     )
 
 
@@ -88,7 +88,7 @@
 ) -> CIMultiDict[str]:
     """:returns: the headers that a replica receives for a caller's"""
     sent = _copy_end_to_end(headers)
-    for name in _SET_BY_VM:
+    for name in _HEADERS_SET_BY_VM:
         sent.popall(name, None)
     sent[_DEADLINE] = str(max(1, int(terms.left_ms)))
     sent[EXPECTED_REPLICA] = terms.replica_id
@@ -97,7 +97,7 @@
     if terms.rank is not None:
         sent[_RANK] = str(terms.rank)
     if terms.helpers:
-        sent[_HELPERS] = ",".join(_write_helper(helper) for helper in terms.helpers)
+        sent[_HELPERS] = ",".join(_format_helper(helper) for helper in terms.helpers)
     if terms.last_event_id is not None:
         sent[_LAST_EVENT] = terms.last_event_id
     return sent
@@ -109,15 +109,15 @@
 
 
 def _copy_end_to_end(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """:returns: the headers that concern more than one connection"""
+    """:returns: the headers without those that apply to a single connection"""
     copied = CIMultiDict(headers)
     named = headers.get("Connection", "").split(",")
-    for name in (*_ONE_CONNECTION, *(part.strip() for part in named)):
+    for name in (*_HOP_BY_HOP_HEADERS, *(part.strip() for part in named)):
         copied.popall(name, None)
     return copied
 
 
-def _write_helper(helper: Helper) -> str:
+def _format_helper(helper: Helper) -> str:
     if not helper.reservation:
         return helper.address
     return f"{helper.address}/{helper.reservation}"
@@ -136,16 +136,16 @@
 
 
 def _read_counts(text: str, n_counts: int) -> tuple[int, ...]:
-    """:returns: whole numbers between commas
+    """Parse comma-separated whole numbers.
 
-    Numbers that no clock or memory holds are no numbers here: a sum with one of them
-    would overflow, or be negative, far from the header that it came from.
+    Numbers that no time or memory size can reach are rejected here: a sum with one of
+    them would overflow or become negative later, far from the faulty header.
 
-    :raises ValueError: if there are not ``n_counts`` of them within the bounds
+    :raises ValueError: unless there are ``n_counts`` of them, all within the bounds
     """
     counts = tuple(int(part) for part in text.split(","))
     if len(counts) != n_counts or not all(0 <= n <= MAX_NUMBER for n in counts):
-        msg = f"not {n_counts} numbers from 0 to {MAX_NUMBER}"
+        msg = f"expected {n_counts} whole numbers from 0 to {MAX_NUMBER}"
         raise ValueError(msg)
     return counts
 
--- a/src/quetzaldeck/platform/orders.py
+++ b/src/quetzaldeck/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to replicas: memory is set aside for a request, and released."""
+"""Orders that reserve and release memory on replicas."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from quetzaldeck.routing import Replica
 
 ORDER_TIMEOUT_MS = 500.0
-"""For an answer that is due in a few milliseconds; a dispatch waits for it."""
+"""The answer normally takes a few milliseconds; a dispatch waits for it."""
 
 OK_STATUS = 200
 CONFLICT_STATUS = 409
@@ -29,13 +29,13 @@
     id: str
     tokens: int | msgspec.UnsetType = msgspec.UNSET
     hold_ms: int | msgspec.UnsetType = msgspec.UNSET
-    """From the arrival of the order, also while the memory is in use."""
+    """Counts from the arrival of the order, even while the memory is in use."""
 
 
 class ReplicaOrders:
-    """Gives orders.
+    """Sends orders to replicas.
 
-    :param client: the connections to upstreams
+    :param client: connections to the replicas
     """
 
     def __init__(self, client: UpstreamClient) -> None:
@@ -44,10 +44,10 @@
     async def reserve(
         self, replica: Replica, reservation_id: str, n_tokens: int, hold_ms: float
     ) -> bool:
-        """Ask for memory, or for more time with the same id.
+        """Reserve memory, or extend the hold time of the reservation with the same id.
 
-        :returns: whether it is set aside; ``False``: it is not free
-        :raises UpstreamError: if nothing is known
+        :returns: whether the memory is reserved; ``False``: not enough is free
+        :raises UpstreamError: if the outcome is not known
         """
         order = _Order("reserve", reservation_id, n_tokens, int(hold_ms))
         status = await self._send(replica, order)
@@ -55,16 +55,16 @@
             return True
         if status == CONFLICT_STATUS:
             return False
-        raise _fault(replica, f"status {status} for a reservation")
+        raise _fault(replica, f"reserve order answered with status {status}")
 
     async def release(self, replica: Replica, reservation_id: str) -> None:
-        """Give memory back; it is no error if there is none.
+        """Release reserved memory; a reservation that does not exist is no error.
 
-        :raises UpstreamError: if the order was not answered
+        :raises UpstreamError: if the order failed or was not answered
         """
         status = await self._send(replica, _Order("release", reservation_id))
         if status not in (OK_STATUS, CONFLICT_STATUS, WRONG_REPLICA_STATUS):
-            raise _fault(replica, f"status {status} for a release")
+            raise _fault(replica, f"release order answered with status {status}")
 
     async def _send(self, replica: Replica, order: _Order) -> int:
         headers = CIMultiDict(
--- a/src/quetzaldeck/platform/reports.py
+++ b/src/quetzaldeck/platform/reports.py
@@ -1,4 +1,4 @@
-"""What engines report of themselves when they are asked."""
+"""Reports that engines return about themselves on request."""
 
 from __future__ import annotations
 
@@ -20,37 +20,37 @@
     from quetzaldeck.routing import Replica
 
 REPORT_TIMEOUT_MS = 500.0
-"""For an answer that is due in a few milliseconds and needs no slot; less than the time
-between two questions, so that questions do not pile up at an engine that hangs."""
+"""The answer normally takes a few milliseconds and needs no slot. The timeout is shorter
+than the polling interval, so that requests do not pile up at an engine that hangs."""
 
 MAX_REPORT_BYTES = 65_536
-"""Hundreds of times what a report has; an answer without end would fill the memory."""
+"""Hundreds of times the size of a report; an endless body would exhaust the memory."""
 
 OK_STATUS = 200
 
 
 class _Report(msgspec.Struct, frozen=True):
     pace: float | None = None
-    """How many times longer than stated its work takes; not every engine tells it."""
+    """Slowdown factor against the configured figures; not every engine reports it."""
     born: int = 0
-    """When it started, in Unix milliseconds; not all engines tell it."""
+    """Start time in Unix milliseconds; not every engine reports it."""
 
 
 class ReplicaReports:
-    """Asks engines for reports.
+    """Requests reports from engines.
 
-    :param client: the connections to upstreams
+    :param client: connections to the engines
     """
 
     def __init__(self, client: UpstreamClient) -> None:
         self._client = client
 
     async def read_pace(self, replica: Replica) -> float | None:
-        """Ask an engine how fast it works.
+        """Request the pace of an engine.
 
-        :returns: how many times longer than stated its work takes; ``None`` if it does
-            not say so, or has started again since its entry was read
-        :raises UpstreamError: if it did not answer as it must
+        :returns: the slowdown factor against the configured figures; ``None`` if the
+            engine does not report it, or has restarted since its entry was read
+        :raises UpstreamError: if there was no valid answer
         """
         name = replica.replica_id
         headers = CIMultiDict({EXPECTED_REPLICA: name})
@@ -62,23 +62,23 @@
                 replica.address, "GET", "/report", headers, None
             )
             async with response:
-                body = await _read_report(name, response)
+                body = await _read_body(name, response)
         if response.status != OK_STATUS:
-            raise _fault(name, f"status {response.status} for a report")
+            raise _fault(name, f"report request answered with status {response.status}")
         try:
             report = msgspec.json.decode(body, type=_Report)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise _fault(name, f"report: {error}") from error
-        is_known_start = report.born in (0, replica.started_ms)
-        return report.pace if is_known_start else None
+            raise _fault(name, f"invalid report: {error}") from error
+        is_known_incarnation = report.born in (0, replica.started_ms)
+        return report.pace if is_known_incarnation else None
 
 
-async def _read_report(name: str, response: aiohttp.ClientResponse) -> bytes:
+async def _read_body(name: str, response: aiohttp.ClientResponse) -> bytes:
     body = b""
-    async for part in response.content.iter_any():
-        body += part
+    async for chunk in response.content.iter_any():
+        body += chunk
         if len(body) > MAX_REPORT_BYTES:
-            raise _fault(name, f"a report of over {MAX_REPORT_BYTES} bytes")
+            raise _fault(name, f"report exceeds {MAX_REPORT_BYTES} bytes")
     return body
 
 
--- a/src/quetzaldeck/platform/store.py
+++ b/src/quetzaldeck/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, read-only: the one client for it."""
+"""Read-only client for the platform's store."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 CONFIGURATION_KEY = "op/config"
 REPLICA_PREFIX = "servers/"
 READ_TIMEOUT_MS = 1_000
-"""For an answer that is due in about 4 ms: a store that is a hundred times too slow is
-still waited for, one that is gone is noticed well within the bounds on belief."""
+"""The answer normally takes about 4 ms. A store that is a hundred times slower is still
+waited for, and an outage is noticed well within the age bounds of the fleet state."""
 GONE_STATUS = 410
 
 
 class _Item(msgspec.Struct, frozen=True):
-    """An item of the store, or the news that it was deleted."""
+    """An item of the store, or the event of its deletion."""
 
     key: str
     revision: int = 0
@@ -47,7 +47,7 @@
 class _Page(msgspec.Struct, frozen=True, rename="camel"):
     items: list[_Item]
     at: int
-    """The store's revision, not a time."""
+    """Revision of the store, not a time."""
     has_more: bool = False
 
 
@@ -64,7 +64,7 @@
     """Reads configuration and replicas from the platform's store.
 
     :param client: used for this store only
-    :param address: IP number and port
+    :param address: IP address and port
     """
 
     def __init__(self, client: aiohttp.ClientSession, address: str) -> None:
@@ -74,8 +74,8 @@
     async def read_all(self) -> SourceAnswer:
         """Read everything; see the base class.
 
-        The revision of the first page is the one to go on from: what changes while
-        the other pages are read is then told again.
+        The answer has the revision of the first page: what changes while the other
+        pages are read is then reported again by :meth:`wait_for_changes`.
         """
         items: list[_Item] = []
         revision: int | None = None
@@ -114,7 +114,9 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise SourceError(f"{path}: {error!r}") from error
         if status == GONE_STATUS:
-            raise HistoryDroppedError(f"{path}: the history is gone")
+            raise HistoryDroppedError(
+                f"{path}: the store no longer has the requested history"
+            )
         if status != 200:
             raise SourceError(f"{path}: status {status}")
         try:
--- a/src/quetzaldeck/platform/wire_configuration.py
+++ b/src/quetzaldeck/platform/wire_configuration.py
@@ -1,7 +1,7 @@
 """The configuration as the platform's operator writes it, and its translation.
 
-Field names follow the wire (in camel case there); where one of them does not say what
-it holds, a comment does.
+Field names are those of the wire format, which has them in camel case. Where a name
+does not tell what the field holds, a comment does.
 """
 
 from __future__ import annotations
@@ -32,23 +32,25 @@
     host: str
     prefix: str
     type: RequestKind
-    """What may be repeated, not a media type."""
+    """Whether requests may be repeated; not a media type."""
     timeout_ms: float
     target_latency_ms: float = 0.0
     priority: int = 0
     service: str | None = None
-    """Stands in place of ``split`` if there is one service only."""
+    """Replaces ``split`` if there is only one service."""
     split: list[_WireTarget] = []
     max_attempts: int = 1
     public: bool = False
-    """Needs no key; says nothing about networks."""
+    """Requests need no API key; says nothing about networks."""
     sticky: bool = False
-    """Its requests carry prompts; no session is bound to a replica."""
+    """Requests carry prompts; no session is bound to a replica, despite the name."""
     resumable: bool = False
     target_gap_ms: float = 0.0
 
     def translate(self) -> Route:
-        targets = [WeightedService(part.service, part.weight) for part in self.split]
+        targets = [
+            WeightedService(target.service, target.weight) for target in self.split
+        ]
         if self.service is not None:
             targets = [WeightedService(self.service, 1.0)]
         return Route(
@@ -78,13 +80,13 @@
     kv_capacity: int = msgspec.field(name="kvCapacity")
     """In tokens, though other sizes here are in bytes."""
     read_per_s: float
-    """Prompt tokens that are read in a second; not calls."""
+    """Prompt tokens prefilled per second; not requests."""
     pairs_per_m: float = 0.0
-    """Milliseconds for a million pairs of tokens."""
+    """Milliseconds per million pairs of tokens."""
     step_ms: float = 1.0
     per_seq_ms: float = 0.0
     context_per_k: float = 0.0
-    """Milliseconds a step for 1,000 tokens of context."""
+    """Milliseconds per step for each 1,000 tokens of context."""
     chunk: int = 2_048
     stride: int = 1
     hop_ms: float = msgspec.field(name="hopMs", default=0.0)
@@ -144,7 +146,7 @@
     services: list[_WireService]
     limits: _WireLimits = _WireLimits()
     tenants: list[_WireTenant] | None = None
-    """If it is there, requests need a key."""
+    """If present, requests need an API key."""
 
     def translate(self) -> RoutingConfiguration:
         keys = None
@@ -169,7 +171,7 @@
 def decode_configuration(value: bytes) -> RoutingConfiguration:
     """:returns: the configuration in ``value``
 
-    :raises msgspec.DecodeError: with the place of the fault
+    :raises msgspec.DecodeError: if it is not valid; the message names the faulty field
     """
     return _DECODER.decode(value).translate()
 
--- a/src/quetzaldeck/platform/wire_replica.py
+++ b/src/quetzaldeck/platform/wire_replica.py
@@ -1,7 +1,8 @@
 """A replica's entry in the platform's store, and its translation.
 
-Entries may come from another writer. One that is not as a replica writes it names no
-replica: what it says would be sent requests that nobody there can run.
+Entries may come from another writer. An entry that does not have the form in which
+replicas write it is rejected: requests would be sent to an address where no replica can
+run them.
 """
 
 from __future__ import annotations
@@ -22,20 +23,20 @@
     address: str
     zone: str
     version: str
-    """Of the replica's software; nothing here goes by it."""
+    """Version of the replica's software; not used here."""
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)]
     sequence: _Count
-    """Orders that it has accepted since its start; nothing here goes by it."""
+    """Number of orders that the replica has accepted since its start; not used here."""
     born: _Count | msgspec.UnsetType = msgspec.UNSET
-    """When it started, in Unix milliseconds; not all replicas say so."""
+    """Start time in Unix milliseconds; not every replica reports it."""
 
 
 _DECODER = msgspec.json.Decoder(_WireReplica)
 
 _ID = re.compile(r"[!-~]{1,200}")
-"""Ids are sent in headers: no blanks, and nothing that would end a line."""
+"""Ids are sent in headers, so they have no whitespace and no line breaks."""
 
 _MAX_PORT = 65_535
 
@@ -43,12 +44,12 @@
 def decode_replica(replica_id: str, value: bytes) -> Replica:
     """:returns: the replica in ``value``
 
-    :raises msgspec.DecodeError: with the place of the fault
-    :raises UnicodeDecodeError: if a text in it is none
+    :raises msgspec.DecodeError: if it is not valid; the message names the faulty field
+    :raises UnicodeDecodeError: if a string in it is not valid UTF-8
     :raises RecursionError: if it is nested too deeply
     """
     if not _ID.fullmatch(replica_id):
-        msg = f"{replica_id!r} is no id of a replica"
+        msg = f"{replica_id!r} is not a valid replica id"
         raise msgspec.ValidationError(msg)
     entry = _DECODER.decode(value)
     _check_address(entry.address)
@@ -65,7 +66,7 @@
 
 
 def _check_address(address: str) -> None:
-    """:raises msgspec.ValidationError: unless it is an IP number and a port"""
+    """:raises msgspec.ValidationError: unless it is an IPv4 address with a port"""
     host, _, port = address.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
@@ -74,7 +75,7 @@
         raise msgspec.ValidationError(msg) from error
     is_port = port.isascii() and port.isdecimal() and 0 < int(port[:6]) <= _MAX_PORT
     if not is_port:
-        msg = f"{port!r} is no port - at `$.address`"
+        msg = f"{port!r} is not a valid port - at `$.address`"
         raise msgspec.ValidationError(msg)
 
 
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers are read and written in one place."""
+"""Translation of the platform's headers in both directions."""
 
 from __future__ import annotations
 
@@ -36,9 +36,7 @@
         ("Quetzaldeck-Deadline-Ms", "1e3"),
     ],
 )
-def test_number_that_is_none_is_an_error_that_names_its_header(
-    name: str, text: str
-) -> None:
+def test_error_for_an_invalid_number_names_its_header(name: str, text: str) -> None:
     with pytest.raises(ValueError, match=name):
         read_call_head({name: text})
 
@@ -46,7 +44,7 @@
 @given(
     st.dictionaries(st.sampled_from(["Quetzaldeck-Instance-Load", "Keep-Alive"]), TEXT)
 )
-def test_answer_head_of_any_text_is_read(headers: dict[str, str]) -> None:
+def test_response_head_with_any_header_text_is_read(headers: dict[str, str]) -> None:
     assert read_answer_head(200, headers).status == 200
 
 
@@ -55,21 +53,21 @@
     assert head.load == ReplicaLoad(3, 1, 8)
 
 
-def test_status_of_a_wrong_replica_says_that_nothing_ran() -> None:
+def test_status_of_a_wrong_replica_means_that_nothing_ran() -> None:
     assert read_answer_head(421, {}).has_not_run
     assert not read_answer_head(503, {}).has_not_run
     assert read_answer_head(503, {"Quetzaldeck-Not-Executed": "1"}).has_not_run
 
 
-def test_what_the_caller_says_in_our_name_is_replaced() -> None:
-    claimed = {
+def test_headers_reserved_for_the_vm_are_replaced() -> None:
+    forged = {
         "quetzaldeck-tenant": "other",
         "quetzaldeck-expect-instance": "other",
         "quetzaldeck-helpers": "10.0.0.1:1",
         "quetzaldeck-request-priority": "0",
         "quetzaldeck-key": "secret",
     }
-    sent = build_request_headers(claimed, TERMS)
+    sent = build_request_headers(forged, TERMS)
     assert dict(sent) == {
         "Quetzaldeck-Deadline-Ms": "1234",
         "Quetzaldeck-Expect-Instance": "r1",
@@ -77,7 +75,7 @@
     }
 
 
-def test_helpers_and_event_are_written() -> None:
+def test_helpers_and_last_event_id_are_written() -> None:
     terms = TERMS._replace(
         helpers=(Helper("10.0.0.1:1", "t1"), Helper("10.0.0.2:1")), last_event_id="7"
     )
@@ -86,6 +84,6 @@
     assert sent.getall("Last-Event-Id") == ["7"]
 
 
-def test_what_concerns_one_connection_is_not_copied() -> None:
+def test_hop_by_hop_headers_are_not_copied() -> None:
     headers = {"Connection": "close, X-A", "X-A": "1", "Keep-Alive": "t", "X-B": "2"}
     assert dict(build_answer_headers(headers)) == {"X-B": "2"}
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""What the platform publishes, and what is not what it should be."""
+"""Decoding of what the platform publishes, valid and invalid."""
 
 from __future__ import annotations
 
@@ -56,27 +56,27 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "wrong", "place"),
+    ("path", "invalid", "location"),
     [
         (("version",), "seven", r"\$\.version"),
         (("routes", 1, "type"), "twice", r"\$\.routes\[1\]\.type"),
         (("services", 0, "engine", "slots"), None, r"engine\.slots"),
     ],
 )
-def test_fault_is_told_with_its_place(
-    path: tuple[Any, ...], wrong: Any, place: str
+def test_error_names_the_faulty_field(
+    path: tuple[Any, ...], invalid: Any, location: str
 ) -> None:
     value = copy.deepcopy(build_configuration())
     inner: Any = value
     for step in path[:-1]:
         inner = inner[step]
-    inner[path[-1]] = wrong
-    with pytest.raises(msgspec.DecodeError, match=place):
+    inner[path[-1]] = invalid
+    with pytest.raises(msgspec.DecodeError, match=location):
         decode_configuration(msgspec.json.encode(value))
 
 
 @given(JSON)
-def test_any_json_is_decoded_or_refused(value: Any) -> None:
+def test_any_json_is_decoded_or_rejected(value: Any) -> None:
     data = msgspec.json.encode(value)
     with suppress(msgspec.DecodeError):
         decode_configuration(data)
@@ -102,21 +102,21 @@
     )
 
 
-def test_replica_need_not_tell_its_start() -> None:
+def test_replica_without_start_time_is_translated() -> None:
     replica = decode_replica("r1", msgspec.json.encode(ENTRY))
     assert not replica.started_ms
     assert not replica.incarnation
 
 
 @pytest.mark.parametrize("field", sorted(ENTRY))
-def test_entry_without_a_field_names_no_replica(field: str) -> None:
+def test_entry_with_a_missing_field_is_rejected(field: str) -> None:
     entry = {name: value for name, value in ENTRY.items() if name != field}
     with pytest.raises(msgspec.ValidationError, match=field):
         decode_replica("r1", msgspec.json.encode(entry))
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid",
     [
         {"service": 7},
         {"service": ""},
@@ -139,30 +139,30 @@
         {"born": -1},
     ],
 )
-def test_entry_with_a_wrong_field_names_no_replica(wrong: dict[str, Any]) -> None:
-    (field,) = wrong
-    data = msgspec.json.encode({**ENTRY, **wrong})
+def test_entry_with_an_invalid_field_is_rejected(invalid: dict[str, Any]) -> None:
+    (field,) = invalid
+    data = msgspec.json.encode({**ENTRY, **invalid})
     with pytest.raises(msgspec.ValidationError, match=rf"\$\.{field}"):
         decode_replica("r1", data)
 
 
 @pytest.mark.parametrize("replica_id", ["", "a b", "a\r\nX: 1", "\u00e9", "a" * 201])
-def test_id_that_no_header_can_hold_names_no_replica(replica_id: str) -> None:
-    with pytest.raises(msgspec.ValidationError, match="no id"):
+def test_replica_id_that_no_header_can_carry_is_rejected(replica_id: str) -> None:
+    with pytest.raises(msgspec.ValidationError, match="is not a valid replica id"):
         decode_replica(replica_id, msgspec.json.encode(ENTRY))
 
 
 @given(st.binary(max_size=40) | st.just(b"[" * 100_000))
-def test_bytes_of_another_writer_take_nothing_from_other_entries(value: bytes) -> None:
-    """All callers are refused, though all replicas are well.
+def test_undecodable_entry_does_not_affect_other_entries(value: bytes) -> None:
+    """Guards against losing all replicas because of one undecodable entry.
 
-    One entry of the list holds bytes that nobody can read; the whole list was dropped
-    for it, and with it every replica.
+    If the whole list is dropped for one entry, all callers are rejected although all
+    replicas are healthy.
     """
-    sound = _Item("servers/r1", value=msgspec.json.encode(ENTRY))
-    foreign = _Item("servers/r2", value=value)
-    changes = _translate((foreign, sound))
+    valid = _Item("servers/r1", value=msgspec.json.encode(ENTRY))
+    undecodable = _Item("servers/r2", value=value)
+    changes = _translate((undecodable, valid))
     assert len(changes) == 2
     assert isinstance(changes[0], UndecodableEntry)
     assert changes[0].replica_id == "r2"
-    assert changes[1] == ReplicaRead(decode_replica("r1", sound.value))
+    assert changes[1] == ReplicaRead(decode_replica("r1", valid.value))
