--- a/src/quetzaldeck/platform/reports.py
+++ b/src/quetzaldeck/platform/reports.py
@@ -20,8 +20,9 @@
     from quetzaldeck.routing import Replica
 
 REPORT_TIMEOUT_MS = 500.0
-"""The answer normally takes a few milliseconds and needs no slot. The timeout is shorter
-than the polling interval, so that requests do not pile up at an engine that hangs."""
+"""The answer normally takes a few milliseconds and needs no slot. The timeout is
+shorter than the polling interval, so that requests do not pile up at an engine that
+hangs."""
 
 MAX_REPORT_BYTES = 65_536
 """Hundreds of times the size of a report; an endless body would exhaust the memory."""
