--- a/src/quetzaldeck/bench/run.py
+++ b/src/quetzaldeck/bench/run.py
@@ -214,7 +214,7 @@
         for vm in self._vms:
             if vm.is_down:
                 continue
-            for news in vm.scheduler.fleet.take_crash_news():
+            for news in vm.scheduler.fleet.pop_crash_sightings():
                 lag_ms = self._scenario.shape.news_lag_ms
                 aged = tuple(n._replace(age_ms=n.age_ms + lag_ms) for n in news)
                 self._events.after(lag_ms, partial(self._take_news, vm, aged))
--- a/src/quetzaldeck/decisions/retries/policy.py
+++ b/src/quetzaldeck/decisions/retries/policy.py
@@ -144,9 +144,9 @@
 
         :returns: whether they allow it
         """
-        if end.has_reached and not self._budget.try_spend(request.n_kv_tokens, now_ms):
+        if end.may_have_run and not self._budget.try_spend(request.n_kv_tokens, now_ms):
             return False
-        if self._resend_budget is None or not end.has_arrived:
+        if self._resend_budget is None or not end.was_sent:
             return True
         return self._resend_budget.try_spend(request.target, now_ms)
 
--- a/src/quetzaldeck/decisions/retries/silence.py
+++ b/src/quetzaldeck/decisions/retries/silence.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from quetzaldeck.decisions.placement.placer import Placer
     from quetzaldeck.decisions.retries.policy import RetryPolicy
-    from quetzaldeck.decisions.tracked import Tracked
+    from quetzaldeck.decisions.tracked import TrackedRequest
 
 FIRST_BYTE_TARGET_FACTOR = 2.0
 """Multiple of the time-to-first-token target after which a silent attempt is checked.
@@ -94,7 +94,7 @@
         self._retries = retries
 
     @staticmethod
-    def is_first_token_overdue(tracked: Tracked, now_ms: float) -> bool:
+    def is_first_token_overdue(tracked: TrackedRequest, now_ms: float) -> bool:
         """:returns: whether the running attempt exceeds its first-byte threshold
 
         False if no attempt runs.
@@ -105,7 +105,7 @@
         return silent_ms >= first_byte_threshold_ms(tracked.request.target_ms)
 
     def judge(
-        self, tracked: Tracked, silent_ms: float, now_ms: float
+        self, tracked: TrackedRequest, silent_ms: float, now_ms: float
     ) -> SilenceVerdict:
         """:returns: whether to abandon the running attempt, or why not
 
--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -73,7 +73,7 @@
             log_event("source_history_gone", level="WARNING", error=error)
             self._questions.labels("source", "history_gone").inc()
             self._must_read_all = True
-            self._sources.choice.note_history_gone()
+            self._sources.choice.note_history_dropped()
             self._state.belief.note_trouble(clock.uptime_ms())
             return 0.0
         except SourceError as error:
@@ -116,7 +116,7 @@
     def _take(self, reading: SourceAnswer, asked_ms: float) -> None:
         belief = self._state.belief
         now_ms = self._state.clock.uptime_ms()
-        notes = belief.take(reading, asked_ms=asked_ms, now_ms=now_ms)
+        notes = belief.apply(reading, asked_ms=asked_ms, now_ms=now_ms)
         self._must_read_all = False
         self._note(notes)
         self._sources.feed.note(reading)
--- a/src/quetzaldeck/entry/peers/task.py
+++ b/src/quetzaldeck/entry/peers/task.py
@@ -221,7 +221,7 @@
 
     def _announce_changes(self, now_ms: float) -> None:
         own_loads = self._state.dispatch.list_shares()
-        changed = self._changes.take(own_loads, now_ms, len(self._table))
+        changed = self._changes.select_due(own_loads, now_ms, len(self._table))
         crashes = [
             CrashUpdate(*sighting)
             for sightings in self._state.dispatch.take_crash_news()
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -90,7 +90,7 @@
 
     def take_crash_news(self) -> list[tuple[CrashSighting, ...]]:
         """:returns: by request, what other VMs should know of it and crashes"""
-        return self._scheduler.fleet.take_crash_news()
+        return self._scheduler.fleet.pop_crash_sightings()
 
     def list_shares(self) -> list[tuple[str, VmLoad]]:
         """:returns: what of this VM is at each upstream"""
--- a/tests/entry/peers/peer_fleet.py
+++ b/tests/entry/peers/peer_fleet.py
@@ -90,7 +90,9 @@
 
     def announce(self, now_ms: float) -> None:
         """Announce the loads that have changed."""
-        changed = self._changes.take(self.own_loads.items(), now_ms, len(self.table))
+        changed = self._changes.select_due(
+            self.own_loads.items(), now_ms, len(self.table)
+        )
         if changed:
             self.node.announce(
                 now_ms, loads=[build_load_update(*entry) for entry in changed]
@@ -119,7 +121,7 @@
         for update in self.node.receive(message, sender, now_ms):
             for load_update in update.loads:
                 load = read_load_update(load_update)
-                self.peer_loads.setdefault(load_update.upstream, PeerLoad()).take(
+                self.peer_loads.setdefault(load_update.upstream, PeerLoad()).update(
                     update.vm, load, now_ms
                 )
                 self.received.append((now_ms, load_update))
