--- a/src/quetzaldeck/membership/update.py
+++ b/src/quetzaldeck/membership/update.py
@@ -1,4 +1,4 @@
-"""News about one member, as it travels between agents."""
+"""Updates about members, as agents send them to each other."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 
 
 class MemberUpdate(NamedTuple):
-    """What some agent believes about one start of an agent.
+    """State of one incarnation of a VM's agent, as some agent believes it to be.
 
-    :param generation: orders the starts of one VM: the wall clock in ms at the
-        start, raised by the agent itself if it hears of a higher one
-    :param beat: counter that only that agent raises; a higher one is newer
+    :param generation: orders the incarnations of one VM: the wall clock in ms when
+        the agent started, raised by that agent if it learns of a higher one
+    :param state_version: counter that only that agent raises, to refute a suspicion
+        or to leave; the higher one is newer
     """
 
     vm: str
     incarnation: str
     generation: int
-    beat: int
+    state_version: int
     state: MemberState
     address: str
     availability_zone: str
 
 
-# Of two updates with the same beat the one further down this order wins: only the
-# agent itself can take a suspicion back, by raising its beat.
+# Of two updates with the same state version the one further down this order wins, so
+# only the agent itself can refute a suspicion, by raising its state version.
 _STATE_ORDER = {
     MemberState.LIVE: 0,
     MemberState.SUSPECTED: 1,
@@ -34,19 +35,19 @@
 }
 
 
-def is_newer(update: MemberUpdate, held: MemberUpdate) -> bool:
-    """:returns: whether ``update`` replaces ``held``, which is of the same VM"""
-    if update.incarnation != held.incarnation:
-        start = (update.generation, update.incarnation)
-        return start > (held.generation, held.incarnation)
-    if held.state is MemberState.LEAVING:
+def is_newer(update: MemberUpdate, current: MemberUpdate) -> bool:
+    """:returns: whether ``update`` is newer than ``current``, about the same VM"""
+    if update.incarnation != current.incarnation:
+        order = (update.generation, update.incarnation)
+        return order > (current.generation, current.incarnation)
+    if current.state is MemberState.LEAVING:
         return update.state is MemberState.DEAD
-    return _rank(update) > _rank(held)
+    return _rank(update) > _rank(current)
 
 
 def _rank(update: MemberUpdate) -> tuple[int, int, int]:
-    # Only the agent itself raises its generation too, so the higher one is newer.
-    return update.generation, update.beat, _STATE_ORDER[update.state]
+    # The generation, too, is raised only by its own agent: the higher one is newer.
+    return update.generation, update.state_version, _STATE_ORDER[update.state]
 
 
 __all__ = ("MemberUpdate", "is_newer")
