--- a/src/quetzaldeck/entry/attempt.py
+++ b/src/quetzaldeck/entry/attempt.py
@@ -17,7 +17,7 @@
 from quetzaldeck.entry.response_head import ResponseHead
 from quetzaldeck.entry.silence_watch import SilenceWatch
 from quetzaldeck.gateway.messages import ObserveLoad
-from quetzaldeck.platform import build_request_headers, read_answer_head
+from quetzaldeck.platform import build_request_headers, read_response_head
 from quetzaldeck.upstreams import UpstreamError
 from quetzaldeck.upstreams.http import translate_faults
 
@@ -112,7 +112,7 @@
                 lambda: self._send(dispatch, helpers, last_event_id)
             )
             try:
-                head = read_answer_head(response.status, response.headers)
+                head = read_response_head(response.status, response.headers)
                 self._report_load(name, head)
                 self._check_head(name, head)
                 yield OpenResponse(head, response)
--- a/src/quetzaldeck/entry/belief_sources.py
+++ b/src/quetzaldeck/entry/belief_sources.py
@@ -86,7 +86,7 @@
             self.list_neighbours(),
             self._table.list_others(zone),
             self._state.clock.uptime_ms(),
-            seeds=self._table.unheard_seeds,
+            seeds=self._table.unknown_seeds,
         )
 
     def _find_capacity(self, address: str) -> float:
--- a/src/quetzaldeck/entry/call_run.py
+++ b/src/quetzaldeck/entry/call_run.py
@@ -11,7 +11,7 @@
 from quetzaldeck.entry.attempt import AttemptRunner
 from quetzaldeck.entry.stream_relay import StreamRelay
 from quetzaldeck.gateway.errors import RequestError
-from quetzaldeck.platform import build_answer_headers
+from quetzaldeck.platform import build_response_headers
 from quetzaldeck.routing import RequestKind
 from quetzaldeck.telemetry import log_event
 from quetzaldeck.upstreams import UpstreamError
@@ -111,7 +111,7 @@
         response = web.Response(
             body=body,
             status=opened.head.status,
-            headers=build_answer_headers(opened.response.headers),
+            headers=build_response_headers(opened.response.headers),
         )
         if opened.head.status < SERVER_ERROR_STATUS:
             return response
--- a/src/quetzaldeck/entry/peers/belief_feed.py
+++ b/src/quetzaldeck/entry/peers/belief_feed.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.belief import ChangeLog
-from quetzaldeck.entry.peers.belief_news import BeliefNews
+from quetzaldeck.entry.peers.belief_update import BeliefUpdate
 
 if TYPE_CHECKING:
     from quetzaldeck.belief import FleetBelief, SourceAnswer
@@ -32,9 +32,9 @@
             self._changed.set()
             self._changed = asyncio.Event()
 
-    async def wait_for_news(
+    async def wait_for_update(
         self, revision: int, version: int, wait_ms: float
-    ) -> BeliefNews | None:
+    ) -> BeliefUpdate | None:
         """Wait until there is a change, at most for ``wait_ms``.
 
         :param revision: revision of the store that the polling VM has
@@ -58,7 +58,7 @@
         configuration = self._belief.configuration
         return 0 if configuration is None else configuration.version
 
-    def _build(self, revision: int, version: int, waited_ms: float) -> BeliefNews:
+    def _build(self, revision: int, version: int, waited_ms: float) -> BeliefUpdate:
         belief = self._belief
         now_ms = self._clock.uptime_ms()
         changed = self._log.list_changed(revision)
@@ -70,7 +70,7 @@
             entries = {name: belief.find_entry(name) for name in changed or ()}
             replicas = tuple(entry for entry in entries.values() if entry is not None)
             removed = tuple(name for name, entry in entries.items() if entry is None)
-        return BeliefNews(
+        return BeliefUpdate(
             max(revision, belief.revision),
             belief.age_ms(now_ms),
             waited_ms,
--- a/src/quetzaldeck/entry/peers/belief_service.py
+++ b/src/quetzaldeck/entry/peers/belief_service.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from quetzaldeck.entry.peers.belief_news import (
+from quetzaldeck.entry.peers.belief_update import (
     AFTER_FIELD,
     BELIEF_PATH,
     VERSION_FIELD,
@@ -61,7 +61,7 @@
             text = f"{BELIEF_PATH}: {error!r}"
             return web.Response(status=BAD_REQUEST_STATUS, text=text)
         wait_ms = min(max(0.0, wait_ms), MAX_WAIT_MS)
-        news = await self._read_feed().wait_for_news(revision, version, wait_ms)
+        news = await self._read_feed().wait_for_update(revision, version, wait_ms)
         if news is None:
             return web.Response(status=NO_STATE_STATUS)
         return json_response(news)
--- a/src/quetzaldeck/entry/peers/belief_source.py
+++ b/src/quetzaldeck/entry/peers/belief_source.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from quetzaldeck.belief import BeliefSource, SourceAnswer, SourceError
-from quetzaldeck.entry.peers.belief_news import (
+from quetzaldeck.entry.peers.belief_update import (
     AFTER_FIELD,
     BELIEF_PATH,
     VERSION_FIELD,
     WAIT_FIELD,
-    decode_belief_news,
+    decode_belief_update,
 )
 
 OK_STATUS = 200
@@ -69,7 +69,7 @@
         if status != OK_STATUS:
             raise SourceError(f"{self._url}: status {status}")
         try:
-            return decode_belief_news(body).translate()
+            return decode_belief_update(body).translate()
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise SourceError(f"{self._url}: {error}") from error
 
--- a/src/quetzaldeck/entry/peers/belief_news.py
+++ b/src/quetzaldeck/entry/peers/belief_update.py
@@ -19,7 +19,7 @@
 WAIT_FIELD = "wait_ms"
 
 
-class BeliefNews(msgspec.Struct, frozen=True, omit_defaults=True):
+class BeliefUpdate(msgspec.Struct, frozen=True, omit_defaults=True):
     """The fleet state of the peer queried, or the part that is new to the polling VM.
 
     :param revision: revision of the store that the peer has read
@@ -57,10 +57,10 @@
         )
 
 
-_DECODER = msgspec.json.Decoder(BeliefNews)
+_DECODER = msgspec.json.Decoder(BeliefUpdate)
 
 
-def decode_belief_news(data: bytes) -> BeliefNews:
+def decode_belief_update(data: bytes) -> BeliefUpdate:
     """:returns: the update in a response body
 
     :raises msgspec.DecodeError: if it is not valid; the message names the faulty field
@@ -73,6 +73,6 @@
     "BELIEF_PATH",
     "VERSION_FIELD",
     "WAIT_FIELD",
-    "BeliefNews",
-    "decode_belief_news",
+    "BeliefUpdate",
+    "decode_belief_update",
 )
--- a/src/quetzaldeck/entry/peers/table.py
+++ b/src/quetzaldeck/entry/peers/table.py
@@ -69,7 +69,7 @@
         return self._addresses
 
     @property
-    def unheard_seeds(self) -> tuple[str, ...]:
+    def unknown_seeds(self) -> tuple[str, ...]:
         """:returns: seeds that were not heard or reported recently; they may be gone"""
         return tuple(set(self._seeds).difference(self.addresses))
 
--- a/src/quetzaldeck/entry/peers/task.py
+++ b/src/quetzaldeck/entry/peers/task.py
@@ -115,7 +115,7 @@
         except TimeoutError:
             return
 
-    def tell_paces(self, paces: Mapping[str, float]) -> None:
+    def announce_paces(self, paces: Mapping[str, float]) -> None:
         """Announce the slowdown factors of some engines to all other VMs."""
         self._node.announce(self._state.clock.now_ms(), paces=paces)
         self._send_outgoing()
--- a/src/quetzaldeck/entry/session.py
+++ b/src/quetzaldeck/entry/session.py
@@ -99,7 +99,7 @@
             self._state,
             ReplicaReports(upstreams),
             self._peer_table,
-            peer_task.tell_paces,
+            peer_task.announce_paces,
             own_address=self._own_host,
         )
         await self._stack.enter_async_context(
--- a/src/quetzaldeck/entry/stream_relay.py
+++ b/src/quetzaldeck/entry/stream_relay.py
@@ -10,7 +10,7 @@
 from quetzaldeck.entry.event_reader import EventReader, EventTooLargeError
 from quetzaldeck.gateway.errors import RequestError
 from quetzaldeck.outcomes import Failure, Ran, Reason
-from quetzaldeck.platform import build_answer_headers
+from quetzaldeck.platform import build_response_headers
 from quetzaldeck.upstreams import UpstreamError
 
 if TYPE_CHECKING:
@@ -150,7 +150,7 @@
 
     async def _start_response(self, upstream: aiohttp.ClientResponse) -> None:
         self._response = web.StreamResponse(
-            status=upstream.status, headers=build_answer_headers(upstream.headers)
+            status=upstream.status, headers=build_response_headers(upstream.headers)
         )
         await self._response.prepare(self._call.http_request)
 
--- a/src/quetzaldeck/platform/__init__.py
+++ b/src/quetzaldeck/platform/__init__.py
@@ -4,10 +4,10 @@
 
 from quetzaldeck.platform.headers import (
     CALL_ID,
-    build_answer_headers,
     build_request_headers,
-    read_answer_head,
+    build_response_headers,
     read_call_head,
+    read_response_head,
 )
 from quetzaldeck.platform.orders import ReplicaOrders
 from quetzaldeck.platform.reports import ReplicaReports
@@ -18,8 +18,8 @@
     "PlatformStore",
     "ReplicaOrders",
     "ReplicaReports",
-    "build_answer_headers",
     "build_request_headers",
-    "read_answer_head",
+    "build_response_headers",
     "read_call_head",
+    "read_response_head",
 )
--- a/src/quetzaldeck/platform/headers.py
+++ b/src/quetzaldeck/platform/headers.py
@@ -67,7 +67,7 @@
     )
 
 
-def read_answer_head(status: int, headers: Mapping[str, str]) -> ResponseHead:
+def read_response_head(status: int, headers: Mapping[str, str]) -> ResponseHead:
     """:returns: the head of a replica's answer; what cannot be read is left out"""
     is_other_replica = status == WRONG_REPLICA_STATUS
     return ResponseHead(
@@ -103,7 +103,7 @@
     return sent
 
 
-def build_answer_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
+def build_response_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
     """:returns: the headers that a caller receives for a replica's"""
     return _copy_end_to_end(headers)
 
@@ -175,8 +175,8 @@
     "CALL_ID",
     "EXPECTED_REPLICA",
     "WRONG_REPLICA_STATUS",
-    "build_answer_headers",
     "build_request_headers",
-    "read_answer_head",
+    "build_response_headers",
     "read_call_head",
+    "read_response_head",
 )
--- a/tests/entry/peers/test_peer_table.py
+++ b/tests/entry/peers/test_peer_table.py
@@ -76,7 +76,7 @@
     table.note_reported({"a": {"10.0.0.6": 0.5}, "b": {"10.0.0.7": 0.25}}, 0.0)
     assert sorted(table.list_zone("a")) == ["10.0.0.5", "10.0.0.6"]
     assert sorted(table.list_others("a")) == ["10.0.0.7"]
-    assert sorted(table.unheard_seeds) == ["10.0.0.0", "10.0.0.2"]
+    assert sorted(table.unknown_seeds) == ["10.0.0.0", "10.0.0.2"]
     assert table.sample_heard(0.0) == {"a": {"10.0.0.5": 0.0}}
     assert table.list_capacities() == {
         "a": {"10.0.0.5": UNKNOWN_CAPACITY, "10.0.0.6": 0.5},
--- a/tests/entry/test_sharing.py
+++ b/tests/entry/test_sharing.py
@@ -19,7 +19,7 @@
 )
 from tests.support.platform.store import CONFIGURATION_KEY
 
-from quetzaldeck.entry.peers.belief_news import BeliefNews, decode_belief_news
+from quetzaldeck.entry.peers.belief_update import BeliefUpdate, decode_belief_update
 
 if TYPE_CHECKING:
     from tests.support.platform.fleet import EntryFleet, EntryVm
@@ -85,7 +85,7 @@
     async def test(fleet: EntryFleet) -> None:
         watcher = fleet.vms[fleet.list_watchers()[0]]
         feed = watcher.sources.feed
-        feed.wait_for_news = never  # type: ignore[method-assign, assignment]
+        feed.wait_for_update = never  # type: ignore[method-assign, assignment]
         await publish(fleet, 2)
 
     run_fleet(test)
@@ -167,10 +167,10 @@
 @given(st.binary(max_size=200))
 def test_any_body_is_decoded_or_refused(data: bytes) -> None:
     try:
-        news = decode_belief_news(data)
+        news = decode_belief_update(data)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return
-    assert isinstance(news, BeliefNews)
+    assert isinstance(news, BeliefUpdate)
 
 
 async def never(*arguments: object) -> None:
--- a/tests/fuzz/test_entry.py
+++ b/tests/fuzz/test_entry.py
@@ -27,7 +27,7 @@
 )
 
 from quetzaldeck.entry.call_head import PromptSize
-from quetzaldeck.platform import read_answer_head, read_call_head
+from quetzaldeck.platform import read_call_head, read_response_head
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -193,6 +193,6 @@
 
 @given(value=HEADER_VALUES)
 def test_any_answer_of_a_replica_is_read(value: str) -> None:
-    load = read_answer_head(200, {"Quetzaldeck-Instance-Load": value}).load
+    load = read_response_head(200, {"Quetzaldeck-Instance-Load": value}).load
     if load is not None:
         assert min(load) >= 0
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -10,10 +10,10 @@
 from quetzaldeck.entry.forwarding_parameters import ForwardingParameters, Helper
 from quetzaldeck.entry.response_head import ReplicaLoad
 from quetzaldeck.platform import (
-    build_answer_headers,
     build_request_headers,
-    read_answer_head,
+    build_response_headers,
     read_call_head,
+    read_response_head,
 )
 
 TERMS = ForwardingParameters("r1", "gym", 1_234.5)
@@ -45,18 +45,18 @@
     st.dictionaries(st.sampled_from(["Quetzaldeck-Instance-Load", "Keep-Alive"]), TEXT)
 )
 def test_response_head_with_any_header_text_is_read(headers: dict[str, str]) -> None:
-    assert read_answer_head(200, headers).status == 200
+    assert read_response_head(200, headers).status == 200
 
 
 def test_load_is_read() -> None:
-    head = read_answer_head(200, {"Quetzaldeck-Instance-Load": "3,1,8"})
+    head = read_response_head(200, {"Quetzaldeck-Instance-Load": "3,1,8"})
     assert head.load == ReplicaLoad(3, 1, 8)
 
 
 def test_status_of_a_wrong_replica_means_that_nothing_ran() -> None:
-    assert read_answer_head(421, {}).has_not_run
-    assert not read_answer_head(503, {}).has_not_run
-    assert read_answer_head(503, {"Quetzaldeck-Not-Executed": "1"}).has_not_run
+    assert read_response_head(421, {}).has_not_run
+    assert not read_response_head(503, {}).has_not_run
+    assert read_response_head(503, {"Quetzaldeck-Not-Executed": "1"}).has_not_run
 
 
 def test_headers_reserved_for_the_vm_are_replaced() -> None:
@@ -86,4 +86,4 @@
 
 def test_hop_by_hop_headers_are_not_copied() -> None:
     headers = {"Connection": "close, X-A", "X-A": "1", "Keep-Alive": "t", "X-B": "2"}
-    assert dict(build_answer_headers(headers)) == {"X-B": "2"}
+    assert dict(build_response_headers(headers)) == {"X-B": "2"}
--- a/tests/support/platform/sharing_cost.py
+++ b/tests/support/platform/sharing_cost.py
@@ -18,7 +18,7 @@
     from collections.abc import Awaitable, Callable
 
     from quetzaldeck.entry.peers import BeliefFeed
-    from quetzaldeck.entry.peers.belief_news import BeliefNews
+    from quetzaldeck.entry.peers.belief_update import BeliefUpdate
 
 SIZES = (2, 4, 8, 16, 32)
 MEASURED_S = 6.0
@@ -47,10 +47,10 @@
     def __init__(self, feed: BeliefFeed) -> None:
         self.n_told = 0
         self.n_bytes = 0
-        self._ask: Callable[..., Awaitable[BeliefNews | None]] = feed.wait_for_news
-        feed.wait_for_news = self._count  # type: ignore[method-assign, assignment]
+        self._ask: Callable[..., Awaitable[BeliefUpdate | None]] = feed.wait_for_update
+        feed.wait_for_update = self._count  # type: ignore[method-assign, assignment]
 
-    async def _count(self, *arguments: object) -> BeliefNews | None:
+    async def _count(self, *arguments: object) -> BeliefUpdate | None:
         news = await self._ask(*arguments)
         self.n_told += 1
         self.n_bytes += len(msgspec.json.encode(news))
