--- a/src/quetzaldeck/entry/peers/belief_service.py
+++ b/src/quetzaldeck/entry/peers/belief_service.py
@@ -61,10 +61,10 @@
             text = f"{BELIEF_PATH}: {error!r}"
             return web.Response(status=BAD_REQUEST_STATUS, text=text)
         wait_ms = min(max(0.0, wait_ms), MAX_WAIT_MS)
-        news = await self._read_feed().wait_for_update(revision, version, wait_ms)
-        if news is None:
+        update = await self._read_feed().wait_for_update(revision, version, wait_ms)
+        if update is None:
             return web.Response(status=NO_STATE_STATUS)
-        return json_response(news)
+        return json_response(update)
 
 
 __all__ = ("BeliefService",)
--- a/src/quetzaldeck/platform/headers.py
+++ b/src/quetzaldeck/platform/headers.py
@@ -54,9 +54,9 @@
 
 
 def read_call_head(headers: Mapping[str, str]) -> CallHead:
-    """Read the head of a caller's request.
+    """Parse the headers of a caller's request.
 
-    :raises ValueError: if a number is none; the text names the header
+    :raises ValueError: if a number is not valid; the message names the header
     """
     return CallHead(
         headers.get(CALL_ID, ""),
@@ -68,7 +68,7 @@
 
 
 def read_response_head(status: int, headers: Mapping[str, str]) -> ResponseHead:
-    """:returns: the head of a replica's answer; what cannot be read is left out"""
+    """Parse the status and headers of a replica's response; ignore invalid values."""
     is_other_replica = status == WRONG_REPLICA_STATUS
     return ResponseHead(
         status,
@@ -84,27 +84,29 @@
 
 
 def build_request_headers(
-    headers: Mapping[str, str], terms: ForwardingParameters
+    headers: Mapping[str, str], parameters: ForwardingParameters
 ) -> CIMultiDict[str]:
-    """:returns: the headers that a replica receives for a caller's"""
+    """:returns: the headers of the request that is forwarded to a replica"""
     sent = _copy_end_to_end(headers)
     for name in _HEADERS_SET_BY_VM:
         sent.popall(name, None)
-    sent[_DEADLINE] = str(max(1, int(terms.remaining_ms)))
-    sent[EXPECTED_REPLICA] = terms.replica_id
-    if terms.customer:
-        sent[_CUSTOMER] = terms.customer
-    if terms.rank is not None:
-        sent[_RANK] = str(terms.rank)
-    if terms.helpers:
-        sent[_HELPERS] = ",".join(_format_helper(helper) for helper in terms.helpers)
-    if terms.last_event_id is not None:
-        sent[_LAST_EVENT] = terms.last_event_id
+    sent[_DEADLINE] = str(max(1, int(parameters.remaining_ms)))
+    sent[EXPECTED_REPLICA] = parameters.replica_id
+    if parameters.customer:
+        sent[_CUSTOMER] = parameters.customer
+    if parameters.rank is not None:
+        sent[_RANK] = str(parameters.rank)
+    if parameters.helpers:
+        sent[_HELPERS] = ",".join(
+            _format_helper(helper) for helper in parameters.helpers
+        )
+    if parameters.last_event_id is not None:
+        sent[_LAST_EVENT] = parameters.last_event_id
     return sent
 
 
 def build_response_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """:returns: the headers that a caller receives for a replica's"""
+    """:returns: the headers of the response that is forwarded to the caller"""
     return _copy_end_to_end(headers)
 
 
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -16,7 +16,7 @@
     read_response_head,
 )
 
-TERMS = ForwardingParameters("r1", "gym", 1_234.5)
+PARAMETERS = ForwardingParameters("r1", "gym", 1_234.5)
 TEXT = st.text(st.characters(min_codepoint=32, max_codepoint=126), max_size=30)
 
 
@@ -67,7 +67,7 @@
         "quetzaldeck-request-priority": "0",
         "quetzaldeck-key": "secret",
     }
-    sent = build_request_headers(forged, TERMS)
+    sent = build_request_headers(forged, PARAMETERS)
     assert dict(sent) == {
         "Quetzaldeck-Deadline-Ms": "1234",
         "Quetzaldeck-Expect-Instance": "r1",
@@ -76,10 +76,10 @@
 
 
 def test_helpers_and_last_event_id_are_written() -> None:
-    terms = TERMS._replace(
+    parameters = PARAMETERS._replace(
         helpers=(Helper("10.0.0.1:1", "t1"), Helper("10.0.0.2:1")), last_event_id="7"
     )
-    sent = build_request_headers({"Last-Event-Id": "3"}, terms)
+    sent = build_request_headers({"Last-Event-Id": "3"}, parameters)
     assert sent["Quetzaldeck-Helpers"] == "10.0.0.1:1/t1,10.0.0.2:1"
     assert sent.getall("Last-Event-Id") == ["7"]
 
