--- a/src/quetzaldeck/claims/__init__.py
+++ b/src/quetzaldeck/claims/__init__.py
@@ -1,9 +1,10 @@
-"""Claims: a call runs at most once, whichever VM its caller resends it to.
+"""At-most-once execution of calls, whichever VM the caller resends them to.
 
 Decision modules without I/O. :class:`Voter` grants keys and agrees with its peers on
-who votes, :class:`VoteTally` counts the votes of a claimant, :class:`ClaimTracker`
-follows a claimant's claims and keeps answers. Whoever embeds them carries the
-messages between VMs; docs/design/at-most-once.md has the proof and what it assumes.
+the voter set, :class:`VoteTally` counts the votes for one claim and
+:class:`ClaimTracker` keeps the state and the answers of a VM's own claims. The code
+that embeds them sends the messages between VMs. docs/design/at-most-once.md has the
+proof and its assumptions.
 
 Three voters that have just started, and two claimants of one key:
 
--- a/src/quetzaldeck/claims/chain.py
+++ b/src/quetzaldeck/claims/chain.py
@@ -1,11 +1,11 @@
-"""How one voter moves from one voter set to the next.
+"""Reconfiguration: how a voter moves from one voter set to the next.
 
 A voter set replaces an older one only after a majority of the older one has adopted
-it, so that a minority that believes the others dead never becomes a majority of
-its own. There is no leader: every voter proposes what it sees, proposals merge, and
-the adopted sets of one voter form a chain, each covering the one before. Any two
-majorities share a voter, whose chain orders what both have adopted; so all sets
-that ever replace the first one are ordered as well.
+it, so a minority that considers the other voters dead cannot form a majority of its
+own. There is no leader: every voter proposes the changes that it sees, and proposals
+are merged. The adopted sets of a voter form a chain, in which each set covers the one
+before. Any two majorities have a common voter, whose chain orders the sets that both
+adopted; so all sets that ever replace the first one are totally ordered.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class Commit(NamedTuple):
-    """A voter set that may replace the base.
+    """A voter set that may replace the committed one.
 
-    :param adopters: the replies that prove it; their claims must be taken over
-    :param is_blind: whether seats counted that lost what they had granted
+    :param adopters: replies of voters that adopted it; their claims must be merged
+    :param loses_grants: whether retired voters, whose claims are lost, were counted
     """
 
     target: VoterSet
@@ -34,7 +34,7 @@
 
 
 class VoterSetChain:
-    """The base that a voter votes in, and the sets adopted on top of it."""
+    """The committed set of a voter, and the pending sets that it has adopted since."""
 
     def __init__(self) -> None:
         self._committed: VoterSet | None = None
@@ -42,12 +42,12 @@
 
     @property
     def committed(self) -> VoterSet | None:
-        """:returns: the oldest set that still counts; ``None`` before the first"""
+        """:returns: the set in force; ``None`` before the first one"""
         return self._committed
 
     @property
     def pending(self) -> tuple[VoterSet, ...]:
-        """:returns: the sets adopted later, in order"""
+        """:returns: the sets adopted after the committed one, in order"""
         return self._pending
 
     @property
@@ -57,11 +57,11 @@
 
     @property
     def required_sets(self) -> tuple[VoterSet, ...]:
-        """:returns: the sets in each of which a claimant needs a majority"""
+        """:returns: the voter sets in each of which a claimant needs a majority"""
         return () if self._committed is None else (self._committed, *self._pending)
 
     def adopt(self, proposal: VoterSet) -> None:
-        """Adopt the newest set merged with ``proposal``."""
+        """Adopt the merge of the newest set and ``proposal``, if it is a new set."""
         newest = self.newest
         if newest is None:
             return
@@ -72,9 +72,9 @@
     def set_committed(
         self, committed: VoterSet, pending: Sequence[VoterSet] = ()
     ) -> None:
-        """Vote in ``base`` from now on; adopted sets that go beyond it stay.
+        """Commit a voter set; adopted sets that extend it stay pending.
 
-        :param targets: sets that the voter who told of ``base`` has adopted
+        :param pending: pending sets of the peer that reported ``committed``
         """
         newest = self.newest
         self._pending = tuple(
@@ -90,11 +90,11 @@
     def find_commit(
         self, replies: Sequence[SyncReply], retired: Collection[VoterId]
     ) -> Commit | None:
-        """Find the newest adopted set that may replace the base.
+        """Find the newest adopted set that may replace the committed one.
 
-        :param replies: of one round, this voter's own included
-        :param vacated: seats that are proved to be empty and may be counted;
-            a commit that needs them is blind
+        :param replies: replies of one round, including this voter's own
+        :param retired: ids that will never vote again and may be counted as adopters;
+            a commit that needs them loses grants
         """
         for target in reversed(self._pending):
             adopters = tuple(
@@ -111,11 +111,11 @@
     def _list_superseded(
         self, target: VoterSet, adopters: Iterable[SyncReply]
     ) -> set[VoterSet]:
-        """:returns: every older set that may be a base somewhere
+        """:returns: every older set that a voter may have committed
 
-        A set between base and target that a majority adopted may be in use by
-        voters that know nothing of the target. Crossing it unasked would leave
-        two bases with majorities that share nobody.
+        A set between the committed one and the target that a majority adopted may be in
+        force at voters that do not know the target. If it were skipped without its own
+        majority, two committed sets could have majorities without a common voter.
         """
         sets = set(self.required_sets)
         for reply in adopters:
--- a/src/quetzaldeck/claims/claim_tracker.py
+++ b/src/quetzaldeck/claims/claim_tracker.py
@@ -1,4 +1,4 @@
-"""What a claimant knows of its own claims, and the answers it keeps."""
+"""States of a claimant's own claims, and the answers stored for resends."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ClaimState(StrEnum):
-    """State of a claim at its claimant."""
+    """Progress of a claim at its claimant."""
 
     CLAIMING = "claiming"
     WON = "won"
@@ -24,9 +24,9 @@
 
 
 class KeptAnswer(NamedTuple):
-    """An answer as the upstream gave it.
+    """An answer as the upstream sent it.
 
-    :param body: in base64 on the wire
+    :param body: encoded in base64 in messages
     """
 
     status: int
@@ -35,9 +35,9 @@
 
 
 class ClaimStatus(NamedTuple):
-    """A claim at its claimant.
+    """Status of a claim as its claimant reports it.
 
-    :param answer: set if the call finished and its answer is still kept
+    :param answer: set if the call finished and its answer is still stored
     """
 
     state: ClaimState
@@ -51,10 +51,10 @@
 
 
 class ClaimTracker:
-    """Follows each claim from its first vote to its answer.
+    """Tracks each claim from its first vote to its answer.
 
-    An abandoned claim stays abandoned: whoever was told that it will not run may
-    run the call itself, so a vote that comes late must not bring it back.
+    An abandoned claim stays abandoned, even if late votes would win it: a VM that was
+    told that the claim will not run may have run the call itself.
     """
 
     def __init__(self, clock: Clock, settings: ClaimSettings) -> None:
@@ -68,7 +68,7 @@
         return len(self._entries)
 
     def begin(self, claim: Claim) -> None:
-        """Note a claim before the first voter is asked."""
+        """Start tracking a claim; called before the first voter is asked."""
         self._expire()
         while len(self._entries) >= self._settings.max_claims:
             self._drop_oldest()
@@ -78,21 +78,21 @@
         )
 
     def win(self, claim_id: str) -> bool:
-        """:returns: whether the claim may now be run; not if it was abandoned"""
+        """:returns: whether the call may now run; false for an abandoned claim"""
         if self.find(claim_id).state is not ClaimState.CLAIMING:
             return False
         self._set(claim_id, ClaimStatus(ClaimState.WON))
         return True
 
     def abandon(self, claim_id: str) -> None:
-        """Give a claim up; the caller of this must know that nothing was run."""
+        """Abandon a claim; the caller must be sure that the call has not run."""
         if self.find(claim_id).state is not ClaimState.FINISHED:
             self._set(claim_id, ClaimStatus(ClaimState.ABANDONED))
 
     def finish(self, claim_id: str, answer: KeptAnswer | None) -> None:
-        """Keep the answer of a claim, as far as there is room.
+        """Mark a claim as finished, and store its answer if there is space.
 
-        :param answer: ``None`` if the call may have run but no answer came
+        :param answer: ``None`` if the call may have run but no answer was received
         """
         if self.find(claim_id).state is not ClaimState.WON:
             return
@@ -104,13 +104,13 @@
         self._set(claim_id, ClaimStatus(ClaimState.FINISHED, answer))
 
     def find(self, claim_id: str) -> ClaimStatus:
-        """:returns: where a claim stands"""
+        """:returns: the status of a claim"""
         self._expire()
         entry = self._entries.get(claim_id)
         return ClaimStatus(ClaimState.UNKNOWN) if entry is None else entry.claim_status
 
     def list_finished(self) -> tuple[tuple[Claim, KeptAnswer], ...]:
-        """:returns: finished claims whose answers are kept, oldest first"""
+        """:returns: finished claims whose answers are stored, oldest first"""
         self._expire()
         return tuple(
             (entry.claim, entry.claim_status.answer)
@@ -119,7 +119,7 @@
         )
 
     def import_answer(self, claim: Claim, answer: KeptAnswer) -> None:
-        """Keep the answer of a VM that leaves."""
+        """Store an answer that a leaving VM has handed over."""
         if self.find(claim.claim_id).state is ClaimState.UNKNOWN:
             self.begin(claim)
             self.win(claim.claim_id)
@@ -131,7 +131,10 @@
             self._entries[claim_id] = entry._replace(claim_status=status)
 
     def _evict_answers(self, n_bytes: int) -> bool:
-        """Drop the oldest answers until ``n_bytes`` fit."""
+        """Evict the oldest answers until ``n_bytes`` fit.
+
+        :returns: whether they fit at all
+        """
         bound = self._settings.max_held_bytes
         if n_bytes > min(self._settings.max_answer_bytes, bound):
             return False
@@ -153,7 +156,7 @@
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
-        """Forget a claim; whoever asks is told that nothing is known of it."""
+        """Drop the oldest claim; its status is then reported as unknown."""
         claim_id, _ = self._entries.popitem(last=False)
         self._drop_answer(claim_id)
 
--- a/src/quetzaldeck/claims/claimant_messages.py
+++ b/src/quetzaldeck/claims/claimant_messages.py
@@ -1,4 +1,4 @@
-"""Messages that only claimants exchange: who holds a claim, and its answer."""
+"""Messages between claimants: the state of a claim, and its answer."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class ClaimStatusRequest(NamedTuple):
-    """Asks a claimant where its claim stands; it answers when that changes.
+    """Asks a claimant for the state of its claim.
 
-    :param wait_ms: longest time to wait for the end of a call that runs
+    :param wait_ms: how long the claimant may delay its reply while the call is running
     """
 
     claim_id: str
@@ -19,7 +19,7 @@
 
 
 class AnswerHandover(NamedTuple):
-    """Answers that a VM which leaves gives to another."""
+    """Stored answers that a leaving VM sends to another VM."""
 
     answers: tuple[tuple[Claim, KeptAnswer], ...]
 
--- a/src/quetzaldeck/claims/fleet_view.py
+++ b/src/quetzaldeck/claims/fleet_view.py
@@ -1,4 +1,4 @@
-"""What a voter believes about the VMs."""
+"""A voter's view of the VMs in the fleet."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class FleetView(NamedTuple):
-    """What a voter believes about the VMs; wrong beliefs cost no safety.
+    """A voter's view of the fleet; a wrong view cannot make a key run twice.
 
     :param listed: VMs on the platform's list
-    :param gone: VMs that should not vote: not heard from, or not wanted any more
-    :param wanted: VMs that should vote; ``None``: all that are listed
+    :param gone: VMs that should not vote: not heard from, or no longer wanted
+    :param wanted: VMs that should vote; ``None``: all listed VMs
     """
 
     listed: frozenset[str] = frozenset()
--- a/src/quetzaldeck/claims/groups.py
+++ b/src/quetzaldeck/claims/groups.py
@@ -1,10 +1,10 @@
-"""Which VMs vote on which keys.
+"""Assignment of keys to groups, and of voters to groups.
 
-In a small fleet every VM votes on every key. At 410 VMs a claim would then cost 410
-votes, and each VM would hold the claims of all. So keys fall into groups, and each
-group has a few voters: the first by rendezvous hashing, taken zone by zone, so that
-a VM that comes or goes changes few groups, and the loss of a zone leaves a majority
-of each group.
+In a small fleet every VM votes on every key. With 410 VMs each claim would then cost
+410 votes, and each VM would store the claims of the whole fleet. So keys are hashed
+into groups with a few voters each. The voters are the highest ranked VMs by rendezvous
+hashing, taken from the availability zones in turn: a VM that is added or removed
+changes few groups, and the loss of a zone leaves a majority of each group.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 
 def group_of(key: str, n_groups: int) -> int:
-    """:returns: the group of a claim's key
+    """:returns: the group that a claim's key belongs to
 
-    :param key: in hexadecimal, as :func:`hash_claim_key` gives it
+    :param key: hexadecimal digest from :func:`hash_claim_key`
     """
     return int(key[:_DIGITS], 16) % n_groups
 
@@ -30,10 +30,10 @@
 def choose_voters(
     group: int, zones: Mapping[str, str], max_voters: int
 ) -> frozenset[str]:
-    """:returns: the VMs that shall vote on the keys of a group
+    """:returns: the VMs that should vote on the keys of a group
 
     :param zones: availability zone of each VM
-    :param max_voters: all VMs vote if there are no more than this
+    :param max_voters: if there are no more VMs than this, all of them vote
     """
     if len(zones) <= max_voters:
         return frozenset(zones)
--- a/src/quetzaldeck/claims/keys.py
+++ b/src/quetzaldeck/claims/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: their identity among customers, and the time they carry."""
+"""Idempotency keys: their identity per customer and their creation time."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 def hash_claim_key(customer: str, key: str) -> str:
-    """:returns: the identity of ``key`` among the keys of all customers
+    """:returns: a hash that identifies ``key`` among the keys of all customers
 
-    Two customers may choose the same key; a length in front keeps ``("ab", "c")``
-    and ``("a", "bc")`` apart.
+    Two customers may choose the same key. The length prefix keeps ``("ab", "c")`` and
+    ``("a", "bc")`` distinct.
     """
     text = f"{len(customer)}:{customer}{key}"
     return hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES).hexdigest()
 
 
 def read_key_time(key: str) -> float | None:
-    """:returns: wall time in ms at which a UUIDv7 was made; ``None``: unknown"""
+    """:returns: wall time in ms at which a UUIDv7 was created, else ``None``"""
     try:
         parsed = uuid.UUID(key)
     except ValueError:
@@ -40,7 +40,7 @@
 
 
 def make_timed_key(clock: Clock, random_state: random.Random) -> str:
-    """:returns: a UUIDv7 that carries the wall time of ``clock``"""
+    """:returns: a UUIDv7 with the current wall time of ``clock``"""
     value = int(clock.wall_ms()) << _TIME_SHIFT
     value |= _VERSION_WITH_TIME << 76
     value |= random_state.getrandbits(_RANDOM_A_BITS) << 64
--- a/src/quetzaldeck/claims/messages.py
+++ b/src/quetzaldeck/claims/messages.py
@@ -12,9 +12,9 @@
 class Claim(NamedTuple):
     """The right to run a call once.
 
-    :param key: identity of customer and idempotency key
-    :param body_digest: digest of the call; the same key with another is refused
-    :param claim_id: unique to one attempt of one claimant; never used again
+    :param key: hash of customer and idempotency key
+    :param body_digest: digest of the call; another call with the same key is refused
+    :param claim_id: unique to one attempt of one claimant; never reused
     :param vm: the claimant's VM
     :param address: base URL of its agent
     """
@@ -27,9 +27,9 @@
 
 
 class VoteRequest(NamedTuple):
-    """Asks a voter for its grant.
+    """Asks a voter to grant a claim.
 
-    :param created_ms: wall time that the idempotency key carries, if any
+    :param created_ms: wall time in the idempotency key, if it has one
     """
 
     claim: Claim
@@ -37,7 +37,7 @@
 
 
 class Verdict(StrEnum):
-    """A voter's answer."""
+    """Result of a voter's decision on a claim."""
 
     GRANTED = "granted"
     HELD = "held"
@@ -46,12 +46,12 @@
 
 
 class Vote(NamedTuple):
-    """A voter's answer to a claimant.
+    """A voter's reply to a claimant.
 
-    :param demands: voter sets in each of which the claimant needs a majority, if
-        the vote is a grant; else they tell whom to ask as well
-    :param holders: other claims on the key that the voter knows of
-    :param retry_after_ms: when an abstaining voter expects to vote again
+    :param demands: voter sets in each of which the claimant needs a majority if
+        the vote is a grant; otherwise they only name further voters to ask
+    :param holders: other claims on the key that the voter has stored
+    :param retry_after_ms: time until an abstaining voter expects to vote again
     """
 
     voter_id: VoterId
@@ -63,7 +63,7 @@
 
 
 class Release(NamedTuple):
-    """Tells a voter that a claim was given up and will never be run."""
+    """Tells a voter that a claim was abandoned and will never run."""
 
     key: str
     claim_id: str
@@ -72,7 +72,7 @@
 class HeldClaim(NamedTuple):
     """A claim in a snapshot.
 
-    :param left_ms: time until it is forgotten
+    :param remaining_ms: time until it expires
     """
 
     claim: Claim
@@ -80,10 +80,10 @@
 
 
 class LostGrants(NamedTuple):
-    """What a voter cannot know: grants from before a moment, all lost.
+    """Grants that a voter may have made and lost.
 
-    :param since_wall_ms: keys made before this wall time may have been granted
-    :param left_ms: time until such grants no longer matter
+    :param before_wall_ms: keys created before this wall time may have been granted
+    :param remaining_ms: time until all such grants have expired
     """
 
     before_wall_ms: float
@@ -91,13 +91,13 @@
 
 
 class SyncRequest(NamedTuple):
-    """A voter's part of a round among voters.
+    """A voter's request to its peers in a sync round.
 
-    :param base: the voter set it votes in; ``None`` if it has none yet
-    :param targets: later voter sets that it has adopted
-    :param wants_seat: whether it asks to be added
-    :param wants_claims: whether the answer must carry a snapshot of claims
-    :param group: the group of keys that is voted on
+    :param committed: the voter set that the sender votes in; ``None`` if it has none
+    :param pending: newer voter sets that the sender has adopted
+    :param wants_to_vote: whether the sender asks to be added as a voter
+    :param wants_claims: whether the reply must include a snapshot of claims
+    :param group: the group of keys that the voters vote on
     """
 
     voter_id: VoterId
@@ -109,11 +109,11 @@
 
 
 class SyncReply(NamedTuple):
-    """The state of a voter after it has taken a request into account.
+    """The state of a voter after it has processed a request.
 
-    :param listed: VMs that the platform's list names, as this voter read it
-    :param voters: those of them that should vote, as this voter sees it
-    :param claims: snapshot, if it was asked for
+    :param listed: VMs on the platform's list, as this voter last read it
+    :param voters: those of them that should vote, in this voter's view
+    :param claims: snapshot, if the request asked for it
     """
 
     voter_id: VoterId
--- a/src/quetzaldeck/claims/permit.py
+++ b/src/quetzaldeck/claims/permit.py
@@ -1,4 +1,4 @@
-"""The right to dispatch a claimed call, and until when."""
+"""The time-limited permission to dispatch a claimed call."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Permit(NamedTuple):
-    """A claim that was won.
+    """Permission to dispatch the call of a claim that was won.
 
-    The voters remember the claim for the window, counted from their votes, which
-    came after ``started_ms``. So within ``valid_until_ms`` nobody else can be
-    granted the key, and a claimant that paused beyond it must not dispatch.
+    Voters keep the claim for the window, counted from their votes, which follow
+    ``started_ms``. So no other claimant can be granted the key before
+    ``valid_until_ms``; a claimant that was paused until later must not dispatch.
 
     :param started_ms: monotonic time before the first voter was asked
     """
--- a/src/quetzaldeck/claims/table.py
+++ b/src/quetzaldeck/claims/table.py
@@ -1,4 +1,4 @@
-"""The claims that one voter remembers."""
+"""The claims that one voter has stored."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class ClaimTable:
-    """Claims by key; each is forgotten once its window has passed.
+    """Claims by key; each one expires after the window.
 
-    A key can have several claims: snapshots of voters that granted it to different
-    claimants meet here, and any of them may have run.
+    A key can have several claims: voters may have granted it to different claimants,
+    and their snapshots are merged here. Any of these claims may have run.
 
-    :param window_ms: how long a claim granted here is remembered
+    :param window_ms: how long a claim granted here is kept
     """
 
     def __init__(self, clock: Clock, window_ms: float) -> None:
@@ -32,12 +32,12 @@
         return len(self._expiries)
 
     def find(self, key: str) -> tuple[Claim, ...]:
-        """:returns: the claims on a key that are not forgotten"""
+        """:returns: the claims on a key that have not expired"""
         self._expire()
         return tuple(self._by_key.get(key, {}).values())
 
     def add(self, claim: Claim, remaining_ms: float | None = None) -> None:
-        """Remember a claim; one that is known keeps the later expiry."""
+        """Add a claim; if it is already stored, the later expiry is kept."""
         remaining_ms = self._window_ms if remaining_ms is None else remaining_ms
         expires_ms = self._clock.now_ms() + remaining_ms
         known = self._expiries.get(claim.claim_id)
@@ -48,7 +48,7 @@
         self._expiries.move_to_end(claim.claim_id)
 
     def remove(self, key: str, claim_id: str) -> None:
-        """Forget a claim that will never be run."""
+        """Remove a claim that will never run."""
         claims = self._by_key.get(key)
         if claims is None or claims.pop(claim_id, None) is None:
             return
@@ -57,7 +57,7 @@
             del self._by_key[key]
 
     def snapshot(self) -> tuple[HeldClaim, ...]:
-        """:returns: all claims with the time left to each"""
+        """:returns: all claims with the time until each expires"""
         self._expire()
         now_ms = self._clock.now_ms()
         return tuple(
@@ -66,15 +66,15 @@
         )
 
     def merge(self, claims: Iterable[HeldClaim]) -> None:
-        """Take over the claims of another voter's snapshot."""
+        """Add the claims of another voter's snapshot."""
         for held in claims:
             self.add(held.claim, held.remaining_ms)
 
     def _expire(self) -> None:
-        """Forget from the oldest on.
+        """Remove expired claims from the front of the insertion order.
 
-        Merged claims may stand behind one that expires later; they are then kept
-        a little longer, at most one window, which can only refuse.
+        A merged claim may be behind one that expires later. It is then kept too long,
+        by at most one window. That is safe: it can only cause a refusal.
         """
         now_ms = self._clock.now_ms()
         while self._expiries:
--- a/src/quetzaldeck/claims/vote_tally.py
+++ b/src/quetzaldeck/claims/vote_tally.py
@@ -1,4 +1,4 @@
-"""One attempt of a claimant to be granted a key."""
+"""Vote counting for one claim."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class VoteTally:
-    """Counts votes; the claimant's own view of the fleet plays no part in it.
+    """Counts votes without using the claimant's own view of the fleet.
 
-    A claimant that has just started, or reads a stale list, could take a few VMs
-    for the whole fleet and two such claimants could both run the call. So the
-    voters that grant say in which voter sets a majority is needed, and all of
-    their demands are met, or the claim is not won.
+    A claimant that has just started, or reads a stale list, could mistake a few VMs for
+    the whole fleet, and two such claimants could both run the call. So each granting
+    voter names the voter sets in which a majority is required, and the claim is won
+    only with a majority in all of them.
     """
 
     def __init__(self, claim: Claim) -> None:
@@ -28,17 +28,17 @@
 
     @property
     def claim(self) -> Claim:
-        """:returns: the claim that is voted on"""
+        """:returns: the claim whose votes are counted"""
         return self._claim
 
     @property
     def grants(self) -> frozenset[VoterId]:
-        """:returns: seats that granted the claim"""
+        """:returns: voters that granted the claim"""
         return frozenset(self._list_voter_ids(Verdict.GRANTED))
 
     @property
     def is_won(self) -> bool:
-        """:returns: whether every demand of every granting voter is met"""
+        """:returns: whether each set required by a granting voter has a majority"""
         grants = self.grants
         required_sets = {
             required_set
@@ -52,12 +52,12 @@
 
     @property
     def has_conflict(self) -> bool:
-        """:returns: whether the key is held for another body"""
+        """:returns: whether the key is held for a call with another body"""
         return any(self._list_voter_ids(Verdict.CONFLICT))
 
     @property
     def holders(self) -> tuple[Claim, ...]:
-        """:returns: claims of others on the key"""
+        """:returns: other claims on the key"""
         found = {
             holder.claim_id: holder
             for vote in self._votes.values()
@@ -67,20 +67,20 @@
 
     @property
     def retry_after_ms(self) -> float:
-        """:returns: when the last of the abstaining voters expects to vote"""
+        """:returns: time until the last of the abstaining voters expects to vote"""
         return max((vote.retry_after_ms for vote in self._votes.values()), default=0.0)
 
     @property
     def reasons(self) -> tuple[str, ...]:
-        """:returns: why voters abstained, each reason once"""
+        """:returns: the distinct reasons for which voters abstained"""
         return tuple(sorted({v.why for v in self._votes.values() if v.why}))
 
     def add(self, vote: Vote) -> None:
-        """Count a vote; a repeated one changes nothing."""
+        """Count a vote; a second vote of the same voter is ignored."""
         self._votes.setdefault(vote.voter_id, vote)
 
     def list_unasked(self, asked: frozenset[str]) -> frozenset[str]:
-        """:returns: VMs in a demanded voter set that were not asked yet"""
+        """:returns: VMs in a required voter set that were not asked yet"""
         vms = {
             voter_id.vm
             for vote in self._votes.values()
--- a/src/quetzaldeck/claims/voter.py
+++ b/src/quetzaldeck/claims/voter.py
@@ -1,10 +1,10 @@
-"""One voter: it grants claims to those who ask for them.
+"""A voter, which grants keys to claimants.
 
-Load pattern: calls that may not be repeated (bookings, charges), a few in a hundred
-requests, resent by the balancer to any VM within seconds. Without votes each VM that
-receives a resend would run the call again. Grounds for the figures: one vote costs
-one message each way to each voter, so a claim costs one round trip to the slower
-half; a claim takes a few hundred bytes for the window.
+Claims are made for non-repeatable calls (bookings, charges), a few percent of all
+requests, which the load balancer may resend to any VM within seconds. Without votes
+each VM that receives a resend would run the call again. A vote costs one message in
+each direction per voter, so a claim takes one round trip to the slower half of the
+voters; a stored claim takes a few hundred bytes until the window has passed.
 """
 
 from __future__ import annotations
@@ -20,18 +20,20 @@
 
 
 class Voter(VoterRounds):
-    """Grants each key to the first claimant and tells later ones who holds it."""
+    """Grants each key to the first claimant and names it to later claimants."""
 
     @property
     def can_vote_on_new_keys(self) -> bool:
-        """:returns: whether it may vote on a key that carries the time of now"""
+        """:returns: whether it may vote on a timed key that is created now"""
         return self.can_vote and self._abstention.is_over_for_new_keys
 
     def vote(self, request: VoteRequest) -> Vote:
-        """Answer a claimant."""
+        """Vote on the request of a claimant."""
         claim = request.claim
         if not self.can_vote:
-            return self._abstain("not in a voter set", self._settings.sync_interval_ms)
+            return self._abstain(
+                "not a member of a voter set", self._settings.sync_interval_ms
+            )
         others = tuple(
             other
             for other in self.table.find(claim.key)
@@ -43,16 +45,20 @@
             return Vote(self._voter_id, verdict, self._list_required_sets(), others)
         blind_ms = self._abstention.remaining_ms(request.created_ms)
         if blind_ms > 0:
-            return self._abstain("may have forgotten the key", blind_ms)
+            return self._abstain(
+                "may have lost a claim on the key in a restart", blind_ms
+            )
         if self._is_too_old(request):
-            return self._abstain("the key is older than the window", 0.0)
+            return self._abstain("the key is older than the resend window", 0.0)
         if len(self.table) >= self._settings.max_claims:
-            return self._abstain("the table is full", self._settings.window_ms)
+            return self._abstain(
+                "the table of claims is full", self._settings.window_ms
+            )
         self.table.add(claim)
         return Vote(self._voter_id, Verdict.GRANTED, self._list_required_sets())
 
     def release(self, release: Release) -> None:
-        """Forget a claim that its claimant gave up before it ran anything."""
+        """Remove a claim that its claimant abandoned before running the call."""
         self.table.remove(release.key, release.claim_id)
 
     def _abstain(self, why: str, retry_after_ms: float) -> Vote:
@@ -68,7 +74,7 @@
         return tuple(item.members for item in self._chain.required_sets)
 
     def _is_too_old(self, request: VoteRequest) -> bool:
-        """:returns: whether a claim on the key may have been forgotten already"""
+        """:returns: whether a claim on the key may have expired already"""
         if request.created_ms is None:
             return False
         resend_ms = self._settings.window_ms - self._settings.max_deadline_ms
--- a/src/quetzaldeck/claims/voter_id.py
+++ b/src/quetzaldeck/claims/voter_id.py
@@ -1,4 +1,4 @@
-"""The identity under which a voter votes."""
+"""The identity of a voter."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class VoterId(NamedTuple):
-    """One life of a voter: a voter that lost its memory takes another seat.
+    """Identity of a voter; a voter that lost its memory takes a new one.
 
-    :param start: id of the start; ``""`` in the first voter set of a fleet
+    :param incarnation: id of the voter's incarnation; ``""`` in the first voter set of
+        a fleet
     """
 
     vm: str
--- a/src/quetzaldeck/claims/voter_rounds.py
+++ b/src/quetzaldeck/claims/voter_rounds.py
@@ -1,4 +1,4 @@
-"""Rounds in which voters change the voter set together."""
+"""Sync rounds, in which voters agree on changes of the voter set."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 MAX_MAJORITY_WAIT_ROUNDS = 20
-"""Rounds that a change waits for a majority before it counts empty seats."""
+"""Rounds that a change waits for a majority before it counts retired voters."""
 
 
 class VoterRounds(VoterState):
-    """Takes part in changes of the voter set.
+    """Changes the voter set together with its peers.
 
     A set is replaced by the next one only after a majority of its voters has adopted
-    that one and handed over its claims, so that the votes on a key before and after
-    the change have a voter in common.
+    that one and sent its claims, so that the majorities that vote on a key before and
+    after the change have a voter in common.
     """
 
     def update_view(self, view: FleetView) -> None:
-        """Take a new view; propose to remove seats that are gone."""
+        """Update the view of the fleet; propose to remove voters that are gone."""
         self._view = view
         newest = self._chain.newest
         if newest is None:
@@ -43,7 +43,7 @@
         self._chain.adopt(VoterSet().change(remove=removed))
 
     def leave(self) -> None:
-        """Propose to go on without this voter; see :attr:`has_left`."""
+        """Propose to remove this voter; :attr:`has_left` tells when it may stop."""
         self._is_leaving = True
         self.update_view(self._view)
 
@@ -62,7 +62,7 @@
         )
 
     def answer_sync(self, request: SyncRequest) -> SyncReply:
-        """Take a peer's request into account, then state where this voter is."""
+        """Adopt the sets of a peer's request, then reply with this voter's state."""
         for proposal in _list_sets(request):
             self._chain.adopt(proposal)
             if self._voter_id in proposal.members:
@@ -74,9 +74,9 @@
     def process_replies(
         self, request: SyncRequest, replies: Sequence[SyncReply]
     ) -> None:
-        """Take the replies of one round; moves on to another base if it may.
+        """Process the replies of one round; commit another voter set if possible.
 
-        :param request: what the peers were asked
+        :param request: the request that the peers replied to
         """
         self._note_retired(request, replies)
         self._needs_claims = False
@@ -97,10 +97,10 @@
         self._rejoin_if_removed()
 
     def _may_propose_removal(self, gone: Collection[VoterId]) -> bool:
-        """:returns: whether the seats that are not gone could agree to it
+        """:returns: whether the voters that are not gone are a majority
 
-        A minority cannot, and its proposal would outlive the partition: the others
-        would carry it out once they hear of it, and remove each other.
+        A minority cannot commit the removal, but its proposal would outlive the
+        partition: the other voters would adopt it later and remove each other.
         """
         committed = self._chain.committed
         return committed is not None and committed.has_quorum(
@@ -108,7 +108,7 @@
         )
 
     def _propose_voter(self, voter_id: VoterId) -> None:
-        """Propose to add a voter in place of its earlier seats, if any."""
+        """Propose to add a voter and to remove earlier ids of its VM."""
         newest = self._chain.newest
         if newest is None or voter_id in newest.added:
             return
@@ -116,10 +116,11 @@
         self._chain.adopt(VoterSet().change(add=(voter_id,), remove=earlier))
 
     def _note_retired(self, request: SyncRequest, replies: Sequence[SyncReply]) -> None:
-        """Note seats whose VM answered under another one: they never vote again.
+        """Note ids whose VM has replied under another id: they never vote again.
 
-        Only seats known when the peers were asked: a reply that comes late says
-        nothing of a seat that its VM took since, and whose votes would be lost.
+        Only ids known when the request was sent are considered. A late reply says
+        nothing about an id that its VM took later; to retire that id would lose the
+        grants made under it.
         """
         current = {
             reply.voter_id.vm: reply.voter_id
@@ -153,12 +154,12 @@
         )
 
     def _initialize(self, replies: Sequence[SyncReply]) -> None:
-        """Find the first voter set: join one that exists, else begin one.
+        """Get the first voter set: join an existing one, or form one.
 
-        A fleet whose voters all lost their memory, or never had any, begins with
-        the platform's list, once every VM on it says the same. A majority is not
-        enough: the others might have gone on with a smaller set. All are blind as
-        of now.
+        A fleet in which no voter has any state forms its first set from the platform's
+        list, once every VM on the list reports the same list. A majority is not enough:
+        the other VMs might have continued with a smaller set. All voters then abstain
+        from keys that may have been granted before.
         """
         initialized = [reply for reply in replies if reply.committed is not None]
         if initialized:
@@ -169,10 +170,10 @@
             self._form_first_set(replies)
 
     def _join(self, initialized: Sequence[SyncReply]) -> None:
-        """Go on from a peer's base if it has this seat, else ask for one.
+        """Install a peer's committed set if this voter is in it, else ask to be added.
 
-        While the first set has no majority of seated voters yet, this voter may
-        still take its place in it.
+        As long as no majority has committed the first set, this voter may still join
+        it as one of its initial members.
         """
         first = first_voter_set(self._view.voters)
         for reply in initialized:
@@ -206,7 +207,7 @@
             self._abstention.begin()
 
     def _find_newer(self, replies: Sequence[SyncReply]) -> SyncReply | None:
-        """:returns: the reply with the newest base that replaced this voter's"""
+        """:returns: the reply with the newest committed set that covers this voter's"""
         committed = self._chain.committed
         newest: SyncReply | None = None
         for reply in replies:
@@ -221,7 +222,7 @@
         return newest
 
     def _install(self, reply: SyncReply) -> None:
-        """Go on from a peer's base with everything that the peer knows."""
+        """Install a peer's committed and pending sets and merge its claims."""
         if reply.committed is None:
             return
         if not reply.has_claims:
@@ -231,10 +232,10 @@
         self._chain.set_committed(reply.committed, reply.pending)
 
     def _commit(self, replies: Sequence[SyncReply]) -> None:
-        """Move to a newer base if enough voters adopted it.
+        """Commit a pending set if enough voters have adopted it.
 
-        A first round without claims shows whether the move is possible; only then
-        are snapshots asked for. A minority that waits thus moves no claims about.
+        A first round without claims shows whether the commit is possible; only then are
+        snapshots requested. So a minority that waits does not transfer any claims.
         """
         self._n_pending_rounds += 1 if self._chain.pending else 0
         commit = self._chain.find_commit(replies, self._list_countable_ids())
@@ -250,10 +251,10 @@
         self._chain.set_committed(commit.target)
 
     def _list_countable_ids(self) -> frozenset[VoterId]:
-        """:returns: empty seats that may be counted as adopters
+        """:returns: retired ids that may be counted as adopters
 
-        Counting them makes the voters blind, so it is put off while the seats that
-        are not empty might still make a majority.
+        Counting them loses grants, after which voters must abstain. So it is delayed as
+        long as the other voters may still form a majority.
         """
         retired = frozenset(self._retired)
         is_majority_retired = any(
@@ -271,7 +272,7 @@
                 self._abstention.extend(*reply.lost_grants)
 
     def _rejoin_if_removed(self) -> None:
-        """Ask for another seat if the others went on without this voter."""
+        """Ask to be added under a new id if the peers removed this voter."""
         committed = self._chain.committed
         is_removed = committed is not None and self._voter_id in committed.removed
         if is_removed and not self._is_leaving and self._is_wanted:
--- a/src/quetzaldeck/claims/voter_set.py
+++ b/src/quetzaldeck/claims/voter_set.py
@@ -1,4 +1,4 @@
-"""Sets of voters that only grow in what they know."""
+"""Voter sets as a conflict-free replicated data type."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class VoterSet(NamedTuple):
-    """Seats that were added and seats that were removed, once and for all.
+    """Voters that were added and voters that were removed; removal is final.
 
-    Two VMs that learn of the same changes in another order arrive at the same
-    set: :meth:`merge` is commutative, associative and idempotent.
+    VMs that receive the same changes in a different order end with the same set:
+    :meth:`merge` is commutative, associative and idempotent.
     """
 
     added: frozenset[VoterId] = frozenset()
@@ -22,24 +22,24 @@
 
     @property
     def members(self) -> frozenset[VoterId]:
-        """:returns: the seats that vote"""
+        """:returns: the voters in this set"""
         return self.added - self.removed
 
     @property
     def quorum(self) -> int:
-        """:returns: the number of votes that any two majorities share one of"""
+        """:returns: the size of a majority; any two majorities have a common member"""
         return len(self.members) // 2 + 1
 
     def has_quorum(self, voter_ids: Collection[VoterId]) -> bool:
-        """:returns: whether ``seats`` hold a majority of the members"""
+        """:returns: whether ``voter_ids`` include a majority of the members"""
         return len(self.members.intersection(voter_ids)) >= self.quorum
 
     def covers(self, other: VoterSet) -> bool:
-        """:returns: whether every change in ``other`` is in this set as well"""
+        """:returns: whether this set includes every change in ``other``"""
         return self.added >= other.added and self.removed >= other.removed
 
     def merge(self, other: VoterSet) -> VoterSet:
-        """:returns: the set with the changes of both"""
+        """:returns: the set with the changes of both sets"""
         return VoterSet(self.added | other.added, self.removed | other.removed)
 
     def change(
@@ -50,7 +50,7 @@
 
 
 def first_voter_set(vms: Iterable[str]) -> VoterSet:
-    """:returns: the set that a fleet without memory starts from"""
+    """:returns: the initial set of a fleet in which no voter has any state"""
     return VoterSet(frozenset(VoterId(vm) for vm in vms))
 
 
--- a/src/quetzaldeck/claims/voter_state.py
+++ b/src/quetzaldeck/claims/voter_state.py
@@ -1,4 +1,4 @@
-"""What a voter knows of the voter sets, and where it stands in them."""
+"""The voter sets that a voter knows, and its own membership in them."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class VoterState:
-    """Seat, voter sets and view of one voter; rounds and votes build on it.
+    """Base class of a voter: its id, its voter sets and its view of the fleet.
 
     :param vm: this VM
-    :param incarnation: id of this start
-    :param group: the group of keys that it votes on
+    :param incarnation: id of the agent's incarnation
+    :param group: the group of keys that this voter votes on
     """
 
     abstention_period_class = AbstentionPeriod
@@ -55,12 +55,12 @@
 
     @property
     def group(self) -> int:
-        """:returns: the group of keys that it votes on"""
+        """:returns: the group of keys that this voter votes on"""
         return self._group
 
     @property
     def state(self) -> tuple[VoterId, tuple[VoterSet, ...], bool, bool]:
-        """:returns: what changes when a round or a message leads on"""
+        """:returns: the state that changes if a round or a message made progress"""
         return (
             self._voter_id,
             self._chain.required_sets,
@@ -70,27 +70,27 @@
 
     @property
     def voter_id(self) -> VoterId:
-        """:returns: the seat that it votes under, or asks for"""
+        """:returns: the id that this voter votes under, or asks to be added with"""
         return self._voter_id
 
     @property
     def chain(self) -> VoterSetChain:
-        """:returns: the voter sets in force here"""
+        """:returns: the committed and pending voter sets of this voter"""
         return self._chain
 
     @property
     def can_vote(self) -> bool:
-        """:returns: whether it sits in a voter set"""
+        """:returns: whether this voter is a member of a voter set"""
         return any(self._voter_id in item.members for item in self._chain.required_sets)
 
     @property
     def is_awaited(self) -> bool:
-        """:returns: whether others count on a seat that it has not taken yet
+        """:returns: whether peers have added this voter and it has not joined yet
 
-        A voter asks for a seat, and is not wanted any more when the others grant
-        it: VMs that came meanwhile are. Were it to stop holding rounds, the others
-        would wait for its vote for good, and refuse every call of the group: two
-        voters have no majority without the second.
+        A voter may ask to be added and no longer be wanted when its peers add it,
+        because VMs started in the meantime rank before it. If it then stopped holding
+        rounds, its peers would wait for its vote forever and refuse every call of the
+        group: of two voters one is no majority.
         """
         return (
             self._chain.committed is None and self._awaited_voter_id == self._voter_id
@@ -98,12 +98,12 @@
 
     @property
     def must_sync(self) -> bool:
-        """:returns: whether the others cannot go on without its rounds"""
+        """:returns: whether peers depend on the sync rounds of this voter"""
         return self.can_vote or self.is_awaited
 
     @property
     def is_settled(self) -> bool:
-        """:returns: whether it votes and no change of the voter set is under way"""
+        """:returns: whether this voter votes and no change of its set is pending"""
         return self.can_vote and not self._chain.pending and not self._needs_claims
 
     @property
@@ -113,10 +113,10 @@
 
     @property
     def has_left(self) -> bool:
-        """:returns: whether a majority of the others goes on without it
+        """:returns: whether a majority of the peers has committed a set without it
 
-        Its own move to a set without it proves only that the others adopted that
-        set. Were it to end now, they could lack its vote to move as well.
+        That this voter itself committed such a set proves only that the peers adopted
+        it. If this voter stopped then, they could lack its vote to commit it too.
         """
         committed = self._chain.committed
         if committed is None or committed.members <= {self._voter_id}:
@@ -126,10 +126,10 @@
 
     @property
     def peers(self) -> frozenset[str]:
-        """:returns: VMs to ask in a round among voters
+        """:returns: VMs to ask in a sync round
 
-        Without a base all that are listed: a voter set may exist of which none is
-        wanted any more, and another one must not be begun beside it.
+        A voter without a committed set asks all listed VMs: there may be a voter set of
+        which no member is wanted any more, and a second first set must not be formed.
         """
         asked = self.voters_to_ask
         return (
@@ -138,7 +138,7 @@
 
     @property
     def voters_to_ask(self) -> frozenset[str]:
-        """:returns: VMs to ask for votes: those in a voter set or wanted there"""
+        """:returns: VMs to ask for votes: members of a voter set and wanted VMs"""
         voter_ids = {
             voter_id.vm
             for item in self._chain.required_sets
--- a/src/quetzaldeck/reclaim/__init__.py
+++ b/src/quetzaldeck/reclaim/__init__.py
@@ -1,8 +1,8 @@
-"""Reclaim: memory of engines that nobody uses any more.
+"""Releases engine memory whose owner has died.
 
-:class:`Reclaimer` and :class:`OwnerRegistry` do no I/O: whoever embeds them lists
-what an engine holds, asks the owners' agents the questions, and releases what is
-proved to be left behind. See docs/design/reclaim.md.
+:class:`Reclaimer` and :class:`OwnerRegistry` do no I/O: the code that embeds them lists
+the allocations of an engine, queries the agents of their owners, and releases what is
+proved to be orphaned. See docs/design/reclaim.md.
 
 >>> from quetzaldeck.clock import ManualClock
 >>> from quetzaldeck.reclaim import OwnerState, Reclaimer, ReclaimSettings
@@ -12,10 +12,10 @@
 >>> listed = [RunningSequence("r.1", owner, n_kv_tokens=900, age_ms=60_000)]
 >>> reclaimer.list_owners_to_query(listed) == (owner,)
 True
->>> reclaimer.note_owner_state(owner, OwnerState.UNKNOWN)  # silent: perhaps paused
+>>> reclaimer.note_owner_state(owner, OwnerState.UNKNOWN)  # may be paused
 >>> reclaimer.list_releases(listed)
 ()
->>> reclaimer.note_owner_state(owner, OwnerState.GONE)  # its agent vouches for it
+>>> reclaimer.note_owner_state(owner, OwnerState.GONE)  # confirmed by its agent
 >>> [release.why for release in reclaimer.list_releases(listed)]
 ['owner_gone']
 """
--- a/src/quetzaldeck/reclaim/owners.py
+++ b/src/quetzaldeck/reclaim/owners.py
@@ -1,4 +1,4 @@
-"""Which gateways have run on this VM, as its agent has seen them. No I/O."""
+"""Which gateway incarnations have run on this VM, by their reports. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OwnerState(StrEnum):
-    """What an agent vouches for about one start of its VM's gateway."""
+    """What an agent can confirm about one incarnation of its VM's gateway."""
 
     LIVE = "live"
     GONE = "gone"
@@ -25,12 +25,12 @@
 
 
 class OwnerRegistry:
-    """Vouches for the starts of the gateway that it has heard itself.
+    """Tells the state of the gateway incarnations that reported to this agent.
 
-    ``GONE`` is a proof: the gateway has said that it has finished, or it is silent
-    while a later start of it reports, and one VM runs one gateway. A gateway that
-    only is silent may be paused, and an incarnation that this agent has never heard
-    may live on another VM that was given the same id: both are ``UNKNOWN``.
+    ``GONE`` is a proof: the gateway has reported that it stopped, or it is silent while
+    a later incarnation reports, and a VM runs one gateway at a time. A gateway that is
+    only silent may be paused, and an incarnation that has never reported here may run
+    on another VM with the same id: both are ``UNKNOWN``.
 
     :param quiet_ms: silence after which a gateway with a successor is gone; many
         times the interval at which gateways report
@@ -44,7 +44,7 @@
         self._last_check = (clock.now_ms(), clock.wall_ms())
 
     def note_report(self, incarnation: str, *, is_stopped: bool) -> None:
-        """Take a gateway's report."""
+        """Record a report of the gateway."""
         self._detect_pause()
         self._reports.pop(incarnation, None)
         self._reports[incarnation] = _LastReport(self._clock.now_ms(), is_stopped)
@@ -52,15 +52,15 @@
             del self._reports[next(iter(self._reports))]
 
     def find_state(self, incarnation: str) -> OwnerState:
-        """:returns: what is known of one start of the gateway"""
+        """:returns: the state of one incarnation of the gateway"""
         self._detect_pause()
         report = self._reports.get(incarnation)
         if report is None:
             return OwnerState.UNKNOWN
         if report.is_stopped:
             return OwnerState.GONE
-        # After a pause of this agent a live gateway has reported in vain for as
-        # long; it is given the whole time again.
+        # Reports that a live gateway sent while this agent was paused are lost, so
+        # its silence is counted from the end of the pause.
         reported_ms = max(report.reported_ms, self._resumed_ms)
         if self._clock.now_ms() - reported_ms < self._quiet_ms:
             return OwnerState.LIVE
--- a/src/quetzaldeck/reclaim/reclaimer.py
+++ b/src/quetzaldeck/reclaim/reclaimer.py
@@ -1,21 +1,21 @@
-"""What an engine holds for nobody, and may release. No I/O.
+"""Decides which allocations of an engine are orphaned and may be released. No I/O.
 
-An engine's memory leaks when the VM that reserved it dies: the connection may stay
-half-open for hours, a reservation or an export has no connection at all. Without
-this every crash takes a little memory for good, until the engine serves nobody.
+Engine memory leaks when the VM that allocated it dies: a connection may stay half-open
+for hours, and a reservation or an export has no connection at all. Without reclaim each
+crash would leak memory, until the engine could serve no request.
 
-Something is released only on a proof, and each proof stays true once it is:
+An allocation is released only on a proof, and a proof never becomes false later:
 
-* its owner, one start of one gateway, is gone: its own agent vouches for that (see
-  :class:`OwnerRegistry`). The name of the VM proves nothing, for a VM id is used
-  again, and neither do silence nor the platform's list, for a paused VM and one
-  behind a partition are silent and may be off the list;
-* its deadline has passed, by more than clocks may differ. The owner drops a request
-  at its deadline also when it wakes late, so nobody waits for it any more. An id
-  that names no deadline is taken for one of the longest allowed.
+* Its owner, one incarnation of one gateway, is gone, as confirmed by the agent on the
+  owner's VM (see :class:`OwnerRegistry`). The VM's name proves nothing because VM ids
+  are reused. Silence or absence from the platform's list proves nothing either: both
+  happen to a VM that is paused or behind a partition.
+* Its deadline has passed by more than the largest clock skew. The owner drops a request
+  at its deadline, even if it was paused and resumes late, so the memory is no longer in
+  use. An id that contains no deadline is assumed to have the longest one allowed.
 
-So two reclaimers of one engine do no harm; there is one per engine, by rendezvous
-hashing, only to spare the engine the questions.
+So two reclaimers of the same engine do no harm. One per engine is chosen by rendezvous
+hashing only to limit the requests to the engine.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Release(NamedTuple):
-    """Something to be released.
+    """An allocation to release.
 
     :param why: ``owner_gone`` or ``deadline_passed``
     """
@@ -47,7 +47,7 @@
 
 
 class Reclaimer:
-    """Collects proofs about owners and judges what engines hold by them."""
+    """Remembers which owners are gone and selects the allocations to release."""
 
     def __init__(self, clock: Clock, settings: ReclaimSettings) -> None:
         self._clock = clock
@@ -58,7 +58,7 @@
     def list_owners_to_query(
         self, allocations: Iterable[RunningSequence]
     ) -> tuple[Owner, ...]:
-        """:returns: owners to ask about, those asked longest ago first"""
+        """:returns: owners to query, least recently queried first"""
         owners = {
             allocation.owner
             for allocation in allocations
@@ -76,7 +76,7 @@
         return tuple(chosen)
 
     def note_owner_state(self, owner: Owner, state: OwnerState) -> None:
-        """Take the answer of the agent on the owner's VM."""
+        """Record the state that the agent on the owner's VM reported."""
         if state is not OwnerState.GONE:
             return
         self._gone[owner] = None
@@ -86,7 +86,7 @@
     def list_releases(
         self, allocations: Sequence[RunningSequence]
     ) -> tuple[Release, ...]:
-        """:returns: what may be released of what an engine has just listed"""
+        """:returns: the allocations of an engine's current list that may be released"""
         releases = []
         for allocation in allocations:
             if allocation.age_ms < self._settings.min_age_ms:
@@ -114,10 +114,10 @@
 def confirm_releases(
     releases: Iterable[Release], listed_again: Iterable[RunningSequence]
 ) -> tuple[Release, ...]:
-    """:returns: the releases whose holding the engine still lists, unchanged
+    """:returns: the releases whose allocation the engine still lists unchanged
 
-    Read immediately before the release: an id that has meanwhile come to belong to
-    another owner, or to a new holding, is not touched.
+    Called immediately before the release, with a new list: an id that now belongs to
+    another owner, or to a newer allocation, is not released.
     """
     now = {(h.attempt_id, h.owner): h.age_ms for h in listed_again}
     return tuple(
--- a/tests/claims/callers.py
+++ b/tests/claims/callers.py
@@ -1,4 +1,4 @@
-"""Callers who resend bookings to any VM of an in-process fleet."""
+"""Callers that resend bookings to any VM of an in-process fleet."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Outcome(NamedTuple):
-    """What one attempt of a caller received; status 0: no answer."""
+    """What a caller received for one attempt; status 0 means no answer."""
 
     key: str
     status: int
@@ -39,7 +39,7 @@
 
 
 class Callers:
-    """Makes calls and remembers what came of each."""
+    """Makes calls and records the outcome of each."""
 
     def __init__(self, fleet: Fleet, *, random_state: random.Random) -> None:
         self._fleet = fleet
@@ -82,11 +82,11 @@
         return outcome
 
     async def book(self, key: str, n_attempts: int = 4) -> None:
-        """Send a key until it is answered, also twice at a time.
+        """Send a key to two VMs at a time until one of them answers.
 
-        Whoever was refused often waits for longer, as a caller does that backs off:
-        eighty callers that come back nine times a second each, 1,400 calls a second on
-        the loop that the voters share, kept them from ever having a majority again.
+        The pause grows with the number of refusals. Without such a backoff 80 callers
+        that retried 9 times a second each made 1,400 calls a second on the event loop
+        that the voters share, and the voters never had a majority again.
         """
         for n_refused in range(n_attempts):
             vms = sorted(self._fleet.vms)
@@ -98,7 +98,7 @@
             await asyncio.sleep(pause_s * (1.0 + n_refused / 5.0))
 
     def check(self) -> None:
-        """Check every promise against what the service ran."""
+        """Check every guarantee against what the service ran."""
         executions: defaultdict[str, int] = defaultdict(int)
         for service in self._fleet.services.values():
             for key, n_runs in service.executions.items():
--- a/tests/claims/faulty.py
+++ b/tests/claims/faulty.py
@@ -1,4 +1,4 @@
-"""Broken variants of the protocol; the checks must find each of them."""
+"""Faulty variants of the protocol, which the checks must detect."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @faulty_fleets.register("own_view_quorum")
 class OwnViewQuorum(UncheckedRemovalFleet):
-    """The claimant needs a majority of the VMs that it believes in itself."""
+    """The claimant needs a majority only of the VMs in its own view."""
 
     def count(self, attempt: Attempt) -> bool:
         super().count(attempt)
@@ -49,14 +49,14 @@
 
 @faulty_fleets.register("no_permit_check")
 class NoPermitCheck(UncheckedRemovalFleet):
-    """The claimant dispatches without looking at its clock again."""
+    """The claimant dispatches without checking its permit."""
 
     checks_permit = False
 
 
 @faulty_fleets.register("late_win")
 class LateWin(UncheckedRemovalFleet):
-    """A vote that comes late brings an abandoned claim back."""
+    """Late votes can win an abandoned claim."""
 
     def win(self, attempt: Attempt) -> None:
         attempt.is_won = True
@@ -73,7 +73,7 @@
 
 @faulty_fleets.register("no_abstention")
 class NoAbstention(ModelFleet):
-    """A voter that lost its memory votes on every key."""
+    """A voter that lost its claims votes on every key."""
 
     vm_class = fleet_of(_NeverAbstainingVoter).vm_class
 
@@ -97,7 +97,7 @@
 
 @faulty_fleets.register("shrinks_without_majority")
 class ShrinksWithoutMajority(ModelFleet):
-    """A voter set counts as soon as one voter believes in it."""
+    """A voter set is committed as soon as one voter has adopted it."""
 
     vm_class = fleet_of(_NoMajorityVoter).vm_class
 
@@ -118,7 +118,7 @@
 
 @faulty_fleets.register("skip_superseded_sets")
 class SkipSupersededSets(ModelFleet):
-    """A voter set replaces the base without asking the sets in between."""
+    """A voter set is committed without majorities of the sets in between."""
 
     vm_class = fleet_of(_SkippingVoter).vm_class
 
@@ -130,13 +130,13 @@
 
 @faulty_fleets.register("no_snapshot")
 class NoSnapshot(ModelFleet):
-    """A voter moves to another set without its peers' claims."""
+    """A voter commits another set without merging its peers' claims."""
 
     vm_class = fleet_of(_NoSnapshotVoter).vm_class
 
 
 class _SameVoterIdVoter(UncheckedRemovalVoter):
-    """Takes its vote back up after a restart as if it had forgotten nothing."""
+    """Continues to vote after a restart as if it had not lost its claims."""
 
     def _take_new_voter_id(self) -> None:
         pass
@@ -154,7 +154,7 @@
 
 @faulty_fleets.register("same_voter_id")
 class SameVoterId(ModelFleet):
-    """A restarted voter votes again under its old seat."""
+    """A restarted voter votes again under its old id."""
 
     vm_class = fleet_of(_SameVoterIdVoter).vm_class
 
@@ -166,7 +166,7 @@
 
 @faulty_fleets.register("late_replies_count")
 class LateRepliesCount(ModelFleet):
-    """A late reply tells of seats that were taken after it was sent."""
+    """A late reply retires voter ids that were taken after it was sent."""
 
     vm_class = fleet_of(_LateRepliesVoter).vm_class
 
@@ -183,7 +183,7 @@
 
 @faulty_fleets.register("asks_wanted_only")
 class AsksWantedOnly(ModelFleet):
-    """A new voter looks for a voter set only among those that it wants in it."""
+    """A new voter asks only wanted VMs for an existing voter set."""
 
     vm_class = fleet_of(_WantedOnlyVoter).vm_class
 
@@ -197,7 +197,7 @@
 
 @faulty_fleets.register("second_grant")
 class SecondGrant(ModelFleet):
-    """A voter grants a key to whoever asks last."""
+    """A voter grants a key to the claimant that asks last."""
 
     vm_class = fleet_of(_SecondGrantVoter).vm_class
 
--- a/tests/claims/machine.py
+++ b/tests/claims/machine.py
@@ -1,4 +1,4 @@
-"""Random histories of the model fleet, as a Hypothesis state machine."""
+"""Hypothesis state machine that generates random histories of the model fleet."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """VMs start, stop, leave and disagree while callers resend their keys."""
+    """VMs start, stop, leave and differ in their views while callers resend keys."""
 
     fleet_class: type[ModelFleet] = ModelFleet
 
@@ -43,7 +43,7 @@
         return self.open[pick % len(self.open)]
 
     def may_send(self, key: ModelKey) -> bool:
-        """Callers do not resend an opaque key after the resend window."""
+        """:returns: whether a caller may send the key; opaque ones only in the window"""
         age_ms = self.fleet.clock.now_ms() - key.first_ms
         resend_ms = SETTINGS.window_ms - SETTINGS.max_deadline_ms
         return key.created_ms is not None or age_ms <= resend_ms
@@ -58,7 +58,7 @@
 
     @rule(pick=PICK)
     def start(self, pick: int) -> None:
-        """A new VM, or a restart under the old name."""
+        """Start a new VM, or restart one under its name."""
         self.fleet.start(NAMES[pick % len(NAMES)])
 
     @precondition(lambda self: len(self.fleet.vms) > 1)
@@ -69,7 +69,7 @@
     @precondition(lambda self: self.fleet.vms)
     @rule(pick=PICK)
     def leave(self, pick: int) -> None:
-        """Ask a VM to leave; once it may, it stops."""
+        """Make a VM leave, and stop it once its voter has left."""
         name = self.pick_vm(pick)
         voter = self.fleet.vms[name].voter
         voter.leave()
@@ -86,13 +86,13 @@
         self.fleet.partition(NAMES)
 
     def list_wanted(self, bits: int | None) -> list[str] | None:
-        """Any VMs may be wanted as voters, and each VM may see it otherwise."""
+        """:returns: any VMs as wanted voters, so that the views of VMs may differ"""
         wanted = None if bits is None else choose(bits, sorted(self.fleet.vms))
         return wanted or None
 
     @rule(pick=PICK, gone=SUBSET, wanted=WANTED)
     def begin_sync(self, pick: int, gone: int, wanted: int | None) -> None:
-        """A round begins; the VM believes any others gone, rightly or not."""
+        """Begin a round; the VM considers any VMs gone, rightly or wrongly."""
         if self.fleet.vms:
             self.fleet.begin_sync(
                 self.pick_vm(pick),
@@ -109,7 +109,7 @@
     def sync(
         self, gone: int, wanted: int | None, n_rounds: int, *, is_true: bool
     ) -> None:
-        """Whole rounds; beliefs are of any kind, or follow the VMs that run."""
+        """Run whole rounds; the VMs considered gone are arbitrary or the stopped ones."""
         lost = [name for name in NAMES if name not in self.fleet.vms]
         believed = lost if is_true else choose(gone, list(NAMES))
         self.fleet.sync_all(
@@ -125,7 +125,7 @@
     @precondition(lambda self: self.keys and self.fleet.vms)
     @rule(vm=PICK, key=PICK, asked=SUBSET)
     def begin(self, vm: int, key: int, asked: int) -> None:
-        """A caller sends or resends a key; some voters are asked at once."""
+        """Send or resend a key; some voters are asked at once."""
         chosen = self.keys[key % len(self.keys)]
         if self.may_send(chosen):
             attempt = self.fleet.begin(self.pick_vm(vm), chosen)
@@ -136,7 +136,7 @@
     @precondition(lambda self: self.keys and self.fleet.vms)
     @rule(vm=PICK, key=PICK)
     def call(self, vm: int, key: int) -> None:
-        """A whole call without a pause."""
+        """Make a whole call without interruption."""
         chosen = self.keys[key % len(self.keys)]
         if self.may_send(chosen):
             self.fleet.call(self.pick_vm(vm), chosen)
@@ -144,7 +144,7 @@
     @precondition(lambda self: self.keys and self.fleet.vms)
     @rule(vm=PICK, key=PICK)
     def give_up_early(self, vm: int, key: int) -> None:
-        """An attempt ends before its votes arrive; they may be counted later."""
+        """Abandon an attempt before its votes arrive; they may be counted later."""
         chosen = self.keys[key % len(self.keys)]
         if self.may_send(chosen):
             attempt = self.fleet.begin(self.pick_vm(vm), chosen)
@@ -181,7 +181,7 @@
     @precondition(lambda self: self.open)
     @rule(pick=PICK)
     def resolve(self, pick: int) -> None:
-        """Every answer relayed to a resend is the answer to its key."""
+        """Check that every answer relayed to a resend is the answer to its key."""
         attempt = self.pick_attempt(pick)
         for answer in self.fleet.resolve(attempt):
             assert answer == answer_of(attempt.tally.claim)
--- a/tests/claims/measure.py
+++ b/tests/claims/measure.py
@@ -1,7 +1,7 @@
-"""Figures for docs/design/at-most-once.md: ``make measure-claims``.
+"""Measurements for docs/design/at-most-once.md, run by ``make measure-claims``.
 
-A fleet in one process on loopback: all agents and gateways share one core, so that
-latencies are upper bounds and refusals are what counts.
+All agents and gateways run in one process, on one core and over loopback. So latencies
+are upper bounds; the numbers of refusals are the main result.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 class Availability(NamedTuple):
-    """What bookings received while a fault was on."""
+    """What bookings received during a fault."""
 
     n_calls: int
     n_answered: int
@@ -59,7 +59,7 @@
 
 
 async def measure_latency() -> None:
-    """Print the time of calls with and without a claim, one at a time."""
+    """Print the latency of sequential calls with and without a claim."""
     clock = Clock()
     async with (
         Fleet(FleetSettings(n_vms=N_VMS, service_duration_ms=0)) as fleet,
@@ -80,16 +80,16 @@
 
 
 async def no_fault(fleet: Fleet) -> None:
-    """Leave the fleet alone."""
+    """Inject no fault."""
 
 
 async def kill_one(fleet: Fleet) -> None:
-    """Stop a VM; the list goes on naming it."""
+    """Stop a VM, which stays on the list."""
     await fleet.stop_vm("entry-7")
 
 
 async def restart_one(fleet: Fleet) -> None:
-    """Stop a VM and start it anew under its name."""
+    """Stop a VM and restart it under its name."""
     await fleet.stop_vm("entry-7")
     await fleet.start_vm("entry-7")
 
@@ -101,12 +101,12 @@
 
 
 async def cut_three_from_four(fleet: Fleet) -> None:
-    """Cut VMs 1 to 3 off from 4 to 7."""
+    """Partition VMs 1 to 3 from 4 to 7."""
     cut(fleet, ("entry-1", "entry-2", "entry-3"))
 
 
 async def freeze_list(fleet: Fleet) -> None:
-    """Replace a VM while the list stays as it is."""
+    """Replace a VM while the list is not updated."""
     entries = fleet.vm_list.set_vms
     fleet.vm_list.set_vms = lambda vms: None  # type: ignore[method-assign]
     await fleet.stop_vm("entry-7")
@@ -115,7 +115,7 @@
 
 
 async def replace_all(fleet: Fleet) -> None:
-    """Replace every VM, one after the other, gracefully."""
+    """Replace all VMs gracefully, one after the other."""
     for index in range(1, N_VMS + 1):
         vm = await fleet.start_vm(f"entry-{index + N_VMS}")
         await wait_until_ready(vm.gateway)
@@ -135,7 +135,7 @@
 
 
 def cut(fleet: Fleet, side: Iterable[str]) -> None:
-    """Let no message pass between the agents of ``side`` and the others."""
+    """Block all messages between the agents of ``side`` and the others."""
     inside = frozenset(side)
     for name, vm in fleet.vms.items():
         far = frozenset(fleet.vms) - inside if name in inside else inside
@@ -143,7 +143,7 @@
 
 
 def block(session: AgentSession, far: frozenset[str]) -> None:
-    """Have asks to the VMs in ``far`` fail."""
+    """Make queries to the VMs in ``far`` fail."""
     ask = session.channel.ask
 
     async def ask_in_reach(
@@ -158,7 +158,7 @@
 
 
 async def measure_fault(fault: Fault) -> Availability:
-    """:returns: what bookings through VMs that run received, each sent once"""
+    """:returns: what bookings received, each sent once to a ready VM"""
     async with (
         Fleet(FleetSettings(n_vms=N_VMS)) as fleet,
         Callers(fleet, random_state=random.Random(2)) as callers,
@@ -184,7 +184,7 @@
 
 
 def list_ready(fleet: Fleet) -> list[str]:
-    """:returns: VMs that a balancer would send calls to"""
+    """:returns: VMs to which a load balancer would send calls"""
     return sorted(
         name
         for name, vm in fleet.vms.items()
@@ -198,7 +198,7 @@
 
 
 def measure_memory() -> None:
-    """Print bytes per claim of a voter, and per finished claim of a claimant."""
+    """Print the memory per claim at a voter and per finished claim at a claimant."""
     settings = ClaimSettings(max_held_bytes=1 << 30)
     for n_claims in TABLE_SIZES:
         claims = n_bytes = 0
@@ -228,13 +228,13 @@
 
 
 def build_claim(index: int) -> Claim:
-    """:returns: a claim of the size that gateways make"""
+    """:returns: a claim as large as those of gateways"""
     key = hash_claim_key("barbell-club", str(index))
     return Claim(key, key[::-1], f"{uuid.uuid4().hex}.0", "entry-1")
 
 
 def main() -> None:
-    """Measure everything, or the faults named on the command line."""
+    """Run all measurements, or those named on the command line."""
     configure_logging(level="CRITICAL")
     wanted = sys.argv[1:] or ["memory", "latency", *FAULTS]
     if "memory" in wanted:
--- a/tests/claims/model.py
+++ b/tests/claims/model.py
@@ -1,7 +1,7 @@
-"""A fleet of voters and claimants without a network, for histories of any order.
+"""A model of a fleet of voters and claimants without a network.
 
-Every message is a method call whose effect a test applies when it likes, or never.
-The fleet counts what is run, and its checks are the promises of the protocol.
+Each message is a method call, which a test delivers at any time or never. The fleet
+counts executions and checks the guarantees of the protocol.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 
 
 class ModelKey(NamedTuple):
-    """A key as one caller uses it.
+    """A key of one caller.
 
-    :param created_ms: wall time that it carries; ``None``: an opaque key
+    :param created_ms: wall time in the key; ``None`` for an opaque key
     :param first_ms: when the caller first sent it
     """
 
@@ -46,7 +46,7 @@
 
 
 class Attempt:
-    """One claimant's attempt to run a key once."""
+    """One claimant's attempt to win a key and run its call."""
 
     def __init__(self, vm: ModelVm, key: ModelKey, claim: Claim) -> None:
         self.vm = vm
@@ -60,7 +60,7 @@
 
 
 class ModelVm:
-    """One start of an agent."""
+    """One incarnation of an agent."""
 
     voter_class: type[Voter] = Voter
 
@@ -85,20 +85,20 @@
 
 
 class UncheckedRemovalVoter(Voter):
-    """Proposes whatever it believes, so that more histories are possible."""
+    """Proposes to remove all voters it considers gone, so more histories occur."""
 
     def _may_propose_removal(self, gone: Collection[VoterId]) -> bool:
         return True
 
 
 class UncheckedRemovalVm(ModelVm):
-    """A VM whose voter is bold."""
+    """A VM with an :class:`UncheckedRemovalVoter`."""
 
     voter_class = UncheckedRemovalVoter
 
 
 class ModelFleet:
-    """VMs by name, who reaches whom, and what was run."""
+    """The VMs by name, the partition between them, and all executions."""
 
     vm_class: type[ModelVm] = ModelVm
     checks_permit = True
@@ -114,7 +114,7 @@
             self.start(name)
 
     def start(self, name: str) -> ModelVm:
-        """Start a VM, or start it anew: what it remembered is gone."""
+        """Start a VM, or restart it without its previous state."""
         self.n_starts += 1
         vm = self.vm_class(name, f"i{self.n_starts}", self.clock)
         self.vms[name] = vm
@@ -138,7 +138,7 @@
         gone: Iterable[str] = (),
         wanted: Iterable[str] | None = None,
     ) -> None:
-        """Ask the peers that are in reach; their replies wait for end_sync."""
+        """Send a sync request to reachable peers; end_sync delivers the replies."""
         vm = self.vms[name]
         truth = frozenset(self.vms) if listed is None else frozenset(listed)
         vm.gone = frozenset(gone)
@@ -189,13 +189,13 @@
         return attempt
 
     def ask(self, attempt: Attempt, voter: str) -> None:
-        """Bring the request to a voter; its vote waits in the inbox."""
+        """Deliver the request to a voter; its vote waits in the inbox."""
         if self.is_up(attempt) and self.can_reach(attempt.vm.name, voter):
             request = VoteRequest(attempt.tally.claim, attempt.key.created_ms)
             attempt.inbox.append(self.vms[voter].voter.vote(request))
 
     def count(self, attempt: Attempt) -> bool:
-        """:returns: whether the claim is won by the votes that have arrived"""
+        """:returns: whether the votes that have arrived win the claim"""
         for vote in attempt.inbox:
             attempt.tally.add(vote)
         attempt.inbox = []
@@ -204,7 +204,7 @@
         return attempt.is_won
 
     def win(self, attempt: Attempt) -> None:
-        """Hand the permit to the gateway, which looks at nothing else later."""
+        """Give the gateway the permit, which is all that it checks from then on."""
         if attempt.vm.tracker.win(attempt.tally.claim.claim_id):
             attempt.is_won = True
 
@@ -212,7 +212,7 @@
         return self.vms.get(attempt.vm.name) is attempt.vm
 
     def dispatch(self, attempt: Attempt) -> bool:
-        """Run the call if its claim is won and the permit still holds."""
+        """Run the call if its claim is won and the permit is still valid."""
         if not self.is_up(attempt) or attempt.has_run or not attempt.is_won:
             return False
         assert attempt.permit is not None
@@ -225,7 +225,10 @@
         return True
 
     def give_up(self, attempt: Attempt, *, notified: Iterable[str] = ()) -> None:
-        """Tell the caller ``ran: no`` and, if they can be reached, the voters."""
+        """Report ``ran: no`` to the caller and release the claim at the voters.
+
+        :param notified: voters that are sent the release, if they are reachable
+        """
         if attempt.has_run or not self.is_up(attempt):
             return
         claim = attempt.tally.claim
@@ -240,9 +243,11 @@
                 self.vms[name].voter.release(Release(claim.key, claim.claim_id))
 
     def resolve(self, attempt: Attempt) -> list[str]:
-        """Ask the holders that an attempt was told of.
+        """Ask the holders of the key for the status of their claims.
+
+        Claims that a holder has abandoned are released.
 
-        :returns: answers relayed; claims that were given up are released
+        :returns: answers that the holders relayed
         """
         answers = []
         for holder in attempt.tally.holders:
@@ -258,7 +263,7 @@
         return answers
 
     def call(self, vm_name: str, key: ModelKey) -> bool:
-        """One undisturbed call: ask everybody in reach, then run or give up."""
+        """Make a call without faults: ask all reachable VMs, then run or abandon."""
         attempt = self.begin(vm_name, key)
         for name in list(self.vms):
             self.ask(attempt, name)
@@ -268,7 +273,7 @@
         return False
 
     def check(self) -> None:
-        """Check every promise against what has happened so far."""
+        """Check every guarantee against the history so far."""
         doubled = {key: n for key, n in self.executions.items() if n > 1}
         assert not doubled, f"ran more than once: {doubled}"
         for attempt in self.attempts:
@@ -276,18 +281,18 @@
 
 
 class UncheckedRemovalFleet(ModelFleet):
-    """A correct fleet in which beliefs do more harm."""
+    """A correct fleet in which wrong views of the fleet do more harm."""
 
     vm_class = UncheckedRemovalVm
 
 
 def answer_of(claim: Claim) -> str:
-    """:returns: the only right answer to a claimed call"""
+    """:returns: the only correct answer to a claimed call"""
     return f"{claim.key}/{claim.body_digest}"
 
 
 def make_settled_fleet(names: Iterable[str]) -> ModelFleet:
-    """:returns: a fleet whose voters agree, past the doubt of its first start"""
+    """:returns: a fleet whose voters agree and no longer abstain"""
     fleet = ModelFleet(names)
     fleet.sync_all()
     fleet.clock.advance(SETTINGS.window_ms + 1)
--- a/tests/claims/model_check.py
+++ b/tests/claims/model_check.py
@@ -1,4 +1,4 @@
-"""The search for a history that breaks a promise."""
+"""Random search for a history that violates a guarantee of the protocol."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     n_steps: int,
     is_random: bool = False,
 ) -> None:
-    """Run random histories.
+    """Check random histories of a fleet.
 
-    :param is_random: whether each run draws other histories
-    :raises AssertionError: if one breaks a promise
+    :param is_random: whether each run uses different histories
+    :raises AssertionError: if a history violates a guarantee
     """
     machine = type("Machine", (ClaimMachine,), {"fleet_class": fleet_class})
     phases = [Phase.generate, Phase.shrink] if is_random else [Phase.generate]
--- a/tests/claims/scenarios.py
+++ b/tests/claims/scenarios.py
@@ -1,6 +1,6 @@
-"""Histories that break weaker protocols; each takes the fleet's class.
+"""Histories in which weaker protocols fail, as functions of the fleet class.
 
-A scenario fails by AssertionError if the fleet runs a key twice or refuses what it
+A scenario raises AssertionError if the fleet runs a key twice or refuses a call that it
 must run.
 """
 
@@ -22,7 +22,7 @@
 
 
 def settle(fleet_class: type[ModelFleet], names: Iterable[str] = NAMES) -> ModelFleet:
-    """:returns: a fleet past the doubt of its first start"""
+    """:returns: a fleet whose voters agree and no longer abstain"""
     fleet = fleet_class(names)
     fleet.sync_all()
     fleet.clock.advance(SETTINGS.window_ms + 1)
@@ -32,7 +32,7 @@
 def claim_at(
     fleet: ModelFleet, vm: str, key: ModelKey, voters: Iterable[str]
 ) -> Attempt:
-    """:returns: an attempt whose votes are counted but which has not run"""
+    """:returns: an attempt whose votes are counted and whose call has not run"""
     attempt = fleet.begin(vm, key)
     for voter in voters:
         fleet.ask(attempt, voter)
@@ -41,10 +41,10 @@
 
 
 def shrunken_list(fleet_class: type[ModelFleet]) -> None:
-    """A booking runs through VM 1; VMs 1 to 4 vanish from the list, alive.
+    """A booking runs on VM 1; then live VMs 1 to 4 disappear from the list.
 
-    The caller resends it to VM 5, whose list names 5, 6 and 7 only. A majority of
-    those three would book twice.
+    The caller resends it to VM 5, whose list names only 5, 6 and 7. A majority of these
+    three would run the booking again.
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
@@ -56,10 +56,10 @@
 
 
 def new_vm_with_partial_list(fleet_class: type[ModelFleet]) -> None:
-    """A booking runs through VM 1 with the votes of 1 to 4; VM 8 starts.
+    """A booking runs on VM 1 with the votes of 1 to 4; then VM 8 starts.
 
-    VM 8 has only ever seen 5, 6, 7 and itself, and the caller resends to it. Three
-    votes are a majority of what it knows, and none of these voters knows the key.
+    VM 8 knows only 5, 6, 7 and itself, and the caller resends the booking to it. Three
+    votes are a majority of the VMs it knows, and none of these has stored the claim.
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
@@ -74,8 +74,8 @@
 def minority_restarts(fleet_class: type[ModelFleet]) -> None:
     """A booking runs with the votes of 1 to 4; then 1, 2 and 3 restart.
 
-    They come back under their old names and remember nothing. If they voted as
-    before, the caller's resend through VM 5 would get six votes of seven.
+    They keep their names and lose their claims. If they voted as before, the caller's
+    resend to VM 5 would get six votes of seven.
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
@@ -96,8 +96,8 @@
 def majority_restarts(fleet_class: type[ModelFleet]) -> None:
     """A booking runs with the votes of 1 to 4; then all four restart at once.
 
-    Nobody is left who knows the key. A vote on it would book twice, while a key
-    made after the restart is safe to run at once.
+    No voter has the claim any more, so votes on the key would run the booking twice. A
+    key created after the restart is safe to run at once.
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
@@ -118,10 +118,10 @@
 
 
 def partition_with_unequal_lists(fleet_class: type[ModelFleet]) -> None:
-    """A partition of 1 to 3 from 4 to 7; only 1 to 3 read that 4 to 7 are dead.
+    """VMs 1 to 3 are partitioned from 4 to 7 and read that 4 to 7 are dead.
 
-    4 to 7 live on, read the old list, and go on booking for however long. If 1 to
-    3 ever believed their list, a booking resent across the cut would run twice.
+    4 to 7 read the old list and continue to run bookings for hours. If 1 to 3 ever
+    trusted their list, a booking resent across the partition would run twice.
     """
     fleet = settle(fleet_class)
     fleet.partition("123", "4567")
@@ -134,7 +134,7 @@
             fleet.end_sync(name)
         fleet.clock.advance(HOUR_MS)
     key = fleet.make_key("booking", is_timed=True)
-    assert fleet.call("4", key), "a majority must go on in a partition"
+    assert fleet.call("4", key), "a majority must continue in a partition"
     fleet.call("1", key)
     fleet.check()
 
@@ -142,9 +142,9 @@
 def pause_before_dispatch(fleet_class: type[ModelFleet]) -> None:
     """VM 1 wins a claim and pauses for an hour just before it dispatches.
 
-    The voters forget the key meanwhile. VM 2, asked with the same key at the end of
-    the resend window, pauses likewise, then collects votes from voters that have
-    forgotten. Both wake and would book.
+    Its claim expires at the voters in the meantime. VM 2 receives the same key at the
+    end of the resend window and pauses as well, then collects votes from voters whose
+    claim has expired. Both resume and would run the booking.
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
@@ -159,14 +159,14 @@
     fleet.dispatch(second)
     fleet.dispatch(first)
     fleet.check()
-    assert not fleet.executions, "neither may run so late"
+    assert not fleet.executions, "neither may run after its permit expired"
 
 
 def split_vote(fleet_class: type[ModelFleet]) -> None:
     """One VM of seven is down; 1 and 4 get three grants each for the same key.
 
-    Neither may run it, both say so to their callers, and the next resend must get
-    through, also if some releases were lost on the way.
+    Neither may run it and both report that to their callers. The next resend must run,
+    even if some releases were lost.
     """
     fleet = settle(fleet_class)
     fleet.stop("7")
@@ -186,9 +186,9 @@
 
 
 def late_votes(fleet_class: type[ModelFleet]) -> None:
-    """VM 1 gives a claim up before its votes arrive and says ``ran: no``.
+    """VM 1 abandons a claim before its votes arrive and reports ``ran: no``.
 
-    The resend runs through VM 2. Then the old votes arrive at VM 1, a majority.
+    The resend runs on VM 2. Then the old votes, a majority, arrive at VM 1.
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
@@ -203,7 +203,7 @@
 
 
 def resend(fleet_class: type[ModelFleet]) -> None:
-    """A caller hears nothing for a while and sends its booking to another VM."""
+    """A caller gets no answer and resends its booking to another VM."""
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
     assert fleet.call("1", key)
@@ -212,10 +212,10 @@
 
 
 def graceful_leave(fleet_class: type[ModelFleet]) -> None:
-    """All seven VMs are replaced one by one; callers book all the while.
+    """All seven VMs are replaced one by one while callers send bookings.
 
-    A voter that left without handing on what it knows would have to be waited for,
-    or would be missing when the old booking is resent at the end.
+    If a voter left without handing over its claims, the others would have to wait for
+    it, or would lack its claims when the old booking is resent at the end.
     """
     fleet = settle(fleet_class)
     old = fleet.make_key("old booking", is_timed=False)
@@ -238,10 +238,10 @@
 
 
 def divergent_voter_sets(fleet_class: type[ModelFleet]) -> None:
-    """Two halves of a partition add new VMs; VM 4 is heard by one, then the other.
+    """Both sides of a partition add VMs, and VM 4 is first on one, then the other.
 
-    5 to 7 moved on to a set with VMs 8 to 11 that VM 4 adopted. 1 to 4 then add VMs
-    12 to 15. Each half has a majority of its own set, and they share nobody.
+    5 to 7 commit a set with VMs 8 to 11, which VM 4 has adopted. 1 to 4 then add VMs 12
+    to 15. Each side has a majority of its own set, without a common voter.
     """
     fleet = settle(fleet_class)
     half = ["4", "5", "6", "7", "8", "9", "10", "11"]
@@ -267,11 +267,11 @@
 
 
 def late_replies(fleet_class: type[ModelFleet]) -> None:
-    """VM 1 asks its peers; the replies of 3, 4 and 5 reach it late.
+    """VM 1 sends a sync request; the replies of 3, 4 and 5 arrive late.
 
-    Meanwhile these three restart once more and vote under new seats. If the late
-    replies were held for news, VM 1 would think the new seats empty, and count
-    them when 1 and 2 are cut off from 3, 4 and 5.
+    Meanwhile these three restart again and vote under new ids. If VM 1 took the late
+    replies for current ones, it would consider the new ids retired, and count them as
+    adopters when 1 and 2 are partitioned from 3, 4 and 5.
     """
     fleet = settle(fleet_class, "12345")
     for name in "345":
@@ -292,16 +292,16 @@
     fleet.clock.advance(SETTINGS.window_ms)
     key = fleet.make_key("booking", is_timed=True)
     fleet.call("1", key)
-    assert fleet.call("3", key), "a majority must go on in a partition"
+    assert fleet.call("3", key), "a majority must continue in a partition"
     fleet.check()
 
 
 def majority_lost(fleet_class: type[ModelFleet]) -> None:
-    """Five of seven VMs are lost for good; new ones start under other names.
+    """Five of seven VMs are lost permanently; new VMs start under other names.
 
-    Nothing proves that the five have ended, so nobody may go on without them. The
-    operators stop the two that are left; the new VMs, which remember nothing, must
-    then begin again, without running the old booking a second time.
+    Nothing proves that the five have stopped, so the others may not continue without
+    them. The operators stop the remaining two. The new VMs, which have no state, must
+    then form a first voter set without running the old booking again.
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
@@ -322,10 +322,10 @@
 
 
 def changed_voter_ranking(fleet_class: type[ModelFleet]) -> None:
-    """A fleet larger than a group of voters grows; other VMs come to be wanted.
+    """New VMs rank before the current voters of a group and replace them.
 
-    VMs 1 to 3 vote; then 4, 5 and 6 start and rank before them. If these three
-    asked only each other, they would begin a voter set beside the first one.
+    VMs 1 to 3 vote; then 4, 5 and 6 start and rank before them. If these three asked
+    only each other, they would form a second first voter set.
     """
     fleet = fleet_class("123")
     fleet.sync_all()
--- a/tests/claims/soak.py
+++ b/tests/claims/soak.py
@@ -1,7 +1,7 @@
-"""Many random histories: ``make soak-claims EXAMPLES=20000``.
+"""Checks many random histories: ``make soak-claims EXAMPLES=20000``.
 
-First every faulty variant is searched for, to show what the search can find; then
-the protocol itself must hold.
+The search is first run on each faulty variant, to show which faults it can find, and
+then on the protocol itself, which must pass.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def find_variants() -> None:
-    """Print for each faulty variant whether the random search finds it."""
+    """Print for each faulty variant whether the random search finds a failure."""
     for name in faulty_fleets.names:
         started_s = time.monotonic()
         try:
@@ -33,7 +33,7 @@
 
 
 def main() -> None:
-    """Search the variants, then the protocol."""
+    """Check the faulty variants, then the protocol."""
     n_examples = int(sys.argv[1]) if len(sys.argv) > 1 else N_EXAMPLES
     find_variants()
     started_s = time.monotonic()
--- a/tests/claims/test_awaited_voter.py
+++ b/tests/claims/test_awaited_voter.py
@@ -1,8 +1,8 @@
-"""A voter that is granted a seat after it stopped being wanted there.
+"""A voter that is added to a voter set when it is no longer wanted there.
 
-VM a votes alone, VM b asks for a seat. Before b learns that it has one, other VMs
-come and the group is theirs: b is not wanted any more. The others count on its vote
-all the same, so every booking of the group was refused until a VM was restarted.
+VM a votes alone and VM b asks to be added. Before b learns that it was added, other VMs
+start and rank before it, so b is no longer wanted. The peers still need its vote: if b
+holds no more sync rounds, every booking of the group is refused until a VM restarts.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def make_fleet() -> ModelFleet:
-    """:returns: a fleet in which a seat of b is granted that b has not taken"""
+    """:returns: a fleet in which b has been added as a voter and has not joined"""
     fleet = ModelFleet("a")
     fleet.sync_all()
     fleet.start("b")
@@ -26,7 +26,7 @@
 
 
 def sync_required_voters(fleet: ModelFleet, n_rounds: int = 24) -> None:
-    """Hold rounds as agents do: those that vote, are waited for or are wanted."""
+    """Hold the rounds that agents would: of voters that must sync or are wanted."""
     for _ in range(n_rounds):
         for name, vm in fleet.vms.items():
             if vm.voter.must_sync or name in WANTED_LATER:
@@ -35,7 +35,7 @@
                 fleet.end_sync(name)
 
 
-def test_seat_is_awaited_until_it_is_taken() -> None:
+def test_added_voter_is_awaited_until_it_joins() -> None:
     fleet = make_fleet()
     committed = fleet.vms["a"].voter.chain.committed
     assert committed is not None
@@ -44,7 +44,7 @@
     assert fleet.vms["b"].voter.is_awaited
 
 
-def test_voters_of_a_group_change_though_one_never_took_its_seat() -> None:
+def test_voters_of_a_group_change_though_one_never_joined() -> None:
     fleet = make_fleet()
     sync_required_voters(fleet)
     committed_sets = {
@@ -57,7 +57,7 @@
 
 
 def test_voter_does_not_leave_while_its_vote_is_awaited() -> None:
-    """The VM is stopped in that moment: without its vote the others are stuck."""
+    """The VM is stopped before it has joined: its peers need its vote to remove it."""
     fleet = make_fleet()
     fleet.begin_sync("a")
     leaver = fleet.vms["b"].voter
--- a/tests/claims/test_counterexamples.py
+++ b/tests/claims/test_counterexamples.py
@@ -1,4 +1,4 @@
-"""Histories that break weaker protocols do not break this one."""
+"""Each scenario passes, and fails with the faulty variant that it is written for."""
 
 from __future__ import annotations
 
@@ -30,6 +30,6 @@
 
 @pytest.mark.parametrize("name", faulty_fleets.names)
 def test_scenario_finds_faulty_variant(name: str) -> None:
-    """A check that no fault can fail proves nothing: each variant must fail it."""
+    """Shows that the scenarios can fail: each faulty variant runs a key twice."""
     with pytest.raises(AssertionError, match="ran more than once"):
         scenarios[FOUND_BY[name]](faulty_fleets.get(name))
--- a/tests/claims/test_example.py
+++ b/tests/claims/test_example.py
@@ -1,4 +1,4 @@
-"""The example of the library's documentation runs."""
+"""The example in the package's doc string runs."""
 
 from __future__ import annotations
 
--- a/tests/claims/test_fleet_claims.py
+++ b/tests/claims/test_fleet_claims.py
@@ -14,17 +14,18 @@
 from quetzaldeck.demo.session import wait_until_ready
 
 WAIT_S = 20.0
-
-
 N_BOOKINGS = 80
 MAX_ATTEMPTS = 60
-"""For a caller that resends until it is booked. Votes time out by the clock: on a
-machine where the loop of this process runs late by a third of a second a minority
-answers for seconds, and four attempts are over in less than one."""
+"""Attempts of a caller that resends until it is booked.
+
+Votes have a wall-clock timeout. If the event loop of this process is late by a third of
+a second, only a minority of the voters answers in time for several seconds, while four
+attempts take less than one second.
+"""
 
 
 async def wait_until_settled(fleet: Fleet) -> None:
-    """Wait until all voters agree on the set of exactly the VMs that run."""
+    """Wait until all voters agree on a set of exactly the running VMs."""
     async with asyncio.timeout(WAIT_S):
         while not is_settled(fleet):
             await asyncio.sleep(0.02)
@@ -81,7 +82,7 @@
         counts = Counter((o.status, o.reason) for o in callers.outcomes)
         n_answers = sum(n for (status, _), n in counts.items() if status == 200)
         assert n_answers >= N_BOOKINGS, counts
-        # A VM that vanished may have taken an answer along; its booking did run.
+        # The answer may be lost with a stopped VM, though the booking did run.
         settled = {o.key for o in callers.outcomes if o.is_settled}
         assert len(settled) == N_BOOKINGS, counts
 
@@ -92,10 +93,10 @@
 
 
 def test_bookings_run_once_while_vms_stop_and_restart() -> None:
-    """Callers send each booking to two VMs at a time and resend what fails.
+    """Callers send each booking to two VMs at a time and resend it on failure.
 
-    Meanwhile two of five VMs vanish and come back without their memory. A member
-    who books once must be booked once, and a refusal must be true.
+    Meanwhile two of five VMs stop and restart without their state. Each booking must
+    run once, and a refusal with ``ran: no`` must be true.
     """
     uvloop.run(run_churn())
 
@@ -124,8 +125,8 @@
 def test_graceful_leave_refuses_nothing_and_keeps_answers() -> None:
     """All VMs are replaced one by one, then the first booking is resent.
 
-    None of the VMs that granted it or ran it is left; the caller must get the
-    answer of then, not a second booking.
+    None of the VMs that granted or ran it is left. The caller must get the original
+    answer, not a second booking.
     """
     uvloop.run(run_replacement())
 
@@ -145,7 +146,7 @@
         callers.check()
 
 
-def test_gateway_without_agent_refuses_what_may_not_be_repeated() -> None:
+def test_gateway_without_agent_refuses_non_repeatable_calls() -> None:
     uvloop.run(run_without_agent())
 
 
@@ -175,7 +176,7 @@
 
 
 def test_groups_of_voters_run_keys_once() -> None:
-    """A fleet larger than a group of voters: most VMs ask others for every vote."""
+    """A fleet larger than a group of voters, where most VMs do not vote on a key."""
     uvloop.run(run_groups())
 
 
@@ -196,7 +197,7 @@
     uvloop.run(run_alone())
 
 
-async def run_impatient_caller() -> None:
+async def run_disconnecting_caller() -> None:
     settings = FleetSettings(n_vms=3, n_engines=1, service_duration_ms=400)
     async with (
         Fleet(settings) as fleet,
@@ -218,7 +219,7 @@
 def test_late_answer_reaches_the_caller_that_resent() -> None:
     """A caller closes its connection while the booking runs, and resends at once.
 
-    The second VM loses the claim to the first and relays its answer when it comes;
-    had the first call ended with its connection, nobody would have the answer.
+    The second VM cannot win the claim and relays the answer of the first one. If the
+    first call were aborted with its connection, the answer would be lost.
     """
-    uvloop.run(run_impatient_caller())
+    uvloop.run(run_disconnecting_caller())
--- a/tests/claims/test_groups.py
+++ b/tests/claims/test_groups.py
@@ -1,4 +1,4 @@
-"""Which VMs vote on which keys."""
+"""Assignment of keys to groups and of voters to groups."""
 
 from __future__ import annotations
 
--- a/tests/claims/test_model_check.py
+++ b/tests/claims/test_model_check.py
@@ -1,4 +1,4 @@
-"""Random histories keep the promises; ``make soak-claims`` runs many more."""
+"""Random histories keep the guarantees; ``make soak-claims`` runs many more."""
 
 from __future__ import annotations
 
@@ -17,6 +17,6 @@
 
 @pytest.mark.parametrize("name", EASILY_FOUND)
 def test_check_fleet_finds_faulty_variant(name: str) -> None:
-    """The search itself must be able to fail; rarer faults are left to the soak."""
+    """Shows that the search can fail; rarer faults are left to ``make soak-claims``."""
     with pytest.raises(AssertionError):
         check_fleet(faulty_fleets.get(name), n_examples=1_500, n_steps=40)
--- a/tests/reclaim/crashes.py
+++ b/tests/reclaim/crashes.py
@@ -1,7 +1,7 @@
-"""A fleet that loses VMs while its engines hold memory, on a clock that it moves.
+"""Simulation of a fleet whose VMs crash while they have engine memory allocated.
 
-``python -m tests.reclaim.crashes`` prints what is left behind, with reclaim and
-without it.
+``python -m tests.reclaim.crashes`` prints how much memory leaks with and without
+reclaim.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 PAUSE_MS = 60_000.0
 PARTITION_MS = 120_000.0
 SETTINGS = ReclaimSettings()
-# What the design promises: the longest deadline, the clocks' difference, and a
-# look at each engine after that.
+# The design guarantees release within the longest deadline plus the clock skew, the
+# minimum age, and two scan intervals.
 RELEASE_BOUND_MS = (
     LONG_DEADLINE_MS
     + SETTINGS.clock_skew_ms
@@ -43,12 +43,12 @@
 
 
 class LiveReleaseError(AssertionError):
-    """Something was released that its owner still used."""
+    """An allocation was released that its owner still used."""
 
 
 @dataclass
 class Allocation:
-    """Memory on an engine."""
+    """Memory allocated on an engine."""
 
     owner: Owner
     n_tokens: int
@@ -59,7 +59,7 @@
 
 @dataclass
 class Machine:
-    """A VM with its two programs; another one may carry the same name."""
+    """A VM with its gateway and agent; another VM may have the same name."""
 
     vm: str
     clock: ManualClock
@@ -92,10 +92,10 @@
 
 
 class Outcome(NamedTuple):
-    """What a trial left behind.
+    """Result of a trial.
 
-    :param leaked_token_hours: leaked tokens times the hours that they stayed
-    :param waits_ms: from the moment a holding was left behind to its release
+    :param leaked_token_hours: leaked tokens multiplied by the hours they were leaked
+    :param waits_ms: from the moment an allocation is orphaned until its release
     """
 
     n_leaked_tokens: int
@@ -106,7 +106,7 @@
 
 
 class Trial:
-    """One random run."""
+    """One random simulation run."""
 
     def __init__(
         self, seed: int, *, with_reclaim: bool, n_crashes: int = N_CRASHES
@@ -157,7 +157,7 @@
         machine = self.random.choice(self.machines)
         now_ms = self.clock.now_ms()
         kind = self.random.choice(
-            ["gateway", "agent", "reboot", "replace", "pause", "cut", "reuse"]
+            ["gateway", "agent", "reboot", "replace", "pause", "partition", "reuse"]
         )
         if kind == "gateway":
             machine.gateway_is_live = False
@@ -215,7 +215,7 @@
                 self._start(allocations, owner)
 
     def _free_finished(self) -> None:
-        """Let owners that run give back what they have finished with."""
+        """Free the allocations that running owners no longer need."""
         now_ms = self.clock.now_ms()
         running = {
             Owner(m.vm, m.gateway)
@@ -273,7 +273,7 @@
             return asker.owners.find_state(owner.incarnation)
         if not asker.is_reachable:
             return OwnerState.UNKNOWN
-        # Of two machines with one name the later one is found at its address.
+        # Of two machines with the same name, the later one is found at the address.
         named = [m for m in self.machines if m.vm == owner.vm]
         if not named or not named[-1].is_reachable:
             return OwnerState.UNKNOWN
@@ -312,7 +312,7 @@
 
 
 def main() -> None:
-    """Print the figures of one trial with reclaim and one without."""
+    """Print the results of one trial without reclaim and one with it."""
     for with_reclaim in (False, True):
         outcome = Trial(1, with_reclaim=with_reclaim).run()
         delays = outcome.release_delays_ms
--- a/tests/reclaim/test_reclaimer.py
+++ b/tests/reclaim/test_reclaimer.py
@@ -1,4 +1,4 @@
-"""What may be released on an engine, and on which proof."""
+"""Which allocations of an engine may be released, and on which proof."""
 
 from __future__ import annotations
 
@@ -41,24 +41,24 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_200_crashes_leave_nothing_and_harm_nothing_live(seed: int) -> None:
-    """VMs die, are replaced, paused, cut off, and their ids are used again.
+def test_200_crashes_leak_nothing_and_release_nothing_in_use(seed: int) -> None:
+    """VMs crash, are replaced, paused or partitioned, and their ids are reused.
 
-    Callers of a live request that is released would get half an answer; memory
-    that is not released is missing until the engine is restarted.
+    If an allocation in use is released, its caller gets a truncated answer. Memory that
+    is not released stays leaked until the engine restarts.
     """
     outcome = Trial(seed, with_reclaim=True).run()
     assert outcome.n_leaked_tokens == 0
     assert outcome.n_released > 100
 
 
-def test_without_reclaim_the_same_crashes_leave_memory_behind() -> None:
+def test_without_reclaim_the_same_crashes_leak_memory() -> None:
     outcome = Trial(0, with_reclaim=False, n_crashes=20).run()
     assert outcome.n_leaked_tokens > 1_000_000
 
 
 def test_a_silent_gateway_is_not_gone(clock: ManualClock) -> None:
-    """The gateway's process is stopped for an hour and goes on afterwards."""
+    """The gateway's process is paused for an hour and continues afterwards."""
     registry = OwnerRegistry(clock, quiet_ms=QUIET_MS)
     report(registry, clock, "gateway.1", 5_000)
     assert registry.find_state("gateway.1") is OwnerState.LIVE
@@ -84,11 +84,11 @@
     assert registry.find_state("gateway.2") is OwnerState.LIVE
 
 
-def test_a_paused_agent_gives_the_gateway_its_time_again(clock: ManualClock) -> None:
-    """The agent pauses for a minute while an old and a new gateway run.
+def test_silence_is_counted_from_the_end_of_an_agents_pause(clock: ManualClock) -> None:
+    """The agent is paused for a minute while an old and a new gateway run.
 
-    On waking it hears the new one first; the old one, still finishing requests,
-    was silent for a minute only as far as the agent can tell.
+    After the pause the new one reports first. The old one is still finishing requests;
+    it only seems silent because its reports during the pause were lost.
     """
     registry = OwnerRegistry(clock, quiet_ms=QUIET_MS)
     report(registry, clock, "gateway.1", 5_000)
@@ -97,17 +97,19 @@
     assert registry.find_state("gateway.1") is OwnerState.LIVE
 
 
-def test_a_gateway_that_said_it_has_finished_is_gone(clock: ManualClock) -> None:
+def test_a_gateway_that_reported_its_stop_is_gone(clock: ManualClock) -> None:
     registry = OwnerRegistry(clock, quiet_ms=QUIET_MS)
     registry.note_report("gateway.1", is_stopped=True)
     assert registry.find_state("gateway.1") is OwnerState.GONE
 
 
-def test_an_agent_does_not_vouch_for_what_it_never_heard(clock: ManualClock) -> None:
-    """The id of a VM behind a partition is given to a new VM.
+def test_the_state_of_an_incarnation_that_never_reported_is_unknown(
+    clock: ManualClock,
+) -> None:
+    """The id of a VM behind a partition is reused for a new VM.
 
-    The old VM goes on serving. If the new one answered for it, by the name alone,
-    the old one's requests would be released under its callers.
+    The old VM continues to serve. If the new VM's agent answered for it because of the
+    same name, allocations of running requests would be released.
     """
     registry = OwnerRegistry(clock, quiet_ms=QUIET_MS)
     report(registry, clock, "gateway.2", 3 * QUIET_MS)
@@ -124,7 +126,7 @@
     assert reclaimer.list_releases([make_allocation()]) == ()
 
 
-def test_a_gone_owner_releases_its_own_holdings_only(clock: ManualClock) -> None:
+def test_only_allocations_of_the_gone_owner_are_released(clock: ManualClock) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
     reclaimer.note_owner_state(OWNER, OwnerState.GONE)
     other = make_allocation("b.1", OWNER._replace(incarnation="gateway.2"))
@@ -132,7 +134,7 @@
     assert [release.allocation.attempt_id for release in releases] == ["a.1"]
 
 
-def test_a_passed_deadline_is_a_proof_once_clocks_cannot_differ(
+def test_a_passed_deadline_is_a_proof_after_the_clock_skew(
     clock: ManualClock,
 ) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
@@ -144,15 +146,17 @@
     assert release.why == "deadline_passed"
 
 
-def test_an_id_without_a_deadline_waits_for_the_longest(clock: ManualClock) -> None:
+def test_an_id_without_a_deadline_is_assumed_to_have_the_longest(
+    clock: ManualClock,
+) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
     longest_ms = SETTINGS.max_deadline_ms + SETTINGS.clock_skew_ms
     assert reclaimer.list_releases([make_allocation(age_ms=longest_ms)]) == ()
     assert reclaimer.list_releases([make_allocation(age_ms=longest_ms + 1)])
 
 
-def test_a_reused_id_is_not_touched(clock: ManualClock) -> None:
-    """Between the look and the release the engine restarts and takes a new holding."""
+def test_a_reused_id_is_not_released(clock: ManualClock) -> None:
+    """The engine restarts between the scan and the release and reuses the id."""
     reclaimer = Reclaimer(clock, SETTINGS)
     reclaimer.note_owner_state(OWNER, OwnerState.GONE)
     releases = reclaimer.list_releases([make_allocation()])
@@ -162,7 +166,7 @@
     assert confirm_releases(releases, [make_allocation(age_ms=60_100)]) == releases
 
 
-def test_questions_are_bounded_and_in_turn(clock: ManualClock) -> None:
+def test_queries_are_bounded_and_reach_all_owners(clock: ManualClock) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
     owners = [Owner("entry-1", f"gateway.{n}") for n in range(20)]
     allocations = [make_allocation(f"{n}.1", owner) for n, owner in enumerate(owners)]
@@ -175,7 +179,7 @@
     assert asked == set(owners)
 
 
-def test_young_holdings_are_left_alone(clock: ManualClock) -> None:
+def test_recent_allocations_are_not_released(clock: ManualClock) -> None:
     reclaimer = Reclaimer(clock, SETTINGS)
     reclaimer.note_owner_state(OWNER, OwnerState.GONE)
     recent = make_allocation(age_ms=SETTINGS.min_age_ms - 1)
