--- a/tests/claims/machine.py
+++ b/tests/claims/machine.py
@@ -43,7 +43,7 @@
         return self.open[pick % len(self.open)]
 
     def may_send(self, key: ModelKey) -> bool:
-        """:returns: whether a caller may send the key; opaque ones only in the window"""
+        """:returns: whether a caller may send it; opaque keys have a resend window"""
         age_ms = self.fleet.clock.now_ms() - key.first_ms
         resend_ms = SETTINGS.window_ms - SETTINGS.max_deadline_ms
         return key.created_ms is not None or age_ms <= resend_ms
@@ -82,7 +82,7 @@
         self.fleet.partition(one, [name for name in NAMES if name not in one])
 
     @rule()
-    def heal(self) -> None:
+    def end_partition(self) -> None:
         self.fleet.partition(NAMES)
 
     def list_wanted(self, bits: int | None) -> list[str] | None:
@@ -109,11 +109,11 @@
     def sync(
         self, gone: int, wanted: int | None, n_rounds: int, *, is_true: bool
     ) -> None:
-        """Run whole rounds; the VMs considered gone are arbitrary or the stopped ones."""
+        """Run whole rounds; VMs consider any VMs gone, or just the stopped ones."""
         lost = [name for name in NAMES if name not in self.fleet.vms]
-        believed = lost if is_true else choose(gone, list(NAMES))
+        considered_gone = lost if is_true else choose(gone, list(NAMES))
         self.fleet.sync_all(
-            gone=believed, wanted=self.list_wanted(wanted), n_rounds=n_rounds
+            gone=considered_gone, wanted=self.list_wanted(wanted), n_rounds=n_rounds
         )
 
     @precondition(lambda self: len(self.keys) < MAX_KEYS)
@@ -143,7 +143,7 @@
 
     @precondition(lambda self: self.keys and self.fleet.vms)
     @rule(vm=PICK, key=PICK)
-    def give_up_early(self, vm: int, key: int) -> None:
+    def abandon_early(self, vm: int, key: int) -> None:
         """Abandon an attempt before its votes arrive; they may be counted later."""
         chosen = self.keys[key % len(self.keys)]
         if self.may_send(chosen):
@@ -151,7 +151,7 @@
             self.open.append(attempt)
             for name in NAMES:
                 self.fleet.ask(attempt, name)
-            self.fleet.give_up(attempt, notified=NAMES)
+            self.fleet.abandon(attempt, notified=NAMES)
 
     @precondition(lambda self: self.open)
     @rule(pick=PICK, asked=SUBSET)
@@ -173,8 +173,8 @@
 
     @precondition(lambda self: self.open)
     @rule(pick=PICK, notified=SUBSET)
-    def give_up(self, pick: int, notified: int) -> None:
-        self.fleet.give_up(
+    def abandon(self, pick: int, notified: int) -> None:
+        self.fleet.abandon(
             self.pick_attempt(pick), notified=choose(notified, list(NAMES))
         )
 
--- a/tests/claims/measure.py
+++ b/tests/claims/measure.py
@@ -94,7 +94,7 @@
     await fleet.start_vm("entry-7")
 
 
-async def lose_zone(fleet: Fleet) -> None:
+async def stop_zone(fleet: Fleet) -> None:
     """Stop the three VMs of one zone at once."""
     for name in ("entry-1", "entry-4", "entry-7"):
         await fleet.stop_vm(name)
@@ -127,7 +127,7 @@
     "none": no_fault,
     "kill of one VM": kill_one,
     "restart of one VM": restart_one,
-    "zone loss, 3 of 7 VMs": lose_zone,
+    "zone loss, 3 of 7 VMs": stop_zone,
     "partition 3 | 4": cut_three_from_four,
     "stale list, one VM replaced": freeze_list,
     "rolling replacement of all": replace_all,
--- a/tests/claims/model.py
+++ b/tests/claims/model.py
@@ -224,7 +224,7 @@
         attempt.vm.tracker.finish(attempt.tally.claim.claim_id, answer)
         return True
 
-    def give_up(self, attempt: Attempt, *, notified: Iterable[str] = ()) -> None:
+    def abandon(self, attempt: Attempt, *, notified: Iterable[str] = ()) -> None:
         """Report ``ran: no`` to the caller and release the claim at the voters.
 
         :param notified: voters that are sent the release, if they are reachable
@@ -269,7 +269,7 @@
             self.ask(attempt, name)
         if self.count(attempt) and self.dispatch(attempt):
             return True
-        self.give_up(attempt, notified=list(self.vms))
+        self.abandon(attempt, notified=list(self.vms))
         return False
 
     def check(self) -> None:
--- a/tests/claims/scenarios.py
+++ b/tests/claims/scenarios.py
@@ -175,12 +175,12 @@
     other = claim_at(fleet, "4", key, "456")
     assert not fleet.dispatch(one)
     assert not fleet.dispatch(other)
-    fleet.give_up(one, notified="1")
-    fleet.give_up(other, notified="4")
+    fleet.abandon(one, notified="1")
+    fleet.abandon(other, notified="4")
     third = claim_at(fleet, "5", key, "123456")
     assert not fleet.dispatch(third)
     fleet.resolve(third)
-    fleet.give_up(third, notified="123456")
+    fleet.abandon(third, notified="123456")
     assert fleet.call("6", key), "a resend after a split vote must run"
     fleet.check()
 
@@ -195,7 +195,7 @@
     attempt = fleet.begin("1", key)
     for voter in "1234":
         fleet.ask(attempt, voter)
-    fleet.give_up(attempt, notified=NAMES)
+    fleet.abandon(attempt, notified=NAMES)
     assert fleet.call("2", key)
     fleet.count(attempt)
     fleet.dispatch(attempt)
@@ -347,7 +347,7 @@
     ]
     for attempt in attempts:
         fleet.dispatch(attempt)
-        fleet.give_up(attempt, notified=fleet.vms)
+        fleet.abandon(attempt, notified=fleet.vms)
     fleet.check()
     fleet.sync_all(wanted="456", gone="123")
     fleet.call("4", key)
