--- a/src/quetzaldeck/claims/messages.py
+++ b/src/quetzaldeck/claims/messages.py
@@ -48,7 +48,7 @@
 class Vote(NamedTuple):
     """A voter's reply to a claimant.
 
-    :param demands: voter sets in each of which the claimant needs a majority if
+    :param required_sets: voter sets in each of which the claimant needs a majority if
         the vote is a grant; otherwise they only name further voters to ask
     :param holders: other claims on the key that the voter has stored
     :param retry_after_ms: time until an abstaining voter expects to vote again
--- a/src/quetzaldeck/claims/vote_tally.py
+++ b/src/quetzaldeck/claims/vote_tally.py
@@ -90,7 +90,11 @@
         return frozenset(vms) - asked
 
     def _list_voter_ids(self, verdict: Verdict) -> Iterable[VoterId]:
-        return (s for s, vote in self._votes.items() if vote.verdict is verdict)
+        return (
+            voter_id
+            for voter_id, vote in self._votes.items()
+            if vote.verdict is verdict
+        )
 
 
 __all__ = ("VoteTally",)
--- a/src/quetzaldeck/claims/voter.py
+++ b/src/quetzaldeck/claims/voter.py
@@ -43,10 +43,10 @@
             is_same = all(other.body_digest == claim.body_digest for other in others)
             verdict = Verdict.HELD if is_same else Verdict.CONFLICT
             return Vote(self._voter_id, verdict, self._list_required_sets(), others)
-        blind_ms = self._abstention.remaining_ms(request.created_ms)
-        if blind_ms > 0:
+        abstain_ms = self._abstention.remaining_ms(request.created_ms)
+        if abstain_ms > 0:
             return self._abstain(
-                "may have lost a claim on the key in a restart", blind_ms
+                "may have lost a claim on the key in a restart", abstain_ms
             )
         if self._is_too_old(request):
             return self._abstain("the key is older than the resend window", 0.0)
--- a/src/quetzaldeck/claims/voter_state.py
+++ b/src/quetzaldeck/claims/voter_state.py
@@ -90,7 +90,7 @@
         A voter may ask to be added and no longer be wanted when its peers add it,
         because VMs started in the meantime rank before it. If it then stopped holding
         rounds, its peers would wait for its vote forever and refuse every call of the
-        group: of two voters one is no majority.
+        group: one of two voters is no majority.
         """
         return (
             self._chain.committed is None and self._awaited_voter_id == self._voter_id
@@ -129,7 +129,7 @@
         """:returns: VMs to ask in a sync round
 
         A voter without a committed set asks all listed VMs: there may be a voter set of
-        which no member is wanted any more, and a second first set must not be formed.
+        which no member is wanted any more, and no other set may be formed beside it.
         """
         asked = self.voters_to_ask
         return (
@@ -139,12 +139,12 @@
     @property
     def voters_to_ask(self) -> frozenset[str]:
         """:returns: VMs to ask for votes: members of a voter set and wanted VMs"""
-        voter_ids = {
+        vms = {
             voter_id.vm
             for item in self._chain.required_sets
             for voter_id in item.members
         }
-        return frozenset(voter_ids | self._view.voters) - {self._vm}
+        return frozenset(vms | self._view.voters) - {self._vm}
 
 
 __all__ = ("VoterState",)
--- a/src/quetzaldeck/reclaim/reclaimer.py
+++ b/src/quetzaldeck/reclaim/reclaimer.py
@@ -2,7 +2,7 @@
 
 Engine memory leaks when the VM that allocated it dies: a connection may stay half-open
 for hours, and a reservation or an export has no connection at all. Without reclaim each
-crash would leak memory, until the engine could serve no request.
+crash would leak some memory permanently, until the engine could serve no request.
 
 An allocation is released only on a proof, and a proof never becomes false later:
 
@@ -119,11 +119,11 @@
     Called immediately before the release, with a new list: an id that now belongs to
     another owner, or to a newer allocation, is not released.
     """
-    now = {(h.attempt_id, h.owner): h.age_ms for h in listed_again}
+    ages_ms = {(a.attempt_id, a.owner): a.age_ms for a in listed_again}
     return tuple(
         release
         for release in releases
-        if now.get((release.allocation.attempt_id, release.allocation.owner), -1.0)
+        if ages_ms.get((release.allocation.attempt_id, release.allocation.owner), -1.0)
         >= release.allocation.age_ms
     )
 
--- a/tests/claims/measure.py
+++ b/tests/claims/measure.py
@@ -100,9 +100,9 @@
         await fleet.stop_vm(name)
 
 
-async def cut_three_from_four(fleet: Fleet) -> None:
+async def partition_three_from_four(fleet: Fleet) -> None:
     """Partition VMs 1 to 3 from 4 to 7."""
-    cut(fleet, ("entry-1", "entry-2", "entry-3"))
+    partition(fleet, ("entry-1", "entry-2", "entry-3"))
 
 
 async def freeze_list(fleet: Fleet) -> None:
@@ -128,33 +128,33 @@
     "kill of one VM": kill_one,
     "restart of one VM": restart_one,
     "zone loss, 3 of 7 VMs": stop_zone,
-    "partition 3 | 4": cut_three_from_four,
+    "partition 3 | 4": partition_three_from_four,
     "stale list, one VM replaced": freeze_list,
     "rolling replacement of all": replace_all,
 }
 
 
-def cut(fleet: Fleet, side: Iterable[str]) -> None:
+def partition(fleet: Fleet, side: Iterable[str]) -> None:
     """Block all messages between the agents of ``side`` and the others."""
     inside = frozenset(side)
     for name, vm in fleet.vms.items():
-        far = frozenset(fleet.vms) - inside if name in inside else inside
-        block(vm.agent.session, far)
+        unreachable = frozenset(fleet.vms) - inside if name in inside else inside
+        block(vm.agent.session, unreachable)
 
 
-def block(session: AgentSession, far: frozenset[str]) -> None:
-    """Make queries to the VMs in ``far`` fail."""
+def block(session: AgentSession, unreachable: frozenset[str]) -> None:
+    """Make queries to the VMs in ``unreachable`` fail."""
     ask = session.channel.ask
 
-    async def ask_in_reach(
+    async def ask_reachable(
         vm: str, address: str, kind: str, body: bytes, timeout_ms: float
     ) -> tuple[PeerIdentity, bytes]:
-        if vm in far:
-            msg = f"{vm} is cut off"
+        if vm in unreachable:
+            msg = f"{vm} is unreachable"
             raise PeerError(msg)
         return await ask(vm, address, kind, body, timeout_ms)
 
-    session.channel.ask = ask_in_reach  # type: ignore[method-assign]
+    session.channel.ask = ask_reachable  # type: ignore[method-assign]
 
 
 async def measure_fault(fault: Fault) -> Availability:
@@ -164,15 +164,15 @@
         Callers(fleet, random_state=random.Random(2)) as callers,
     ):
         await wait_until_settled(fleet)
-        begun = asyncio.create_task(begin_later(fleet, fault))
+        injected = asyncio.create_task(inject_later(fleet, fault))
         calls = []
-        choose = random.Random(3)
+        random_state = random.Random(3)
         for _ in range(int(RUN_S * CALLS_PER_S)):
-            vm = choose.choice(list_ready(fleet))
+            vm = random_state.choice(list_ready(fleet))
             calls.append(asyncio.create_task(callers.call(vm, callers.make_key())))
             await asyncio.sleep(1 / CALLS_PER_S)
         outcomes = await asyncio.gather(*calls)
-        await begun
+        await injected
         callers.check()
     reasons = Counter(
         f"{outcome.reason or 'no connection'} (ran: {outcome.ran or '-'})"
@@ -192,7 +192,7 @@
     )
 
 
-async def begin_later(fleet: Fleet, fault: Fault) -> None:
+async def inject_later(fleet: Fleet, fault: Fault) -> None:
     await asyncio.sleep(FAULT_AFTER_S)
     await fault(fleet)
 
@@ -236,16 +236,16 @@
 def main() -> None:
     """Run all measurements, or those named on the command line."""
     configure_logging(level="CRITICAL")
-    wanted = sys.argv[1:] or ["memory", "latency", *FAULTS]
-    if "memory" in wanted:
+    selected = sys.argv[1:] or ["memory", "latency", *FAULTS]
+    if "memory" in selected:
         measure_memory()
-    if "latency" in wanted:
+    if "latency" in selected:
         uvloop.run(measure_latency())
-    for name in wanted:
+    for name in selected:
         if name in FAULTS:
-            found = uvloop.run(measure_fault(FAULTS[name]))
-            print(f"{name}: {found.n_answered} of {found.n_calls} answered; ", end="")
-            print(found.reasons, flush=True)
+            result = uvloop.run(measure_fault(FAULTS[name]))
+            print(f"{name}: {result.n_answered} of {result.n_calls} answered; ", end="")
+            print(result.reasons, flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/claims/model.py
+++ b/tests/claims/model.py
@@ -140,10 +140,10 @@
     ) -> None:
         """Send a sync request to reachable peers; end_sync delivers the replies."""
         vm = self.vms[name]
-        truth = frozenset(self.vms) if listed is None else frozenset(listed)
+        listed_vms = frozenset(self.vms) if listed is None else frozenset(listed)
         vm.gone = frozenset(gone)
         voters = None if wanted is None else frozenset(wanted)
-        vm.voter.update_view(FleetView(truth, vm.gone, voters))
+        vm.voter.update_view(FleetView(listed_vms, vm.gone, voters))
         request = vm.request = vm.voter.build_sync()
         vm.replies = [
             self.vms[peer].voter.answer_sync(request)
--- a/tests/claims/scenarios.py
+++ b/tests/claims/scenarios.py
@@ -29,7 +29,7 @@
     return fleet
 
 
-def claim_at(
+def collect_votes(
     fleet: ModelFleet, vm: str, key: ModelKey, voters: Iterable[str]
 ) -> Attempt:
     """:returns: an attempt whose votes are counted and whose call has not run"""
@@ -48,7 +48,7 @@
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
-    assert fleet.dispatch(claim_at(fleet, "1", key, "1234"))
+    assert fleet.dispatch(collect_votes(fleet, "1", key, "1234"))
     fleet.partition("1234", "567")
     fleet.sync_all(listed="567", gone="1234")
     fleet.call("5", key)
@@ -63,7 +63,7 @@
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
-    assert fleet.dispatch(claim_at(fleet, "1", key, "1234"))
+    assert fleet.dispatch(collect_votes(fleet, "1", key, "1234"))
     fleet.start("8")
     fleet.partition("1234", "5678")
     fleet.sync_all(listed="5678", gone="1234")
@@ -79,7 +79,7 @@
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
-    assert fleet.dispatch(claim_at(fleet, "4", key, "1234"))
+    assert fleet.dispatch(collect_votes(fleet, "4", key, "1234"))
     for name in "123":
         fleet.start(name)
     fleet.partition("4", "123567")
@@ -89,8 +89,8 @@
     fleet.sync_all()
     fleet.call("6", key)
     fleet.check()
-    fresh = fleet.make_key("next booking", is_timed=False)
-    assert fleet.call("1", fresh), "three restarts of seven must refuse nothing"
+    next_key = fleet.make_key("next booking", is_timed=False)
+    assert fleet.call("1", next_key), "three restarts of seven must refuse nothing"
 
 
 def majority_restarts(fleet_class: type[ModelFleet]) -> None:
@@ -102,8 +102,8 @@
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
     timed = fleet.make_key("timed booking", is_timed=True)
-    assert fleet.dispatch(claim_at(fleet, "1", key, "1234"))
-    assert fleet.dispatch(claim_at(fleet, "1", timed, "1234"))
+    assert fleet.dispatch(collect_votes(fleet, "1", key, "1234"))
+    assert fleet.dispatch(collect_votes(fleet, "1", timed, "1234"))
     for name in "1234":
         fleet.start(name)
     fleet.sync_all(n_rounds=40)
@@ -148,7 +148,7 @@
     """
     fleet = settle(fleet_class)
     key = fleet.make_key("booking", is_timed=False)
-    first = claim_at(fleet, "1", key, "1234")
+    first = collect_votes(fleet, "1", key, "1234")
     fleet.clock.advance(SETTINGS.window_ms - SETTINGS.max_deadline_ms)
     second = fleet.begin("2", key)
     fleet.clock.advance(SETTINGS.max_deadline_ms + 1)
@@ -171,13 +171,13 @@
     fleet = settle(fleet_class)
     fleet.stop("7")
     key = fleet.make_key("booking", is_timed=False)
-    one = claim_at(fleet, "1", key, "123")
-    other = claim_at(fleet, "4", key, "456")
+    one = collect_votes(fleet, "1", key, "123")
+    other = collect_votes(fleet, "4", key, "456")
     assert not fleet.dispatch(one)
     assert not fleet.dispatch(other)
     fleet.abandon(one, notified="1")
     fleet.abandon(other, notified="4")
-    third = claim_at(fleet, "5", key, "123456")
+    third = collect_votes(fleet, "5", key, "123456")
     assert not fleet.dispatch(third)
     fleet.resolve(third)
     fleet.abandon(third, notified="123456")
@@ -244,21 +244,21 @@
     to 15. Each side has a majority of its own set, without a common voter.
     """
     fleet = settle(fleet_class)
-    half = ["4", "5", "6", "7", "8", "9", "10", "11"]
-    fleet.partition("123", half)
-    for name in half[4:]:
+    side = ["4", "5", "6", "7", "8", "9", "10", "11"]
+    fleet.partition("123", side)
+    for name in side[4:]:
         fleet.start(name)
     for _ in range(20):
-        for name in half[1:]:
-            fleet.begin_sync(name, listed=half)
+        for name in side[1:]:
+            fleet.begin_sync(name, listed=side)
             fleet.end_sync(name)
-    other_half = ["1", "2", "3", "4", "12", "13", "14", "15"]
-    fleet.partition(half[1:], other_half)
-    for name in other_half[4:]:
+    other_side = ["1", "2", "3", "4", "12", "13", "14", "15"]
+    fleet.partition(side[1:], other_side)
+    for name in other_side[4:]:
         fleet.start(name)
     for _ in range(20):
         for name in ["12", "13", "14", "15", "1", "2", "3", "4"]:
-            fleet.begin_sync(name, listed=other_half)
+            fleet.begin_sync(name, listed=other_side)
             fleet.end_sync(name)
     key = fleet.make_key("booking", is_timed=False)
     fleet.call("5", key)
@@ -325,7 +325,7 @@
     """New VMs rank before the current voters of a group and replace them.
 
     VMs 1 to 3 vote; then 4, 5 and 6 start and rank before them. If these three asked
-    only each other, they would form a second first voter set.
+    only each other, they would form another voter set beside the existing one.
     """
     fleet = fleet_class("123")
     fleet.sync_all()
@@ -342,8 +342,8 @@
     fleet.clock.advance(2 * SETTINGS.max_clock_skew_ms)
     timed = fleet.make_key("next booking", is_timed=True)
     attempts = [
-        claim_at(fleet, "4", timed, "456"),
-        claim_at(fleet, "1", timed, "123"),
+        collect_votes(fleet, "4", timed, "456"),
+        collect_votes(fleet, "1", timed, "123"),
     ]
     for attempt in attempts:
         fleet.dispatch(attempt)
--- a/tests/reclaim/crashes.py
+++ b/tests/reclaim/crashes.py
@@ -59,7 +59,7 @@
 
 @dataclass
 class Machine:
-    """A VM with its gateway and agent; another VM may have the same name."""
+    """A VM with its gateway and agent; its name may be reused by another VM."""
 
     vm: str
     clock: ManualClock
@@ -95,7 +95,7 @@
     """Result of a trial.
 
     :param leaked_token_hours: leaked tokens multiplied by the hours they were leaked
-    :param waits_ms: from the moment an allocation is orphaned until its release
+    :param release_delays_ms: time from an allocation's loss of its owner to its release
     """
 
     n_leaked_tokens: int
