--- a/src/quetzaldeck/registry.py
+++ b/src/quetzaldeck/registry.py
@@ -1,4 +1,4 @@
-"""Registries of interchangeable behaviour, filled by decorators."""
+"""Registries that map names to interchangeable implementations."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 
 class UnknownNameError(LookupError):
-    """A registry was asked for a name that nothing registered."""
+    """Raised when no class is registered under the requested name."""
 
 
 class Registry(Generic[T]):
-    """Maps names to the classes of one family.
+    """Maps names to the classes of one family, which decorators register.
 
-    :param family: what the entries are, for error texts, e.g. ``queue policy``
+    :param family: what the classes implement, for error messages, e.g.
+        ``queue policy``
     """
 
     def __init__(self, family: str) -> None:
@@ -34,7 +35,7 @@
         """Return a class decorator that registers the class under ``name``.
 
         :param name: the name that settings and bundles use
-        :raises ValueError: if the name is taken
+        :raises ValueError: if the name is already registered
         """
         if name in self._entries:
             msg = f"{self._family} {name!r} is registered twice; choose another name"
@@ -49,7 +50,7 @@
     def get(self, name: str) -> type[T]:
         """:returns: the class registered under ``name``
 
-        :raises UnknownNameError: if there is none; the text lists the choices
+        :raises UnknownNameError: if there is none; the message lists all names
         """
         try:
             return self._entries[name]
--- a/src/quetzaldeck/rendezvous.py
+++ b/src/quetzaldeck/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who does a job, without a vote."""
+"""Rendezvous hashing: assigns keys to VMs without any coordination."""
 
 from __future__ import annotations
 
@@ -11,18 +11,22 @@
 
 
 def rank_members(key: str, vms: Iterable[str]) -> tuple[str, ...]:
-    """:returns: ``vms``, the first choice for ``key`` first
+    """Rank VMs for a key.
 
-    All agents that believe in the same VMs get the same order, and a VM that goes
-    moves only the keys that it held.
+    Agents that know the same VMs compute the same order. When a VM disappears, only
+    the keys that it owned move to another VM.
+
+    :returns: ``vms`` by descending preference for ``key``
     """
     return tuple(sorted(vms, key=lambda vm: (_score(key, vm), vm), reverse=True))
 
 
 def choose_owner(key: str, vms: Iterable[str]) -> str:
-    """:returns: the first choice for ``key``
+    """Choose the VM that owns a key: the first one of :func:`rank_members`.
+
+    :returns: the owner of ``key``
 
-    :raises ValueError: if there are no VMs
+    :raises ValueError: if ``vms`` is empty
     """
     return max(vms, key=lambda vm: (_score(key, vm), vm))
 
--- a/src/quetzaldeck/tasks.py
+++ b/src/quetzaldeck/tasks.py
@@ -16,12 +16,12 @@
 async def run_tasks(*coroutines: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
     """Run coroutines for as long as the context is open.
 
-    A task that ends with an error is logged when it happens: unseen, the part of
-    the program that it carries would just go quiet.
+    The tasks are cancelled when the context closes. A task that fails earlier is
+    logged at once; otherwise the function that it provides would stop unnoticed.
     """
     tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     for task in tasks:
-        task.add_done_callback(_report)
+        task.add_done_callback(_log_failure)
     try:
         yield
     finally:
@@ -30,7 +30,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def _report(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if task.cancelled():
         return
     error = task.exception()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test modules share."""
+"""Fixtures and hooks for all tests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 MANY_EXAMPLES = 5_000
 
-# The same verdict on every run; make fuzz looks for new examples.
+# CI uses the same examples on every run; ``make fuzz`` generates new ones.
 settings.register_profile("ci", derandomize=True, deadline=None)
 settings.register_profile(
     "fuzz",
@@ -32,7 +32,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let CI pass over the tests of KNOWN-RED.txt, and over no others."""
+    """Mark the tests listed in KNOWN-RED.txt, and no others, as expected failures."""
     known = read_known_red()
     for item in items:
         entry = known.get(item.nodeid)
@@ -42,30 +42,30 @@
 
 
 class CapturedStderr:
-    """Standard error as it is when a line is written: each test captures its own."""
+    """Writes to the current ``sys.stderr``, which pytest replaces for each test."""
 
     def write(self, message: Message) -> None:
-        """Write a line of log."""
+        """Write one log line."""
         sys.stderr.write(message)
 
 
 @pytest.fixture(autouse=True)
 def log_with_fields() -> None:
-    """Keep the log lines of a test as the programs write them, with their fields.
+    """Write log lines in the format of the programs, including the event fields.
 
-    The report of a test that failed once must tell why: the reason of a refusal stands
-    in the fields, which the library's own format leaves out.
+    The report of an intermittent failure must show its cause. Fields such as the reason
+    of a refusal are missing from the default format of the logging library.
     """
     configure_logging(CapturedStderr())
 
 
 @pytest.fixture
 def clock() -> ManualClock:
-    """:returns: a clock that the test moves"""
+    """:returns: a clock that the test advances"""
     return ManualClock(1_000.0, wall_offset_ms=1.7e12)
 
 
 @pytest.fixture
 def key_pair() -> tuple[str, str]:
-    """:returns: a private and its public key"""
+    """:returns: a private key and its public key, both as base64"""
     return generate_key()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Tests that are known to fail for a fault that is not mended yet.
+"""Tests that are known to fail because of a defect that is not fixed yet.
 
-``KNOWN-RED.txt`` names them, one a line: the test, what was seen, the cause, the open
-issue, with bars between. They are run, and CI passes over just these; what each of them
-did is printed. A test that is not on the list fails CI as ever.
+``KNOWN-RED.txt`` lists them, one per line, with four fields separated by ``|``: test,
+what was seen, cause, open issue. The tests still run and their results are printed, but
+their failures do not fail CI. A failure of any other test does.
 """
 
 from __future__ import annotations
@@ -15,7 +15,13 @@
 
 
 class KnownRed(NamedTuple):
-    """One line of the list."""
+    """One line of the list.
+
+    :param test: pytest node id
+    :param seen: how the test failed
+    :param cause: cause of the failure, as far as it is known
+    :param issue: number of the open issue
+    """
 
     test: str
     seen: str
@@ -26,7 +32,7 @@
 def parse_known_red(text: str) -> list[KnownRed]:
     """:returns: the entries of the list
 
-    :raises ValueError: with the number of a line that lacks a field
+    :raises ValueError: with the number of the first line that lacks a field
     """
     entries = []
     for number, line in enumerate(text.splitlines(), start=1):
@@ -39,7 +45,7 @@
 
 
 def read_known_red() -> dict[str, KnownRed]:
-    """:returns: the entries by the id of their test; none without the file"""
+    """:returns: entries by pytest node id; empty if the file does not exist"""
     if not LIST_PATH.exists():
         return {}
     return {entry.test: entry for entry in parse_known_red(LIST_PATH.read_text())}
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,4 +1,4 @@
-"""Free loopback ports for programs whose port must be known beforehand."""
+"""Free loopback ports for programs whose port must be known before they start."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 LOOPBACK = "127.0.0.1"
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
-"""Below the range that systems give to outgoing connections: a port chosen here
-is not taken by one of them before its program listens."""
+"""Below the ephemeral port range, so that no outgoing connection takes a chosen port
+before the program listens on it."""
 
 _CHOSEN: set[int] = set()
 _RANDOM = random.SystemRandom()
 
 
 def choose_port() -> int:
-    """:returns: a port that is free and was not chosen before in this process"""
+    """:returns: a free port that this process has not chosen before"""
     while True:
         port = _RANDOM.randint(FIRST_PORT, LAST_PORT)
         if port in _CHOSEN:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Every package can be the first one that a program imports."""
+"""Every package can be imported first, without an import cycle."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 def test_every_package_can_be_imported_first() -> None:
-    """The stand-ins did not start: two packages imported each other.
+    """Two packages import each other, and a program does not start.
 
-    It showed only when the one was imported before the other, as that program did,
-    after a module of it had been moved; every test that imported more passed.
+    The cycle fails only if one of them is imported first, as the stand-ins did after a
+    module was moved; tests that import more packages beforehand pass.
     """
     packages = [
         f"quetzaldeck.{module.name}"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail."""
+"""Tests of the list of known failing tests, KNOWN-RED.txt."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 MAX_ENTRIES = 3
 
 
-def test_entries_have_a_test_what_was_seen_a_cause_and_an_issue() -> None:
+def test_entries_are_few_and_name_a_test() -> None:
     entries = read_known_red().values()
     assert len(entries) <= MAX_ENTRIES
     for entry in entries:
@@ -18,6 +18,6 @@
 
 
 @pytest.mark.parametrize("line", ["tests/a.py::b", "a | b | c", "a | b | | d"])
-def test_line_without_a_field_is_refused_with_its_number(line: str) -> None:
+def test_line_with_missing_field_is_rejected_with_its_number(line: str) -> None:
     with pytest.raises(ValueError, match=r"KNOWN-RED\.txt:2: needs"):
         parse_known_red(f"a | b | c | d\n{line}")
--- a/tests/test_library_examples.py
+++ b/tests/test_library_examples.py
@@ -1,4 +1,4 @@
-"""The examples in the packages that others embed."""
+"""Doctests of the packages that other projects embed as libraries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("package", PACKAGES)
-def test_example_gives_what_it_says(package: str) -> None:
+def test_package_example_prints_documented_output(package: str) -> None:
     results = doctest.testmod(importlib.import_module(f"quetzaldeck.{package}"))
     assert results.attempted > 0
     assert results.failed == 0
