--- a/src/quetzaldeck/config/__init__.py
+++ b/src/quetzaldeck/config/__init__.py
@@ -1,4 +1,4 @@
-"""Checked documents: options declared once, loaded by typed loaders."""
+"""Typed loading of settings and bundles from declared options."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/config/compiled.py
+++ b/src/quetzaldeck/config/compiled.py
@@ -1,9 +1,9 @@
-"""Fast decoding of JSON that is expected to have no faults.
+"""Fast decoding of JSON that is expected to be valid.
 
-The checked loader visits each value in Python, which holds up a gateway's loop for a
-bundle with thousands of customers. Here the declarations are compiled to types of the
-JSON library, which checks the same types, ranges and choices. It stops at the first
-fault; the checked loader then names all.
+The checked loader (:mod:`quetzaldeck.config.convert`) visits each value in Python. For
+a bundle with thousands of customers, that blocks a gateway's event loop. This module
+compiles the declared options to msgspec types, which check the same types, ranges and
+choices. Decoding stops at the first fault; the checked loader then reports all of them.
 """
 
 from __future__ import annotations
@@ -21,9 +21,11 @@
 
 
 def decode_fast(data: bytes, cls: type[T]) -> T:
-    """:returns: the JSON text ``data`` as ``cls``
+    """Decode JSON.
 
+    :param data: JSON text
     :param cls: ``NamedTuple`` class that declares the options
+    :returns: an instance of ``cls``
     :raises msgspec.DecodeError: at the first fault
     """
     of_type: Any = cls
@@ -38,7 +40,7 @@
 
 @cache
 def _struct_of(cls: Any) -> Any:
-    """:returns: a struct class with the fields and bounds of a settings class"""
+    """:returns: a msgspec struct class with the fields and limits of ``cls``"""
     fields: list[Any] = []
     for field in list_fields(cls):
         of_type = _type_of(field.of_type, field.option)
@@ -61,7 +63,7 @@
     if origin is tuple:
         item = option._replace(minimum=None, maximum=None)
         item_type = _type_of(get_args(of_type)[0], item)
-        return _bounded(types.GenericAlias(tuple, (item_type, ...)), option)
+        return _limit_length(types.GenericAlias(tuple, (item_type, ...)), option)
     if origin is dict:
         item_type = _type_of(get_args(of_type)[1], Option(""))
         return types.GenericAlias(dict, (str, item_type))
@@ -69,10 +71,10 @@
         return Literal[option.choices]
     if of_type in (int, float):
         return Annotated[of_type, msgspec.Meta(ge=option.minimum, le=option.maximum)]
-    return _bounded(of_type, option)
+    return _limit_length(of_type, option)
 
 
-def _bounded(of_type: Any, option: Option) -> Any:
+def _limit_length(of_type: Any, option: Option) -> Any:
     if option.minimum is None and option.maximum is None and not option.pattern:
         return of_type
     least = None if option.minimum is None else int(option.minimum)
@@ -84,8 +86,8 @@
 
 
 @cache
-def _inner_sections(cls: Any) -> tuple[tuple[int, Any], ...]:
-    """:returns: index and class of each field that is a section or a list of them"""
+def _list_inner_sections(cls: Any) -> tuple[tuple[int, Any], ...]:
+    """:returns: index and class of each field that is one section or a list of them"""
     inner = []
     for index, field in enumerate(list_fields(cls)):
         for candidate in (field.of_type, *get_args(field.of_type)):
@@ -95,9 +97,9 @@
 
 
 def _build(struct: Any, cls: Any) -> Any:
-    """:returns: the values of a struct as the settings class that it stands for"""
+    """:returns: the values of a decoded struct as an instance of the settings class"""
     values = list(msgspec.structs.astuple(struct))
-    for index, inner in _inner_sections(cls):
+    for index, inner in _list_inner_sections(cls):
         value = values[index]
         if isinstance(value, msgspec.Struct):
             values[index] = _build(value, inner)
--- a/src/quetzaldeck/config/document.py
+++ b/src/quetzaldeck/config/document.py
@@ -1,4 +1,4 @@
-"""YAML documents with the line of each value."""
+"""Parsing of YAML documents, with the line of each value."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
 MAX_DEPTH = 40
 MAX_VALUES = 1_000_000
-"""An alias stands for a whole value: a few lines of aliases of aliases would be
-billions of values, and one that contains itself would never end."""
+"""Limits for documents with aliases. Since an alias repeats a whole value, a few lines
+of nested aliases could expand to billions of values, and an alias that contains itself
+would expand without end."""
 
 
 class Document(NamedTuple):
-    """Plain data of a YAML document and where each value stands.
+    """Plain data of a YAML document, with the line of each value.
 
     :param data: dicts, lists, strings, numbers, booleans and ``None``
-    :param lines: line of each value by its dotted path, from 1
-    :param source: file name, for findings
+    :param lines: line of each value, counted from 1, by dotted path
+    :param source: file name shown in findings
     """
 
     data: Any
@@ -32,18 +33,18 @@
 
 
 def join_place(place: str, key: str | int) -> str:
-    """:returns: the dotted path of a member of the value at ``place``"""
+    """:returns: the dotted path of member ``key`` of the value at ``place``"""
     if isinstance(key, int):
         return f"{place}[{key}]"
     return f"{place}.{key}" if place else key
 
 
 class _TooLargeError(ValueError):
-    """A document is nested too deeply or has too many values."""
+    """Raised for a document that is nested too deeply or has too many values."""
 
 
 class _Reader:
-    """Turns YAML nodes into plain data and collects findings."""
+    """Converts YAML nodes to plain data and collects findings."""
 
     def __init__(self, source: str, findings: list[Finding]) -> None:
         self._source = source
@@ -53,13 +54,16 @@
         self.lines: dict[str, int] = {}
 
     def read(self, node: yaml.Node, place: str, depth: int = 0) -> Any:
-        """:returns: plain data of ``node``, which stands at ``place``
+        """Convert a node and all nodes below it.
 
-        :raises _TooLargeError: if there is too much of it
+        :param place: dotted path of the node
+        :param depth: number of enclosing nodes
+        :returns: plain data
+        :raises _TooLargeError: beyond ``MAX_DEPTH`` or ``MAX_VALUES``
         """
         self._n_values += 1
         if depth > MAX_DEPTH or self._n_values > MAX_VALUES:
-            msg = f"over {MAX_DEPTH} levels or {MAX_VALUES} values; check its aliases"
+            msg = f"over {MAX_DEPTH} levels or {MAX_VALUES} values; check aliases"
             raise _TooLargeError(msg)
         self.lines[place] = node.start_mark.line + 1
         if isinstance(node, yaml.MappingNode):
@@ -72,7 +76,7 @@
         try:
             return self._loader.construct_object(node)
         except (yaml.YAMLError, ValueError) as error:
-            self._add(place, node, f"cannot be read: {error}")
+            self._add_finding(place, node, f"cannot be read: {error}")
             return None
 
     def _read_mapping(
@@ -81,18 +85,20 @@
         data: dict[str, Any] = {}
         for key_node, value_node in node.value:
             if not isinstance(key_node, yaml.ScalarNode):
-                self._add(place, key_node, "a key must be plain text")
+                self._add_finding(place, key_node, "a key must be plain text")
                 continue
             key = key_node.value
             inner = join_place(place, key)
             if key in data:
                 first = self.lines[inner]
-                self._add(inner, key_node, f"is given twice, first on line {first}")
+                self._add_finding(
+                    inner, key_node, f"is given twice, first on line {first}"
+                )
                 continue
             data[key] = self.read(value_node, inner, depth + 1)
         return data
 
-    def _add(self, place: str, node: yaml.Node, message: str) -> None:
+    def _add_finding(self, place: str, node: yaml.Node, message: str) -> None:
         line = node.start_mark.line + 1
         self._findings.append(Finding(place, message, line, self._source))
 
@@ -100,9 +106,9 @@
 def parse_document(text: str, source: str, findings: list[Finding]) -> Document | None:
     """Parse YAML text.
 
-    :param source: file name for the findings
-    :param findings: receives what is wrong with the text
-    :returns: the document, or ``None`` if the text is not YAML at all
+    :param source: file name shown in findings
+    :param findings: list to which every fault is appended
+    :returns: the document; ``None`` if the text is no YAML, is empty or too large
     """
     try:
         node = yaml.compose(text, Loader=yaml.SafeLoader)
@@ -129,8 +135,8 @@
 def read_document(path: Path, findings: list[Finding]) -> Document | None:
     """Read and parse a YAML file.
 
-    :param findings: receives what is wrong with the file
-    :returns: the document, or ``None`` if the file cannot be read
+    :param findings: list to which every fault is appended
+    :returns: the document; ``None`` if the file cannot be read or parsed
     """
     try:
         text = path.read_text(encoding="utf-8")
--- a/src/quetzaldeck/config/fields.py
+++ b/src/quetzaldeck/config/fields.py
@@ -1,4 +1,4 @@
-"""Declared fields of settings classes and the conversions that they need."""
+"""Declared fields of settings classes, and the kind of value that each one takes."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from quetzaldeck.config.option import Option
 
 PLAIN_OPTION = Option("")
-"""Stands for the option of a field that declares none."""
+"""Option of a field without an ``Option`` annotation."""
 
 
 class Field(NamedTuple):
     """One declared field of a settings class.
 
     :param of_type: type of the value, without its ``Annotated`` wrapper
-    :param default: default value; ``REQUIRED`` if there is none
+    :param default: default value; ``REQUIRED`` if the field has none
     """
 
     name: str
@@ -50,7 +50,7 @@
 
 
 def split_annotation(hint: Any) -> tuple[Any, Option]:
-    """:returns: the bare type of a hint and its option"""
+    """:returns: the type of a hint without ``Annotated``, and its option"""
     if get_origin(hint) is not Annotated:
         return hint, PLAIN_OPTION
     of_type, *extras = get_args(hint)
@@ -61,12 +61,12 @@
 
 
 def is_section(of_type: Any) -> bool:
-    """:returns: whether ``of_type`` is a ``NamedTuple`` class"""
+    """:returns: whether ``of_type`` is a section, i.e. a ``NamedTuple`` class"""
     return isinstance(of_type, type) and hasattr(of_type, "_fields")
 
 
 class Shape(Enum):
-    """Which conversion a type needs."""
+    """Kinds of values; each has its own conversion in the checked loader."""
 
     OPTIONAL = auto()
     SECTION = auto()
@@ -90,7 +90,7 @@
 
 @cache
 def shape_of(of_type: Any) -> Shape:
-    """:returns: the conversion that ``of_type`` needs"""
+    """:returns: the kind of value that ``of_type`` describes"""
     origin = get_origin(of_type)
     if origin in (Union, types.UnionType):
         return Shape.OPTIONAL
--- a/src/quetzaldeck/config/finding.py
+++ b/src/quetzaldeck/config/finding.py
@@ -1,4 +1,4 @@
-"""Findings: what is wrong in a document, and where."""
+"""Findings: faults of a document, with their location."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
     """One fault in a document.
 
     :param place: dotted path inside the document, e.g. ``upstreams[2].kv_tokens``
-    :param message: what is wrong and what the reader can do
-    :param line: line in the file, from 1; 0 if the document has no lines
-    :param source: file name, or what the document is
+    :param message: what is wrong and, where possible, how to correct it
+    :param line: line in the file, counted from 1; 0 if unknown
+    :param source: file name or other name of the document
     """
 
     place: str
@@ -27,7 +27,7 @@
 
 
 class FindingError(ValueError):
-    """A finding as an exception, member of a :class:`FindingsError`."""
+    """One finding as an exception; part of a :class:`FindingsError`."""
 
     def __init__(self, finding: Finding) -> None:
         super().__init__(finding.render())
@@ -35,23 +35,23 @@
 
     @property
     def finding(self) -> Finding:
-        """:returns: the finding itself"""
+        """:returns: the finding that was raised"""
         return self._finding
 
 
 class FindingsError(ExceptionGroup[FindingError]):
-    """All findings of one document, reported together."""
+    """Raised with all findings of one document."""
 
     @property
     def findings(self) -> tuple[Finding, ...]:
-        """:returns: the findings in the order of the document"""
+        """:returns: the findings in the order in which they were found"""
         return tuple(error.finding for error in self.exceptions)  # type: ignore[union-attr]
 
 
 def raise_findings(what: str, findings: list[Finding]) -> None:
     """Raise all findings together, if there are any.
 
-    :param what: what was checked, for the text of the group
+    :param what: name of the checked document, for the error message
     :raises FindingsError: if ``findings`` is not empty
     """
     if findings:
--- a/src/quetzaldeck/config/loader.py
+++ b/src/quetzaldeck/config/loader.py
@@ -1,4 +1,4 @@
-"""Typed loading of settings files and of plain data."""
+"""Typed loading of YAML files, YAML or JSON text, and plain data."""
 
 from __future__ import annotations
 
@@ -28,9 +28,11 @@
 
 
 def check_file(path: Path, cls: type[T], findings: list[Finding]) -> T | None:
-    """Load a YAML file and collect what is wrong with it.
+    """Load a YAML file and collect its faults.
 
-    :returns: the settings, or ``None`` if there were findings
+    :param cls: ``NamedTuple`` class that declares the options
+    :param findings: list to which every fault is appended
+    :returns: the settings; ``None`` if there are findings
     """
     document = read_document(path, findings)
     if document is None:
@@ -42,6 +44,8 @@
 def load_text(text: str, cls: type[T], source: str) -> T:
     """Load YAML or JSON text.
 
+    :param cls: ``NamedTuple`` class that declares the options
+    :param source: name of the document, shown in findings
     :raises FindingsError: with every fault of the text
     """
     findings: list[Finding] = []
@@ -57,6 +61,8 @@
 def load_data(data: Any, cls: type[T], source: str) -> T:
     """Convert plain data, e.g. decoded JSON.
 
+    :param cls: ``NamedTuple`` class that declares the options
+    :param source: name of the document, shown in findings
     :raises FindingsError: with every fault of the data
     """
     findings: list[Finding] = []
--- a/src/quetzaldeck/config/option.py
+++ b/src/quetzaldeck/config/option.py
@@ -1,4 +1,4 @@
-"""Declaration of one option, attached to a field by ``Annotated``."""
+"""Declaration of an option, attached to a field by ``Annotated``."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class Option(NamedTuple):
-    """What a field of a settings class means and which values it takes.
+    """Meaning and allowed values of one field of a settings class.
 
-    The key is the name of the field, the type its annotation, the default the
-    default of the field: each stands in one place only.
+    The key, the type and the default are the name, the annotation and the default of
+    the field itself, so that nothing is declared twice.
 
-    :param description: one sentence for the reference page
+    :param description: text for the reference page and for messages
     :param unit: unit of a number, e.g. ``ms`` or ``bytes``
-    :param minimum: least number, or least length of a text or list
-    :param maximum: greatest number, or greatest length of a text or list
-    :param choices: the texts that are allowed; empty: any
-    :param pattern: regular expression for the whole of a text; empty: any text
-    :param form: that pattern in words, e.g. ``IP:PORT``
+    :param minimum: smallest number, or shortest length of a text or list
+    :param maximum: largest number, or longest length of a text or list
+    :param choices: allowed texts; empty: any text
+    :param pattern: regular expression that the whole text must match; empty: any text
+    :param form: the pattern in readable form, e.g. ``IP:PORT``
     """
 
     description: str
--- a/src/quetzaldeck/config/reference.py
+++ b/src/quetzaldeck/config/reference.py
@@ -1,4 +1,4 @@
-"""Reference pages, printed from the declarations."""
+"""Reference pages of settings, generated from the declared options."""
 
 from __future__ import annotations
 
--- a/tests/config/test_compiled.py
+++ b/tests/config/test_compiled.py
@@ -1,4 +1,4 @@
-"""The fast decoder and the checked loader agree."""
+"""The fast decoder and the checked loader accept the same documents."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 CUSTOMER: dict[str, Any] = {"name": "c", "key_hashes": ["k"]}
 
 
-def test_decode_fast_gives_what_the_loader_gives() -> None:
+def test_decode_fast_returns_same_bundle_as_loader() -> None:
     bundle = build_large_bundle(50)
     payload = encode_bundle(bundle)
     assert decode_fast(payload, Bundle) == bundle
@@ -41,7 +41,7 @@
         {"upstreams": [{"name": "u", "address": "a", "checks_fencing": 1}]},
     ],
 )
-def test_decode_fast_refuses_what_the_loader_refuses(fault: dict[str, Any]) -> None:
+def test_decode_fast_rejects_what_the_loader_rejects(fault: dict[str, Any]) -> None:
     data = {**GOOD, **fault}
     with pytest.raises(msgspec.DecodeError):
         decode_fast(msgspec.json.encode(data), Bundle)
--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -1,4 +1,4 @@
-"""Tests of the settings loader."""
+"""Tests of the settings loader and its findings."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         ("? [a]\n: 1", "a key must be plain text"),
     ],
 )
-def test_load_text_names_the_fault(text: str, message: str) -> None:
+def test_load_text_describes_the_fault(text: str, message: str) -> None:
     with pytest.raises(FindingsError) as caught:
         load_text(text, GatewaySettings, "gateway.yaml")
     rendered = "\n".join(finding.render() for finding in caught.value.findings)
