--- a/src/quetzaldeck/bench/pass_engine.py
+++ b/src/quetzaldeck/bench/pass_engine.py
@@ -105,7 +105,7 @@
         work = PassWork(
             attempt.attempt_id,
             n_read_tokens=call.n_prompt_tokens,
-            read_ms=self._figures.read_ms(call.n_prompt_tokens),
+            read_ms=self._figures.prefill_ms(call.n_prompt_tokens),
             n_events=self.n_events(attempt),
             n_context_tokens=call.n_prompt_tokens,
             n_kv_tokens=call.n_prompt_tokens + call.n_answer_tokens,
--- a/src/quetzaldeck/bench/spread_read.py
+++ b/src/quetzaldeck/bench/spread_read.py
@@ -101,7 +101,7 @@
         return PassWork(
             work_id,
             n_read_tokens=math.ceil(n_prompt_tokens / n_parts),
-            read_ms=engine.figures.read_ms(n_prompt_tokens, n_parts=n_parts),
+            read_ms=engine.figures.prefill_ms(n_prompt_tokens, n_parts=n_parts),
             n_events=0,
             priority=self._attempt.dispatch.rank,
         )
--- a/src/quetzaldeck/bundle/engine_figures.py
+++ b/src/quetzaldeck/bundle/engine_figures.py
@@ -51,7 +51,7 @@
         float, Option("Mean length of a prompt.", unit="tokens", minimum=0)
     ] = 0.0
 
-    def read_ms(self, n_tokens: float, *, n_parts: int = 1) -> float:
+    def prefill_ms(self, n_tokens: float, *, n_parts: int = 1) -> float:
         """:returns: time in which each of ``n_parts`` engines reads its even part
 
         Reading costs the length of a prompt, and its length squared: each token looks
@@ -62,13 +62,15 @@
         pairs_ms = pairs / PAIRS_PER_MILLION * self.pairs_ms_per_million
         return (linear_ms + pairs_ms) / n_parts
 
-    def weigh_prompt(self, n_tokens: int, *, n_parts: int = 1) -> int:
+    def equivalent_tokens(self, n_tokens: int, *, n_parts: int = 1) -> int:
         """:returns: tokens of a short prompt that take as long to read as one part
 
         Backlogs are counted in tokens; half of the time of a long prompt goes into the
         pairs of its tokens and would not show.
         """
-        return math.ceil(self.read_ms(n_tokens, n_parts=n_parts) * self.tokens_per_ms)
+        return math.ceil(
+            self.prefill_ms(n_tokens, n_parts=n_parts) * self.tokens_per_ms
+        )
 
 
 __all__ = ("EngineFigures",)
--- a/src/quetzaldeck/decisions/estimation/service_times.py
+++ b/src/quetzaldeck/decisions/estimation/service_times.py
@@ -85,7 +85,7 @@
         """:returns: minimum time to the first token, without contention"""
         if self._figures is not None:
             n_tokens = request.n_prompt_tokens
-            return self._figures.read_ms(n_tokens, n_parts=self._n_parts)
+            return self._figures.prefill_ms(n_tokens, n_parts=self._n_parts)
         min_scale = self._min_scale
         if self._n_samples < _MIN_SAMPLES:
             min_scale = min(min_scale, _DEFAULT_MIN_SCALE)
--- a/src/quetzaldeck/decisions/head_of_line/reading_lane.py
+++ b/src/quetzaldeck/decisions/head_of_line/reading_lane.py
@@ -138,7 +138,7 @@
         if not lane:
             return True
         backlog_ms = sum(state.prefill_backlog_ms(now_ms) for state in lane) / len(lane)
-        own_ms = figures.read_ms(request.n_prompt_tokens, n_parts=len(lane))
+        own_ms = figures.prefill_ms(request.n_prompt_tokens, n_parts=len(lane))
         target_ms = _target_ms(request, now_ms)
         waited_ms = max(0.0, now_ms - request.arrived_ms)
         limit_ms = target_ms * PREFILL_SHARE_OF_TARGET * (1.0 + waited_ms / target_ms)
@@ -178,7 +178,7 @@
         gap_ms = self._min_gap_ms
         if math.isinf(gap_ms):
             gap_ms = DEFAULT_GAP_MS
-        part_ms = figures.read_ms(request.n_prompt_tokens, n_parts=n_parts)
+        part_ms = figures.prefill_ms(request.n_prompt_tokens, n_parts=n_parts)
         return part_ms > gap_ms * MAX_PART_SHARE_OF_GAP
 
     def _list_lane(
@@ -189,7 +189,7 @@
         now_ms: float,
     ) -> list[UpstreamState]:
         """:returns: the engines that prefill a long prompt"""
-        work_ms = figures.read_ms(request.n_prompt_tokens)
+        work_ms = figures.prefill_ms(request.n_prompt_tokens)
         work_ms += sum(state.prefill_backlog_ms(now_ms) for state in pool)
         target_ms = _target_ms(request, now_ms)
         n_desired = math.ceil(work_ms / (target_ms * PREFILL_SHARE_OF_TARGET))
--- a/src/quetzaldeck/decisions/placement/first_token.py
+++ b/src/quetzaldeck/decisions/placement/first_token.py
@@ -106,7 +106,7 @@
             return 0
         best_n, best_ms = 0, math.inf
         for n_helpers, state in enumerate(ordered, start=1):
-            read_ms = figures.read_ms(request.n_prompt_tokens, n_parts=n_helpers + 1)
+            read_ms = figures.prefill_ms(request.n_prompt_tokens, n_parts=n_helpers + 1)
             done_ms = state.prefill_backlog_ms(now_ms) + read_ms
             if done_ms < best_ms:
                 best_n, best_ms = n_helpers, done_ms
@@ -119,7 +119,7 @@
         part_ms = DEFAULT_PART_MS
         if math.isfinite(self._min_gap_ms):
             part_ms = self._min_gap_ms * PART_SHARE_OF_GAP
-        whole_ms = figures.read_ms(request.n_prompt_tokens)
+        whole_ms = figures.prefill_ms(request.n_prompt_tokens)
         return min(MAX_HELPERS + 1, math.ceil(whole_ms / part_ms))
 
     def _sort_by_cost(
@@ -157,7 +157,7 @@
 
 def _running_request_ms(figures: EngineFigures) -> float:
     """:returns: delay that each request running on an engine adds to a new one"""
-    read_ms = figures.read_ms(figures.usual_prompt_tokens) * RUNNING_PREFILL_SHARE
+    read_ms = figures.prefill_ms(figures.usual_prompt_tokens) * RUNNING_PREFILL_SHARE
     return read_ms + figures.stride * figures.sequence_ms
 
 
--- a/src/quetzaldeck/decisions/placement/placement.py
+++ b/src/quetzaldeck/decisions/placement/placement.py
@@ -43,7 +43,9 @@
         n_engines = len(self.upstreams) + len(self.helpers)
         if spec.figures is None:
             return math.ceil(request.n_prompt_tokens / n_engines)
-        return spec.figures.weigh_prompt(request.n_prompt_tokens, n_parts=n_engines)
+        return spec.figures.equivalent_tokens(
+            request.n_prompt_tokens, n_parts=n_engines
+        )
 
 
 __all__ = ("Placement",)
--- a/tests/bench/test_entry_loads.py
+++ b/tests/bench/test_entry_loads.py
@@ -119,7 +119,7 @@
     assert item.ttft_ms is not None
     figures = FOURTEEN.shape.figures
     assert figures is not None
-    assert item.ttft_ms < figures.read_ms(500_000) / 3
+    assert item.ttft_ms < figures.prefill_ms(500_000) / 3
     assert result.n_kv_tokens_left == 0
 
 
--- a/tests/decisions/estimation/test_service_times.py
+++ b/tests/decisions/estimation/test_service_times.py
@@ -103,7 +103,9 @@
     longest = make_request(600_000)
     assert times.fastest_ms(longest) > 30_000.0
     times.set_engine_figures(figures, 17)
-    assert times.fastest_ms(longest) == figures.read_ms(600_000, n_parts=17) < 2_000.0
+    assert (
+        times.fastest_ms(longest) == figures.prefill_ms(600_000, n_parts=17) < 2_000.0
+    )
     short = make_request(2_000)
     for _ in range(30):
         times.learn_first_token(short, 300.0, 0.0)
--- a/tests/decisions/head_of_line/test_burst_of_long_prompts.py
+++ b/tests/decisions/head_of_line/test_burst_of_long_prompts.py
@@ -92,7 +92,7 @@
 
     def _start(self, request: Request, now_ms: float) -> None:
         readers = self._lane.restrict_helpers(request, self._pool, now_ms)
-        part_ms = FIGURES.read_ms(request.n_prompt_tokens, n_parts=len(readers))
+        part_ms = FIGURES.prefill_ms(request.n_prompt_tokens, n_parts=len(readers))
         n_part = round(part_ms * FIGURES.tokens_per_ms)
         for state in readers:
             name = state.spec.name
@@ -262,4 +262,4 @@
     request = make(make_request, 330_000)
     readers = {state.spec.name for state in lane.restrict_helpers(request, pool, 0.0)}
     assert readers == {state.spec.name for state in pool[:5]}
-    assert FIGURES.read_ms(330_000, n_parts=5) < TARGET_MS
+    assert FIGURES.prefill_ms(330_000, n_parts=5) < TARGET_MS
--- a/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
+++ b/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
@@ -56,7 +56,7 @@
 ) -> None:
     """Guards against making fifty short answers late where four engines suffice."""
     n_engines = len(list_prefill_engines(send(clock, n_tokens)))
-    read_ms = FIGURES.read_ms(n_tokens, n_parts=n_engines)
+    read_ms = FIGURES.prefill_ms(n_tokens, n_parts=n_engines)
     assert read_ms <= TARGET_MS * MAX_PREFILL_SHARE_OF_TARGET
     assert n_engines <= (MAX_HELPERS + 1) / 3
 
@@ -65,5 +65,5 @@
     """Guards against stopping all answers of one engine for a medium prompt."""
     engines = list_prefill_engines(send(clock, 45_000))
     assert len(engines) > 8
-    part_ms = FIGURES.read_ms(45_000, n_parts=len(engines))
+    part_ms = FIGURES.prefill_ms(45_000, n_parts=len(engines))
     assert part_ms < GAP_MS / 4
--- a/tests/decisions/head_of_line/test_reading_lane.py
+++ b/tests/decisions/head_of_line/test_reading_lane.py
@@ -127,7 +127,7 @@
     for state in pool[:6]:
         state.update_peer_load("other", VmLoad(1, 400_000, 200_000), 0.0)
     after = len(lane.restrict(make(make_request, LONG), pool, 0.0))
-    work_ms = FIGURES.read_ms(LONG) + 6 * 400_000 / FIGURES.tokens_per_ms
+    work_ms = FIGURES.prefill_ms(LONG) + 6 * 400_000 / FIGURES.tokens_per_ms
     assert before < after
     assert work_ms / after <= 3_000.0 * MAX_PREFILL_SHARE_OF_TARGET
 
@@ -141,7 +141,7 @@
     assert n_readers == N_ENGINES * 3 / 4, (
         "a quarter is reserved for requests that arrive meanwhile"
     )
-    assert FIGURES.read_ms(600_000, n_parts=n_readers) < 0.8 * huge.target_ms
+    assert FIGURES.prefill_ms(600_000, n_parts=n_readers) < 0.8 * huge.target_ms
 
 
 def test_huge_prompts_leave_engines_to_running_answers(
--- a/tests/decisions/placement/test_first_token.py
+++ b/tests/decisions/placement/test_first_token.py
@@ -66,7 +66,7 @@
     policy.choose(make_request(5_000, max_gap_ms=250.0), make_pool(), 0.0)
     request = make_request(45_000)
     name, helpers = choose(policy, request, make_pool())
-    part_ms = FIGURES.read_ms(45_000, n_parts=1 + len(helpers))
+    part_ms = FIGURES.prefill_ms(45_000, n_parts=1 + len(helpers))
     assert part_ms <= 32
     assert name not in helpers
 
--- a/tests/decisions/test_caller_idle_timeout.py
+++ b/tests/decisions/test_caller_idle_timeout.py
@@ -94,7 +94,7 @@
                 FirstResponse(decision.request, now_ms, decision.failure)
             )
             return
-        first_ms = now_ms + FEW_SLOTS.read_ms(decision.request.n_prompt_tokens)
+        first_ms = now_ms + FEW_SLOTS.prefill_ms(decision.request.n_prompt_tokens)
         self.scheduler.note_first_token(decision.attempt_id)
         self.responses.append(FirstResponse(decision.request, first_ms, None))
         heapq.heappush(self.ends, (now_ms + ANSWER_MS, decision.attempt_id))
--- a/tests/engine_model/test_pass_model.py
+++ b/tests/engine_model/test_pass_model.py
@@ -29,7 +29,7 @@
     return PassWork(
         work_id,
         n_read_tokens=n_tokens,
-        read_ms=FIGURES.read_ms(n_tokens),
+        read_ms=FIGURES.prefill_ms(n_tokens),
         n_events=n_events,
         n_context_tokens=n_tokens,
         n_kv_tokens=n_tokens,
@@ -40,7 +40,7 @@
     model.submit(make_work("a", n_tokens=6_000))
     passes = [model.run_pass() for _ in range(3)]
     assert [done.written for done in passes] == [(), (), ("a",)]
-    read_ms = FIGURES.read_ms(6_000)
+    read_ms = FIGURES.prefill_ms(6_000)
     total_ms = sum(done.duration_ms for done in passes)
     assert total_ms == pytest.approx(read_ms + 3 * FIGURES.step_ms)
 
@@ -65,7 +65,7 @@
     model.submit(make_work("long", n_tokens=60_000))
     done = model.run_pass()
     assert done.written == ("short",)
-    assert done.duration_ms > FIGURES.read_ms(60_000) / 60_000 * 20_000
+    assert done.duration_ms > FIGURES.prefill_ms(60_000) / 60_000 * 20_000
 
 
 def test_request_waits_for_a_slot_and_for_memory(model: PassModel) -> None:
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -46,7 +46,7 @@
     engine = configuration.services["plans"].engine
     assert engine is not None
     assert engine.tokens_per_ms == 206.0
-    assert round(engine.read_ms(133_000)) == 1_866
+    assert round(engine.prefill_ms(133_000)) == 1_866
 
 
 def test_configuration_without_customers_needs_no_keys() -> None:
