--- a/src/quetzaldeck/agent/bundle_exchange.py
+++ b/src/quetzaldeck/agent/bundle_exchange.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from quetzaldeck.bundle.signing import SignatureError
-from quetzaldeck.bundle.store import Offer, digest_payload
+from quetzaldeck.bundle.store import OfferResult, digest_payload
 from quetzaldeck.dissemination.bundle_answer import (
     BundleRequest,
     decode_answer,
@@ -90,28 +90,28 @@
         )
         self._has_offers.set()
 
-    def take(self, envelope: Envelope, source: str) -> Offer:
+    def take(self, envelope: Envelope, source: str) -> OfferResult:
         """Offer an envelope to the store and report what became of it.
 
         :param source: ``service`` or ``peer``
         """
         held = self._store.envelope
         offer = self._store.offer(envelope)
-        if offer is Offer.ACCEPTED:
+        if offer is OfferResult.ACCEPTED:
             if held is not None:
                 self._former.append(held.payload)
             self._metrics.bundle_version.set(self._store.version)
             self._metrics.bundles_accepted.labels(source).inc()
             log_event("bundle_in_force", version=self._store.version, source=source)
             self._on_accepted()
-        elif offer is not Offer.KNOWN:
+        elif offer is not OfferResult.KNOWN:
             self.refuse(offer, self._store.detail)
         return offer
 
-    def refuse(self, offer: Offer, detail: str) -> None:
+    def refuse(self, offer: OfferResult, detail: str) -> None:
         """Report a bundle that does not come in force."""
         self._metrics.bundles_refused.labels(offer.value).inc()
-        level = "WARNING" if offer is Offer.OLDER else "ERROR"
+        level = "WARNING" if offer is OfferResult.OLDER else "ERROR"
         log_event("bundle_refused", level=level, why=offer.value, detail=detail)
 
     async def run(self) -> None:
@@ -136,7 +136,7 @@
         if envelope is None:
             # The next exchange with any peer that has it offers it again.
             return
-        if self.take(envelope, "peer") not in (Offer.ACCEPTED, Offer.KNOWN):
+        if self.take(envelope, "peer") not in (OfferResult.ACCEPTED, OfferResult.KNOWN):
             # What was refused is not fetched at each exchange again.
             self._refused.append((offered.version, offered.digest))
 
--- a/src/quetzaldeck/agent/bundle_task.py
+++ b/src/quetzaldeck/agent/bundle_task.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.bundle.signing import SignatureError, decode_envelope
-from quetzaldeck.bundle.store import Offer
+from quetzaldeck.bundle.store import OfferResult
 from quetzaldeck.directory import PlatformError
 from quetzaldeck.telemetry import log_event
 
@@ -100,7 +100,7 @@
         try:
             envelope = decode_envelope(published.value)
         except SignatureError as error:
-            self._exchange.refuse(Offer.BAD_SIGNATURE, str(error))
+            self._exchange.refuse(OfferResult.BAD_SIGNATURE, str(error))
             return
         self._exchange.take(envelope, "service")
 
--- a/src/quetzaldeck/agent/command_task.py
+++ b/src/quetzaldeck/agent/command_task.py
@@ -101,7 +101,7 @@
 
     async def _step(self, state: FleetState) -> None:
         order = self._commander.decide(state)
-        self._metrics.orders_repeated.set(self._commander.n_repeated)
+        self._metrics.commands_repeated.set(self._commander.n_repeated)
         if self._commander.needs_slot:
             self._announce()
         if order is not None:
@@ -150,13 +150,13 @@
         statuses = {k: v for k, v in now.statuses.items() if k not in missing}
         refusal = self._commander.find_refusal(order, now._replace(statuses=statuses))
         if refusal is not None:
-            self._metrics.orders_withheld.labels(refusal.value).inc()
+            self._metrics.commands_withheld.labels(refusal.value).inc()
             return
         outcome = await self._send(order, state.bundle)
         if outcome is OrderOutcome.ACCEPTED and order.change.action not in LOAD_ACTIONS:
             outcome = await self._read_back(order, state.bundle)
         action = order.change.action.value
-        self._metrics.orders.labels(action, outcome.value).inc()
+        self._metrics.commands_sent.labels(action, outcome.value).inc()
         change = order.change
         log_event(
             "order",
--- a/src/quetzaldeck/agent/service.py
+++ b/src/quetzaldeck/agent/service.py
@@ -86,7 +86,7 @@
         await self._session.leave()
         return 0
 
-    def cut_off(self) -> None:
+    def abort_drain(self) -> None:
         """Wait no longer for the gateway."""
         self._session.gateway_watch.give_up()
 
--- a/src/quetzaldeck/bundle/store.py
+++ b/src/quetzaldeck/bundle/store.py
@@ -17,7 +17,7 @@
     from quetzaldeck.bundle.signing import Envelope
 
 
-class Offer(StrEnum):
+class OfferResult(StrEnum):
     """What became of an envelope that was offered."""
 
     ACCEPTED = "accepted"
@@ -72,29 +72,29 @@
         """:returns: why the last envelope offered did not come in force"""
         return self._detail
 
-    def offer(self, envelope: Envelope) -> Offer:
+    def offer(self, envelope: Envelope) -> OfferResult:
         """Take an envelope from the configuration service or from a peer.
 
         :returns: whether it came in force, and if not, why
         """
         if self._envelope is not None and envelope.payload == self._envelope.payload:
-            return Offer.KNOWN
+            return OfferResult.KNOWN
         try:
             bundle = verify_envelope(envelope, self._public_keys)
         except SignatureError as error:
             self._detail = str(error)
-            return Offer.BAD_SIGNATURE
+            return OfferResult.BAD_SIGNATURE
         except FindingsError as error:
             self._detail = "; ".join(finding.render() for finding in error.findings)
-            return Offer.BAD_BUNDLE
+            return OfferResult.BAD_BUNDLE
         if bundle.version < self.version:
-            return Offer.OLDER
+            return OfferResult.OLDER
         if bundle.version == self.version:
             self._detail = f"version {bundle.version} has two contents; the first stays"
-            return Offer.CONFLICT
+            return OfferResult.CONFLICT
         self._bundle = bundle
         self._envelope = envelope
-        return Offer.ACCEPTED
+        return OfferResult.ACCEPTED
 
 
-__all__ = ("BundleStore", "Offer", "digest_payload")
+__all__ = ("BundleStore", "OfferResult", "digest_payload")
--- a/src/quetzaldeck/cli/common.py
+++ b/src/quetzaldeck/cli/common.py
@@ -86,7 +86,7 @@
         with aiomisc.entrypoint(*services, log_config=False) as loop:
             running = _serve_until_stopped(services, background)
             n_cut_off = loop.run_until_complete(running)
-    sys.exit(ExitCode.CUT_OFF if n_cut_off else ExitCode.OK)
+    sys.exit(ExitCode.REQUESTS_ABORTED if n_cut_off else ExitCode.OK)
 
 
 async def _serve_until_stopped(
@@ -119,7 +119,7 @@
     received = await signals.get()
     log_event("cutting_off", level="WARNING", signal=received.name)
     for service in services:
-        service.cut_off()
+        service.abort_drain()
 
 
 __all__ = (
--- a/src/quetzaldeck/cli/exit_codes.py
+++ b/src/quetzaldeck/cli/exit_codes.py
@@ -13,7 +13,7 @@
     USAGE = 2
     BAD_SETTINGS = 3
     BAD_SIGNATURE = 4
-    CUT_OFF = 5
+    REQUESTS_ABORTED = 5
 
 
 __all__ = ("ExitCode",)
--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -36,7 +36,7 @@
         self._needs_full_read = True
         self._n_errors = 0
         self._has_lapsed_replicas = asyncio.Event()
-        self._query_counter = state.metrics.peers.questions
+        self._query_counter = state.metrics.peers.queries
 
     async def run(self) -> None:
         """Query until cancelled."""
--- a/src/quetzaldeck/entry/pace_task.py
+++ b/src/quetzaldeck/entry/pace_task.py
@@ -82,7 +82,7 @@
     async def _read_pace(self, engine: Replica) -> float | None:
         """:returns: the pace; ``None`` if the engine did not report it"""
         name = engine.replica_id
-        poll_counter = self._state.metrics.upstreams.pace_questions
+        poll_counter = self._state.metrics.upstreams.pace_queries
         try:
             pace = await self._reports.read_pace(engine)
         except UpstreamError as error:
--- a/src/quetzaldeck/entry/service.py
+++ b/src/quetzaldeck/entry/service.py
@@ -53,7 +53,7 @@
         """Drain requests; see :class:`quetzaldeck.gateway.drain.Drain`."""
         return await self._session.state.drain.run()
 
-    def cut_off(self) -> None:
+    def abort_drain(self) -> None:
         """Abort the requests that are still in progress."""
         self._session.state.drain.cut_off()
 
--- a/src/quetzaldeck/gateway/claimed_call.py
+++ b/src/quetzaldeck/gateway/claimed_call.py
@@ -55,7 +55,7 @@
         self._guard = PauseGuard(
             state.clock,
             max_pause_ms=0.0,
-            on_pause=lambda _: state.metrics.void_permits.inc(),
+            on_pause=lambda _: state.metrics.ended_claims.inc(),
         )
         self._started = self._guard.begin()
         self._lease_ms = 0.0
--- a/src/quetzaldeck/gateway/drain.py
+++ b/src/quetzaldeck/gateway/drain.py
@@ -93,7 +93,7 @@
     def _cut_off_rest(self) -> None:
         request_ids = self._in_flight.cut_off()
         self._n_cut_off = len(request_ids)
-        self._metrics.cut_off.inc(len(request_ids))
+        self._metrics.requests_aborted.inc(len(request_ids))
         for request_id in request_ids:
             log_event("request_cut_off", level="ERROR", request=request_id)
 
--- a/src/quetzaldeck/gateway/service.py
+++ b/src/quetzaldeck/gateway/service.py
@@ -52,8 +52,8 @@
         self._connection_guard = ConnectionGuard(
             lambda: self.connections,
             clock,
-            request_ms=settings.callers.request_head_ms,
-            read_ms=settings.callers.write_idle_ms,
+            request_timeout_ms=settings.callers.request_head_ms,
+            read_timeout_ms=settings.callers.write_idle_ms,
             on_break=self._note_stall,
         )
 
@@ -91,7 +91,7 @@
         await self._session.tell_agent()
         return n_cut_off
 
-    def cut_off(self) -> None:
+    def abort_drain(self) -> None:
         """Cut off what is still in progress."""
         self._session.state.drain.cut_off()
 
--- a/src/quetzaldeck/http/connection_guard.py
+++ b/src/quetzaldeck/http/connection_guard.py
@@ -40,8 +40,8 @@
     by time without progress.
 
     :param list_connections: gives the connections that are open
-    :param request_ms: for the first request on a connection
-    :param read_ms: for a reader to take some bytes
+    :param request_timeout_ms: for the first request on a connection
+    :param read_timeout_ms: for a reader to take some bytes
     :param on_break: is told of each connection broken
     """
 
@@ -50,14 +50,14 @@
         list_connections: Callable[[], Iterable[RequestHandler]],
         clock: Clock,
         *,
-        request_ms: float,
-        read_ms: float,
+        request_timeout_ms: float,
+        read_timeout_ms: float,
         on_break: Callable[[Stall], None],
     ) -> None:
         self._list_connections = list_connections
         self._clock = clock
-        self._request_ms = request_ms
-        self._read_ms = read_ms
+        self._request_timeout_ms = request_timeout_ms
+        self._read_timeout_ms = read_timeout_ms
         self._on_break = on_break
         self._seen: dict[RequestHandler, _Seen] = {}
         self._with_request: set[RequestHandler] = set()
@@ -96,10 +96,10 @@
     def _judge(
         self, connection: RequestHandler, n_buffered: int, still_ms: float
     ) -> Stall | None:
-        if n_buffered and still_ms >= self._read_ms:
+        if n_buffered and still_ms >= self._read_timeout_ms:
             return Stall.SLOW_READER
         is_new = connection not in self._with_request
-        if is_new and still_ms >= self._request_ms:
+        if is_new and still_ms >= self._request_timeout_ms:
             return Stall.NO_REQUEST
         return None
 
--- a/src/quetzaldeck/http/service.py
+++ b/src/quetzaldeck/http/service.py
@@ -76,7 +76,7 @@
         """
         return 0
 
-    def cut_off(self) -> None:
+    def abort_drain(self) -> None:
         """Let :meth:`drain` wait no longer."""
 
     async def start(self) -> None:
--- a/src/quetzaldeck/telemetry/agent_metrics.py
+++ b/src/quetzaldeck/telemetry/agent_metrics.py
@@ -64,19 +64,19 @@
             ["what"],
             registry=self.registry,
         )
-        self.orders = Counter(
+        self.commands_sent = Counter(
             "quetzaldeck_agent_orders",
             "Commands to engines that were sent, by action and outcome",
             ["action", "outcome"],
             registry=self.registry,
         )
-        self.orders_withheld = Counter(
+        self.commands_withheld = Counter(
             "quetzaldeck_agent_orders_withheld",
             "Commands decided on and not sent after the last check, by reason",
             ["why"],
             registry=self.registry,
         )
-        self.orders_repeated = Gauge(
+        self.commands_repeated = Gauge(
             "quetzaldeck_agent_orders_repeated",
             "Commands that had to be given again: not followed, or undone",
             registry=self.registry,
--- a/src/quetzaldeck/telemetry/gateway_metrics.py
+++ b/src/quetzaldeck/telemetry/gateway_metrics.py
@@ -55,7 +55,7 @@
             ["reason", "ran"],
             registry=self.registry,
         )
-        self.cut_off = Counter(
+        self.requests_aborted = Counter(
             "quetzaldeck_cut_off",
             "Requests that a stop of this gateway cut off",
             registry=self.registry,
@@ -110,7 +110,7 @@
             "Exchanges with the agent that failed",
             registry=self.registry,
         )
-        self.void_permits = Counter(
+        self.ended_claims = Counter(
             "quetzaldeck_void_permits",
             "Claims that had ended when their call was to be dispatched",
             registry=self.registry,
--- a/src/quetzaldeck/telemetry/peer_metrics.py
+++ b/src/quetzaldeck/telemetry/peer_metrics.py
@@ -17,7 +17,7 @@
     """
 
     def __init__(self, registry: CollectorRegistry) -> None:
-        self.questions = Counter(
+        self.queries = Counter(
             "quetzaldeck_belief_questions",
             "Questions for news of the fleet, to the source or to a VM, by outcome",
             ["target", "outcome"],
--- a/src/quetzaldeck/telemetry/upstream_metrics.py
+++ b/src/quetzaldeck/telemetry/upstream_metrics.py
@@ -46,7 +46,7 @@
             ["upstream"],
             registry=registry,
         )
-        self.pace_questions = Counter(
+        self.pace_queries = Counter(
             "quetzaldeck_pace_questions",
             "Questions to engines for their pace, by outcome",
             ["outcome"],
--- a/tests/bundle/test_store.py
+++ b/tests/bundle/test_store.py
@@ -6,7 +6,7 @@
 
 from quetzaldeck.bundle import Bundle, ModelSpec
 from quetzaldeck.bundle.signing import Envelope, generate_key, sign_bundle
-from quetzaldeck.bundle.store import BundleStore, Offer
+from quetzaldeck.bundle.store import BundleStore, OfferResult
 
 VALID_UNTIL_MS = 4_000_000_000_000
 
@@ -25,8 +25,8 @@
     """
     private_key, public_key = key_pair
     store = BundleStore({"ops": public_key})
-    assert store.offer(make_envelope(2, private_key)) is Offer.ACCEPTED
-    assert store.offer(make_envelope(1, private_key)) is Offer.OLDER
+    assert store.offer(make_envelope(2, private_key)) is OfferResult.ACCEPTED
+    assert store.offer(make_envelope(1, private_key)) is OfferResult.OLDER
     assert store.version == 2
 
 
@@ -34,7 +34,7 @@
     private_key, public_key = key_pair
     store = BundleStore({"ops": public_key})
     store.offer(make_envelope(2, private_key, "first"))
-    assert store.offer(make_envelope(2, private_key, "second")) is Offer.CONFLICT
+    assert store.offer(make_envelope(2, private_key, "second")) is OfferResult.CONFLICT
     assert store.bundle is not None
     assert store.bundle.models[0].name == "first"
 
@@ -44,7 +44,7 @@
     trusted: dict[str, str], key_pair: tuple[str, str]
 ) -> None:
     store = BundleStore(trusted)
-    assert store.offer(make_envelope(1, key_pair[0])) is Offer.BAD_SIGNATURE
+    assert store.offer(make_envelope(1, key_pair[0])) is OfferResult.BAD_SIGNATURE
     assert "is not trusted here" in store.detail
 
 
@@ -53,7 +53,7 @@
     store = BundleStore({"ops": public_key})
     envelope = make_envelope(1, private_key)
     tampered = envelope._replace(payload=envelope.payload.replace('"m"', '"n"'))
-    assert store.offer(tampered) is Offer.BAD_SIGNATURE
+    assert store.offer(tampered) is OfferResult.BAD_SIGNATURE
     assert "does not match the bundle" in store.detail
 
 
@@ -67,10 +67,10 @@
     new_private, new_public = generate_key()
     both = BundleStore({"old": old_public, "new": new_public})
     first = make_envelope(1, old_private, key_id="old")
-    assert both.offer(first) is Offer.ACCEPTED
+    assert both.offer(first) is OfferResult.ACCEPTED
     second = make_envelope(2, new_private, key_id="new")
-    assert both.offer(second) is Offer.ACCEPTED
+    assert both.offer(second) is OfferResult.ACCEPTED
     after = BundleStore({"new": new_public})
     third = make_envelope(3, old_private, key_id="old")
-    assert after.offer(third) is Offer.BAD_SIGNATURE
+    assert after.offer(third) is OfferResult.BAD_SIGNATURE
     assert "'old' is not trusted here; trusted keys: new" in after.detail
--- a/tests/fuzz/test_documents.py
+++ b/tests/fuzz/test_documents.py
@@ -27,7 +27,7 @@
     generate_key,
     sign_bundle,
 )
-from quetzaldeck.bundle.store import BundleStore, Offer
+from quetzaldeck.bundle.store import BundleStore, OfferResult
 from quetzaldeck.config import Finding, FindingsError, load_data, load_text
 from quetzaldeck.config.fields import list_fields
 from quetzaldeck.gateway.settings import GatewaySettings
@@ -160,5 +160,7 @@
 ) -> None:
     store = BundleStore({"ops": PUBLIC_KEY})
     store.offer(sign_bundle(VALID, "ops", PRIVATE_KEY))
-    assert store.offer(Envelope(key_id, signature, payload)) is Offer.BAD_SIGNATURE
+    assert (
+        store.offer(Envelope(key_id, signature, payload)) is OfferResult.BAD_SIGNATURE
+    )
     assert store.bundle == VALID
--- a/tests/http/test_connection_guard.py
+++ b/tests/http/test_connection_guard.py
@@ -35,8 +35,8 @@
     return ConnectionGuard(
         lambda: cast("Any", connections),
         clock,
-        request_ms=1_000,
-        read_ms=5_000,
+        request_timeout_ms=1_000,
+        read_timeout_ms=5_000,
         on_break=broken.append,
     )
 
--- a/tests/system/test_shutdown.py
+++ b/tests/system/test_shutdown.py
@@ -94,7 +94,7 @@
             refused = await call(gateway.address, PLAN)
             gateway.send(signal.SIGTERM)
             result = await answer
-            assert await gateway.wait() == ExitCode.CUT_OFF
+            assert await gateway.wait() == ExitCode.REQUESTS_ABORTED
         assert (refused.reason, refused.ran) == ("shutting_down", "no")
         assert (result.reason, result.ran) == ("shutting_down", "yes")
         assert "event=request_cut_off" in gateway.log
