--- a/src/quetzaldeck/bundle/__init__.py
+++ b/src/quetzaldeck/bundle/__init__.py
@@ -1,7 +1,7 @@
-"""Bundles: document and checks.
+"""Bundles: documents, checks, encoding and differences.
 
-Signatures and the store of signed bundles are imported from their own modules: entry
-VMs need neither, and the library for signatures is a good part of their memory.
+Signing and the store of signed bundles are imported from their own modules. Entry VMs
+need neither, and the cryptography library would take much of their memory.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/bundle/check.py
+++ b/src/quetzaldeck/bundle/check.py
@@ -1,4 +1,4 @@
-"""Checks between the parts of a bundle."""
+"""Consistency checks between the parts of a bundle."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from quetzaldeck.bundle.document import Bundle
 
 MAX_PAYLOAD_BYTES = 4_000_000
-"""Longest JSON of a bundle; bounds what a receiver unpacks."""
+"""Maximum size of the JSON of a bundle; limits what a receiver decompresses."""
 
 MAX_ENVELOPE_BYTES = 1_000_000
-"""Longest value that the configuration service holds."""
+"""Maximum size of a value in the configuration service."""
 
 _SHA256_HEX = re.compile(r"^[0-9a-f]{64}$")
 
 
 def check_bundle(bundle: Bundle, source: str = "bundle") -> list[Finding]:
-    """:returns: every contradiction between the parts of ``bundle``"""
+    """:returns: a finding for every inconsistency in ``bundle``"""
     findings: list[Finding] = []
     for part in ("models", "customers", "upstreams", "services"):
         names = [item.name for item in getattr(bundle, part)]
@@ -39,7 +39,7 @@
         first = seen.setdefault(name, index)
         if first != index:
             place = f"{part}[{index}].name"
-            yield Finding(place, f"{name!r} is already {part}[{first}]")
+            yield Finding(place, f"{name!r} is already the name of {part}[{first}]")
 
 
 def _check_known(
@@ -66,11 +66,11 @@
         )
         for key_hash in customer.key_hashes:
             if not _SHA256_HEX.match(key_hash):
-                message = "must be 64 lower-case hex digits; hash the key with SHA-256"
+                message = "must be the SHA-256 of a key in 64 lower-case hex digits"
                 yield Finding(f"{place}.key_hashes", message)
             owner = owners.setdefault(key_hash, customer.name)
             if owner != customer.name:
-                message = f"this key belongs to customer {owner!r} as well"
+                message = f"this key also belongs to customer {owner!r}"
                 yield Finding(f"{place}.key_hashes", message)
 
 
@@ -83,7 +83,10 @@
         if not upstream.address.startswith(("http://", "https://")):
             yield Finding(f"{place}.address", "must start with http:// or https://")
         if upstream.kind == "engine" and upstream.kv_tokens == 0:
-            yield Finding(f"{place}.kv_tokens", "an engine needs its memory in tokens")
+            yield Finding(
+                f"{place}.kv_tokens",
+                "must be the KV cache capacity of the engine, at least 1",
+            )
         if upstream.kind == "service":
             yield from _check_known(
                 [upstream.service], services, f"{place}.service", "service"
@@ -96,7 +99,9 @@
         if not service.prefix.startswith("/") or service.prefix.endswith("/"):
             yield Finding(place, "must start with / and not end with /")
         if service.prefix == "/v1" or service.prefix.startswith("/v1/"):
-            yield Finding(place, "/v1 belongs to the model endpoints")
+            yield Finding(
+                place, "must not start with /v1, which is reserved for models"
+            )
 
 
 __all__ = ("MAX_ENVELOPE_BYTES", "MAX_PAYLOAD_BYTES", "check_bundle")
--- a/src/quetzaldeck/bundle/codec.py
+++ b/src/quetzaldeck/bundle/codec.py
@@ -1,4 +1,4 @@
-"""Bundles as JSON bytes."""
+"""Encoding and decoding of bundles as JSON."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def to_plain(value: Any) -> Any:
-    """:returns: ``value`` as dicts and lists, members with defaults left out"""
+    """:returns: ``value`` as dicts and lists, without fields that have their default"""
     if is_section(type(value)):
         return {
             field.name: to_plain(member)
@@ -33,13 +33,15 @@
 
 
 def encode_bundle(bundle: Bundle) -> bytes:
-    """:returns: the canonical JSON of ``bundle``: sorted keys, no defaults"""
+    """:returns: canonical JSON of ``bundle``: sorted keys, default values omitted"""
     return msgspec.json.encode(to_plain(bundle), order="sorted")
 
 
 def decode_bundle(payload: bytes, source: str = "bundle") -> Bundle:
     """Decode and check a bundle.
 
+    :param payload: JSON of the bundle
+    :param source: name of the bundle, shown in findings
     :raises FindingsError: with every fault of the payload
     """
     if len(payload) > MAX_PAYLOAD_BYTES:
--- a/src/quetzaldeck/bundle/diff.py
+++ b/src/quetzaldeck/bundle/diff.py
@@ -1,4 +1,4 @@
-"""What differs between two bundles, entry by entry."""
+"""Differences between two bundles, entry by entry."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What happened to a value."""
+    """How a value differs between the bundles."""
 
     ADDED = "+"
     REMOVED = "-"
@@ -23,9 +23,9 @@
 
 
 class Change(NamedTuple):
-    """One difference.
+    """One difference between two bundles.
 
-    :param place: path of the value; entries of lists stand under their names
+    :param place: dotted path of the value; list entries are identified by name
     """
 
     kind: ChangeKind
@@ -36,17 +36,18 @@
     def render(self) -> str:
         """:returns: the change as one line"""
         if self.kind is ChangeKind.CHANGED:
-            return f"{self.kind} {self.place}: {_show(self.old)} -> {_show(self.new)}"
+            return (
+                f"{self.kind} {self.place}: {_render(self.old)} -> {_render(self.new)}"
+            )
         value = self.new if self.kind is ChangeKind.ADDED else self.old
-        shown = "" if _is_named(value) else f": {_show(value)}"
+        shown = "" if _is_named(value) else f": {_render(value)}"
         return f"{self.kind} {self.place}{shown}"
 
 
 def diff_bundles(old: Bundle, new: Bundle) -> tuple[Change, ...]:
     """:returns: the changes from ``old`` to ``new``, in the order of the document
 
-    Entries with a name are matched by it: moved within its list, an entry has not
-    changed.
+    List entries are matched by name, so that moving an entry is not a change.
     """
     return tuple(_diff_sections(old, new, ""))
 
@@ -75,13 +76,13 @@
     new_by_key = {_key_of(item): item for item in new}
     for key, item in old_by_key.items():
         if key not in new_by_key:
-            yield Change(ChangeKind.REMOVED, _place_of(place, item), old=item)
+            yield Change(ChangeKind.REMOVED, _path_of_item(place, item), old=item)
         elif _is_named(item):
-            inner = _place_of(place, item)
+            inner = _path_of_item(place, item)
             yield from _diff_sections(item, new_by_key[key], inner)
     for key, item in new_by_key.items():
         if key not in old_by_key:
-            yield Change(ChangeKind.ADDED, _place_of(place, item), new=item)
+            yield Change(ChangeKind.ADDED, _path_of_item(place, item), new=item)
 
 
 def _is_named(value: Any) -> bool:
@@ -92,15 +93,15 @@
     return item.name if _is_named(item) else item
 
 
-def _place_of(place: str, item: Any) -> str:
+def _path_of_item(place: str, item: Any) -> str:
     return f"{place}[{item.name}]" if _is_named(item) else place
 
 
-def _show(value: Any) -> str:
+def _render(value: Any) -> str:
     if is_section(type(value)):
         cls: Any = type(value)
         members = zip(list_fields(cls), value, strict=True)
-        return ", ".join(f"{field.name}={_show(member)}" for field, member in members)
+        return ", ".join(f"{field.name}={_render(member)}" for field, member in members)
     return str(value)
 
 
--- a/src/quetzaldeck/bundle/signing.py
+++ b/src/quetzaldeck/bundle/signing.py
@@ -1,4 +1,4 @@
-"""Signed bundles: Ed25519 over the canonical JSON."""
+"""Signed bundles, with an Ed25519 signature over the canonical JSON."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class Envelope(NamedTuple):
-    """A signed bundle as it travels.
+    """A signed bundle as it is stored and sent.
 
-    :param key_id: which key signed
+    :param key_id: name of the signing key
     :param signature: base64 of the Ed25519 signature over ``payload``
     :param payload: canonical JSON of the bundle
     """
@@ -37,11 +37,11 @@
 
 
 class SignatureError(ValueError):
-    """An envelope that no trusted key vouches for."""
+    """Raised for a signing key, signature or envelope that is not valid."""
 
 
 def generate_key() -> tuple[str, str]:
-    """:returns: a new private key and its public key, both as base64"""
+    """:returns: a new private key and its public key, both in base64"""
     private_key = Ed25519PrivateKey.generate()
     public_bytes = private_key.public_key().public_bytes_raw()
     return _encode(private_key.private_bytes_raw()), _encode(public_bytes)
@@ -50,12 +50,13 @@
 def sign_bundle(bundle: Bundle, key_id: str, private_key: str) -> Envelope:
     """:returns: ``bundle`` signed with ``private_key`` (base64)
 
-    :raises SignatureError: if the key is not a private key
+    :param key_id: name under which the agents trust the public key
+    :raises SignatureError: if ``private_key`` is not an Ed25519 private key
     """
     try:
         key = Ed25519PrivateKey.from_private_bytes(base64.b64decode(private_key))
     except (ValueError, binascii.Error) as error:
-        msg = f"the private key cannot be read: {error}; make one with bundle keygen"
+        msg = f"the private key cannot be read: {error}; create one with bundle keygen"
         raise SignatureError(msg) from error
     payload = encode_bundle(bundle)
     return Envelope(key_id, _encode(key.sign(payload)), payload.decode())
@@ -84,49 +85,51 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Encode an envelope as the configuration service holds it.
+    """Encode an envelope for the configuration service.
 
-    The payload is deflated: 9,200 customers are 1.8 MB of JSON, and the service
-    holds values of at most a megabyte.
+    The payload is compressed with deflate: a bundle of 9,200 customers has 1.8 MB of
+    JSON, and the service stores values of at most 1 MB.
 
-    :returns: the envelope as JSON, its payload in base64
-    :raises SignatureError: if it is too long for the configuration service
+    :returns: the envelope as JSON, with its compressed payload in base64
+    :raises SignatureError: if the result exceeds ``MAX_ENVELOPE_BYTES``
     """
-    packed = _encode(zlib.compress(envelope.payload.encode()))
-    data = msgspec.json.encode(envelope._replace(payload=packed))
+    compressed = _encode(zlib.compress(envelope.payload.encode()))
+    data = msgspec.json.encode(envelope._replace(payload=compressed))
     if len(data) > MAX_ENVELOPE_BYTES:
         msg = (
             f"the signed bundle has {len(data)} bytes; the configuration service "
-            f"holds {MAX_ENVELOPE_BYTES}: shorten names or remove unused entries"
+            f"stores {MAX_ENVELOPE_BYTES}: shorten names or remove unused entries"
         )
         raise SignatureError(msg)
     return data
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """:returns: the envelope in ``data``, its payload unpacked
+    """:returns: the envelope in ``data``, with its payload decompressed
 
-    :raises SignatureError: if ``data`` is no envelope
+    :raises SignatureError: if ``data`` is not an encoded envelope
     """
     try:
         envelope = msgspec.json.decode(data, type=Envelope)
-        packed = base64.b64decode(envelope.payload, validate=True)
-        return envelope._replace(payload=_unpack(packed).decode())
+        compressed = base64.b64decode(envelope.payload, validate=True)
+        return envelope._replace(payload=_decompress(compressed).decode())
     except (msgspec.DecodeError, ValueError, zlib.error) as error:
         msg = f"this is not a signed bundle: {error}"
         raise SignatureError(msg) from error
 
 
-def _unpack(packed: bytes) -> bytes:
-    """Inflate a payload.
+def _decompress(compressed: bytes) -> bytes:
+    """Decompress a payload, up to ``MAX_PAYLOAD_BYTES``.
 
-    The signature is over the payload, so these bytes are not trusted yet: a few
-    kilobytes could inflate until memory is gone. The bound stops that.
+    The signature covers the decompressed payload, so these bytes are not verified yet.
+    Without a limit, a few kilobytes could decompress until memory is exhausted.
+
+    :raises ValueError: if the payload is truncated or too long
     """
     inflater = zlib.decompressobj()
-    payload = inflater.decompress(packed, MAX_PAYLOAD_BYTES)
+    payload = inflater.decompress(compressed, MAX_PAYLOAD_BYTES)
     if inflater.unconsumed_tail or not inflater.eof:
-        msg = f"the payload is cut short or over {MAX_PAYLOAD_BYTES} bytes"
+        msg = f"the payload is truncated or has over {MAX_PAYLOAD_BYTES} bytes"
         raise ValueError(msg)
     return payload
 
--- a/src/quetzaldeck/bundle/store.py
+++ b/src/quetzaldeck/bundle/store.py
@@ -1,4 +1,4 @@
-"""The bundle in force on one VM: it never steps back."""
+"""The bundle in force on one VM; its version never decreases."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OfferResult(StrEnum):
-    """What became of an envelope that was offered."""
+    """Result of offering an envelope to the store."""
 
     ACCEPTED = "accepted"
     KNOWN = "known"
@@ -29,12 +29,12 @@
 
 
 def digest_payload(payload: str) -> int:
-    """:returns: digest that names a payload between agents; no proof of anything"""
+    """:returns: digest by which agents identify a payload; not cryptographic"""
     return xxhash.xxh3_64_intdigest(payload.encode())
 
 
 class BundleStore:
-    """Holds the highest valid version seen; order of arrival plays no part.
+    """Holds the highest valid version offered, whatever the order of arrival.
 
     :param public_keys: trusted public keys (base64) by key id
     """
@@ -52,30 +52,31 @@
 
     @property
     def envelope(self) -> Envelope | None:
-        """:returns: its envelope, as it was signed"""
+        """:returns: the envelope of the bundle in force, if any"""
         return self._envelope
 
     @property
     def version(self) -> int:
-        """:returns: the version in force; 0 if there is none"""
+        """:returns: version of the bundle in force; 0 if there is none"""
         return 0 if self._bundle is None else self._bundle.version
 
     @property
     def digest(self) -> int:
-        """:returns: digest of the payload in force; 0 if there is none"""
+        """:returns: digest of the payload of the bundle in force; 0 if there is none"""
         if self._envelope is None:
             return 0
         return digest_payload(self._envelope.payload)
 
     @property
     def detail(self) -> str:
-        """:returns: why the last envelope offered did not come in force"""
+        """:returns: why the last rejected envelope did not take effect"""
         return self._detail
 
     def offer(self, envelope: Envelope) -> OfferResult:
-        """Take an envelope from the configuration service or from a peer.
+        """Verify an envelope and put its bundle in force if its version is higher.
 
-        :returns: whether it came in force, and if not, why
+        :param envelope: read from the configuration service or from a peer
+        :returns: whether the bundle took effect, and if not, why
         """
         if self._envelope is not None and envelope.payload == self._envelope.payload:
             return OfferResult.KNOWN
@@ -90,7 +91,9 @@
         if bundle.version < self.version:
             return OfferResult.OLDER
         if bundle.version == self.version:
-            self._detail = f"version {bundle.version} has two contents; the first stays"
+            self._detail = (
+                f"version {bundle.version} has two contents; the first one is kept"
+            )
             return OfferResult.CONFLICT
         self._bundle = bundle
         self._envelope = envelope
--- a/src/quetzaldeck/bundle/summary.py
+++ b/src/quetzaldeck/bundle/summary.py
@@ -1,4 +1,4 @@
-"""A bundle in a few lines, for an operator who is about to roll it."""
+"""Short summary of a bundle, for operators who are about to roll it out."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def render_summary(bundle: Bundle) -> str:
-    """:returns: what the bundle serves to whom"""
+    """:returns: the models and services of a bundle, and how many use and serve them"""
     valid_until = datetime.fromtimestamp(bundle.valid_until_ms / MS_PER_SECOND, UTC)
     payload = encode_bundle(bundle)
     n_packed = len(encode_envelope(Envelope("", "", payload.decode())))
--- a/tests/bundle/test_signing.py
+++ b/tests/bundle/test_signing.py
@@ -1,4 +1,4 @@
-"""Tests of signed bundles as they are stored and sent."""
+"""Tests of the encoding of signed bundles."""
 
 from __future__ import annotations
 
@@ -23,10 +23,9 @@
 def test_encode_envelope_fits_the_configuration_service(
     key_pair: tuple[str, str],
 ) -> None:
-    """Operators roll a bundle of 9,200 customers.
+    """A bundle of 9,200 customers, expected within two years, cannot be rolled out.
 
-    As plain JSON it has 1.8 MB; the service holds a megabyte, so the roll-out
-    would have ended there, at a size that the users expect within two years.
+    Its plain JSON has 1.8 MB, and the configuration service stores 1 MB at most.
     """
     bundle = build_large_bundle(N_CUSTOMERS_DESIGNED_FOR)
     envelope = sign_bundle(bundle, "ops", key_pair[0])
@@ -35,20 +34,20 @@
     assert decode_envelope(data) == envelope
 
 
-def test_decode_envelope_bounds_what_it_unpacks() -> None:
-    """Somebody publishes a few kilobytes that inflate to far more.
+def test_decode_envelope_limits_decompressed_size() -> None:
+    """A payload of a few kilobytes decompresses to far more.
 
-    Nothing has been verified yet when they are unpacked: without a bound the
-    agent would run out of memory.
+    It is decompressed before its signature is verified; without a limit the agent
+    would run out of memory.
     """
-    packed = zlib.compress(b" " * (MAX_PAYLOAD_BYTES + 1))
-    payload = base64.b64encode(packed).decode()
+    compressed = zlib.compress(b" " * (MAX_PAYLOAD_BYTES + 1))
+    payload = base64.b64encode(compressed).decode()
     data = msgspec.json.encode(["ops", "signature", payload])
-    with pytest.raises(SignatureError, match="cut short or over 4000000 bytes"):
+    with pytest.raises(SignatureError, match="truncated or has over 4000000 bytes"):
         decode_envelope(data)
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b'["a","b","c"]', b'["a","b","AAAA"]'])
-def test_decode_envelope_refuses_what_is_none(data: bytes) -> None:
+def test_decode_envelope_rejects_other_data(data: bytes) -> None:
     with pytest.raises(SignatureError, match="this is not a signed bundle"):
         decode_envelope(data)
--- a/tests/bundle/test_store.py
+++ b/tests/bundle/test_store.py
@@ -18,10 +18,10 @@
     return sign_bundle(Bundle(version, VALID_UNTIL_MS, models), key_id, private_key)
 
 
-def test_offer_never_steps_back(key_pair: tuple[str, str]) -> None:
-    """The configuration service serves an old value after a newer one was read.
+def test_offer_never_lowers_the_version(key_pair: tuple[str, str]) -> None:
+    """The configuration service returns an old bundle after a newer one.
 
-    Were arrival order to decide, the VM would fall back to the old bundle.
+    If the order of arrival decided, the VM would go back to the old bundle.
     """
     private_key, public_key = key_pair
     store = BundleStore({"ops": public_key})
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("trusted", [{}, {"other": "x"}])
-def test_offer_refuses_an_untrusted_key(
+def test_offer_rejects_untrusted_key(
     trusted: dict[str, str], key_pair: tuple[str, str]
 ) -> None:
     store = BundleStore(trusted)
@@ -48,7 +48,7 @@
     assert "is not trusted here" in store.detail
 
 
-def test_offer_refuses_a_tampered_payload(key_pair: tuple[str, str]) -> None:
+def test_offer_rejects_tampered_payload(key_pair: tuple[str, str]) -> None:
     private_key, public_key = key_pair
     store = BundleStore({"ops": public_key})
     envelope = make_envelope(1, private_key)
@@ -57,11 +57,11 @@
     assert "does not match the bundle" in store.detail
 
 
-def test_offer_takes_bundles_of_both_keys_while_a_key_is_rotated() -> None:
-    """Operators change their signing key while bundles go on being rolled.
+def test_offer_accepts_bundles_of_both_keys_during_key_rotation() -> None:
+    """Operators replace their signing key and continue to roll out bundles.
 
-    Agents trust both keys for a time. When the old one is taken out of their
-    settings, whoever still has it can roll nothing any more.
+    Agents trust both keys for a time. Once the old key is removed from their settings,
+    bundles signed with it are rejected.
     """
     old_private, old_public = generate_key()
     new_private, new_public = generate_key()
