--- a/src/quetzaldeck/platform/headers.py
+++ b/src/quetzaldeck/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names of headers on the platform, and what they say."""
+"""Header names of the platform, and the translation of their values."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     from quetzaldeck.entry.forwarding_parameters import ForwardingParameters, Helper
 
 CALL_ID = "Quetzaldeck-Attempt-Id"
-"""Id of what a caller sent once; a caller's own retry has another."""
+"""Id of one attempt of a caller; its own retry has another id."""
 _KEY = "Quetzaldeck-Key"
 _DEADLINE = "Quetzaldeck-Deadline-Ms"
-"""A duration, not a time."""
+"""A duration, not a point in time."""
 _TOKEN_COUNTS = "Quetzaldeck-Token-Counts"
 _LENGTH_HINT = "Quetzaldeck-Length-Hint"
 _LAST_EVENT = "Last-Event-Id"
@@ -30,14 +30,14 @@
 _NOT_RUN = "Quetzaldeck-Not-Executed"
 _REPLICA = "Quetzaldeck-Instance-Id"
 _LOAD = "Quetzaldeck-Instance-Load"
-_FAULTY = "At-Server"
+_FAULTY_ADDRESS = "At-Server"
 WRONG_REPLICA_STATUS = 421
 
 MAX_NUMBER = 1 << 40
-"""Largest number in a header: 34 years of milliseconds, a million times the longest
-prompt."""
+"""Largest number accepted in a header: 34 years in milliseconds, or a million times the
+tokens of the longest prompt."""
 
-_ONE_CONNECTION = (
+_HOP_BY_HOP_HEADERS = (
     "Connection",
     "Content-Length",
     "Expect",
@@ -50,13 +50,13 @@
     "Transfer-Encoding",
     "Upgrade",
 )
-_SET_BY_VM = (_KEY, _DEADLINE, EXPECTED_REPLICA, _CUSTOMER, _RANK, _HELPERS)
+_HEADERS_SET_BY_VM = (_KEY, _DEADLINE, EXPECTED_REPLICA, _CUSTOMER, _RANK, _HELPERS)
 
 
 def read_call_head(headers: Mapping[str, str]) -> CallHead:
-    """Read the head of a caller's request.
+    """Parse the headers of a caller's request.
 
-    :raises ValueError: if a number is none; the text names the header
+    :raises ValueError: if a number is not valid; the message names the header
     """
     return CallHead(
         headers.get(CALL_ID, ""),
@@ -67,8 +67,8 @@
     )
 
 
-def read_answer_head(status: int, headers: Mapping[str, str]) -> ResponseHead:
-    """:returns: the head of a replica's answer; what cannot be read is left out"""
+def read_response_head(status: int, headers: Mapping[str, str]) -> ResponseHead:
+    """Parse the status and headers of a replica's response; ignore invalid values."""
     is_other_replica = status == WRONG_REPLICA_STATUS
     return ResponseHead(
         status,
@@ -79,45 +79,47 @@
         "Content-Encoding" in headers,
         _read_load(headers.get(_LOAD)),
         headers.get(_REPLICA, ""),
-        headers.get(_FAULTY, ""),
+        headers.get(_FAULTY_ADDRESS, ""),
     )
 
 
 def build_request_headers(
-    headers: Mapping[str, str], terms: ForwardingParameters
+    headers: Mapping[str, str], parameters: ForwardingParameters
 ) -> CIMultiDict[str]:
-    """:returns: the headers that a replica receives for a caller's"""
+    """:returns: the headers of the request that is forwarded to a replica"""
     sent = _copy_end_to_end(headers)
-    for name in _SET_BY_VM:
+    for name in _HEADERS_SET_BY_VM:
         sent.popall(name, None)
-    sent[_DEADLINE] = str(max(1, int(terms.remaining_ms)))
-    sent[EXPECTED_REPLICA] = terms.replica_id
-    if terms.customer:
-        sent[_CUSTOMER] = terms.customer
-    if terms.rank is not None:
-        sent[_RANK] = str(terms.rank)
-    if terms.helpers:
-        sent[_HELPERS] = ",".join(_write_helper(helper) for helper in terms.helpers)
-    if terms.last_event_id is not None:
-        sent[_LAST_EVENT] = terms.last_event_id
+    sent[_DEADLINE] = str(max(1, int(parameters.remaining_ms)))
+    sent[EXPECTED_REPLICA] = parameters.replica_id
+    if parameters.customer:
+        sent[_CUSTOMER] = parameters.customer
+    if parameters.rank is not None:
+        sent[_RANK] = str(parameters.rank)
+    if parameters.helpers:
+        sent[_HELPERS] = ",".join(
+            _format_helper(helper) for helper in parameters.helpers
+        )
+    if parameters.last_event_id is not None:
+        sent[_LAST_EVENT] = parameters.last_event_id
     return sent
 
 
-def build_answer_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """:returns: the headers that a caller receives for a replica's"""
+def build_response_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
+    """:returns: the headers of the response that is forwarded to the caller"""
     return _copy_end_to_end(headers)
 
 
 def _copy_end_to_end(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """:returns: the headers that concern more than one connection"""
+    """:returns: the headers without those that apply to a single connection"""
     copied = CIMultiDict(headers)
     named = headers.get("Connection", "").split(",")
-    for name in (*_ONE_CONNECTION, *(part.strip() for part in named)):
+    for name in (*_HOP_BY_HOP_HEADERS, *(part.strip() for part in named)):
         copied.popall(name, None)
     return copied
 
 
-def _write_helper(helper: Helper) -> str:
+def _format_helper(helper: Helper) -> str:
     if not helper.reservation:
         return helper.address
     return f"{helper.address}/{helper.reservation}"
@@ -136,16 +138,16 @@
 
 
 def _read_counts(text: str, n_counts: int) -> tuple[int, ...]:
-    """:returns: whole numbers between commas
+    """Parse comma-separated whole numbers.
 
-    Numbers that no clock or memory holds are no numbers here: a sum with one of them
-    would overflow, or be negative, far from the header that it came from.
+    Numbers that no time or memory size can reach are rejected here: a sum with one of
+    them would overflow or become negative later, far from the faulty header.
 
-    :raises ValueError: if there are not ``n_counts`` of them within the bounds
+    :raises ValueError: unless there are ``n_counts`` of them, all within the bounds
     """
     counts = tuple(int(part) for part in text.split(","))
     if len(counts) != n_counts or not all(0 <= n <= MAX_NUMBER for n in counts):
-        msg = f"not {n_counts} numbers from 0 to {MAX_NUMBER}"
+        msg = f"expected {n_counts} whole numbers from 0 to {MAX_NUMBER}"
         raise ValueError(msg)
     return counts
 
@@ -175,8 +177,8 @@
     "CALL_ID",
     "EXPECTED_REPLICA",
     "WRONG_REPLICA_STATUS",
-    "build_answer_headers",
     "build_request_headers",
-    "read_answer_head",
+    "build_response_headers",
     "read_call_head",
+    "read_response_head",
 )
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers are read and written in one place."""
+"""Translation of the platform's headers in both directions."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from quetzaldeck.entry.forwarding_parameters import ForwardingParameters, Helper
 from quetzaldeck.entry.response_head import ReplicaLoad
 from quetzaldeck.platform import (
-    build_answer_headers,
     build_request_headers,
-    read_answer_head,
+    build_response_headers,
     read_call_head,
+    read_response_head,
 )
 
-TERMS = ForwardingParameters("r1", "gym", 1_234.5)
+PARAMETERS = ForwardingParameters("r1", "gym", 1_234.5)
 TEXT = st.text(st.characters(min_codepoint=32, max_codepoint=126), max_size=30)
 
 
@@ -36,9 +36,7 @@
         ("Quetzaldeck-Deadline-Ms", "1e3"),
     ],
 )
-def test_number_that_is_none_is_an_error_that_names_its_header(
-    name: str, text: str
-) -> None:
+def test_error_for_an_invalid_number_names_its_header(name: str, text: str) -> None:
     with pytest.raises(ValueError, match=name):
         read_call_head({name: text})
 
@@ -46,30 +44,30 @@
 @given(
     st.dictionaries(st.sampled_from(["Quetzaldeck-Instance-Load", "Keep-Alive"]), TEXT)
 )
-def test_answer_head_of_any_text_is_read(headers: dict[str, str]) -> None:
-    assert read_answer_head(200, headers).status == 200
+def test_response_head_with_any_header_text_is_read(headers: dict[str, str]) -> None:
+    assert read_response_head(200, headers).status == 200
 
 
 def test_load_is_read() -> None:
-    head = read_answer_head(200, {"Quetzaldeck-Instance-Load": "3,1,8"})
+    head = read_response_head(200, {"Quetzaldeck-Instance-Load": "3,1,8"})
     assert head.load == ReplicaLoad(3, 1, 8)
 
 
-def test_status_of_a_wrong_replica_says_that_nothing_ran() -> None:
-    assert read_answer_head(421, {}).has_not_run
-    assert not read_answer_head(503, {}).has_not_run
-    assert read_answer_head(503, {"Quetzaldeck-Not-Executed": "1"}).has_not_run
+def test_status_of_a_wrong_replica_means_that_nothing_ran() -> None:
+    assert read_response_head(421, {}).has_not_run
+    assert not read_response_head(503, {}).has_not_run
+    assert read_response_head(503, {"Quetzaldeck-Not-Executed": "1"}).has_not_run
 
 
-def test_what_the_caller_says_in_our_name_is_replaced() -> None:
-    claimed = {
+def test_headers_reserved_for_the_vm_are_replaced() -> None:
+    forged = {
         "quetzaldeck-tenant": "other",
         "quetzaldeck-expect-instance": "other",
         "quetzaldeck-helpers": "10.0.0.1:1",
         "quetzaldeck-request-priority": "0",
         "quetzaldeck-key": "secret",
     }
-    sent = build_request_headers(claimed, TERMS)
+    sent = build_request_headers(forged, PARAMETERS)
     assert dict(sent) == {
         "Quetzaldeck-Deadline-Ms": "1234",
         "Quetzaldeck-Expect-Instance": "r1",
@@ -77,15 +75,15 @@
     }
 
 
-def test_helpers_and_event_are_written() -> None:
-    terms = TERMS._replace(
+def test_helpers_and_last_event_id_are_written() -> None:
+    parameters = PARAMETERS._replace(
         helpers=(Helper("10.0.0.1:1", "t1"), Helper("10.0.0.2:1")), last_event_id="7"
     )
-    sent = build_request_headers({"Last-Event-Id": "3"}, terms)
+    sent = build_request_headers({"Last-Event-Id": "3"}, parameters)
     assert sent["Quetzaldeck-Helpers"] == "10.0.0.1:1/t1,10.0.0.2:1"
     assert sent.getall("Last-Event-Id") == ["7"]
 
 
-def test_what_concerns_one_connection_is_not_copied() -> None:
+def test_hop_by_hop_headers_are_not_copied() -> None:
     headers = {"Connection": "close, X-A", "X-A": "1", "Keep-Alive": "t", "X-B": "2"}
-    assert dict(build_answer_headers(headers)) == {"X-B": "2"}
+    assert dict(build_response_headers(headers)) == {"X-B": "2"}
