--- a/src/quetzaldeck/cli/log_commands.py
+++ b/src/quetzaldeck/cli/log_commands.py
@@ -12,7 +12,7 @@
 from quetzaldeck.telemetry.losses import (
     IN_TIME,
     count_outcomes,
-    find_moments,
+    find_loss_windows,
     read_outcomes,
 )
 from quetzaldeck.telemetry.predictions import compare_predictions
@@ -22,7 +22,7 @@
     from collections import Counter
     from typing import TextIO
 
-    from quetzaldeck.telemetry.losses import Moment
+    from quetzaldeck.telemetry.losses import LossWindow
     from quetzaldeck.telemetry.request_trace import TraceLine
 
 
@@ -50,7 +50,7 @@
     click.echo("length        n  seen ms  ratio   p95  error ms")
     for row in rows:
         click.echo(
-            f"{row.length:8} {row.n_requests:6d} {row.seen_ms:8.0f} "
+            f"{row.length:8} {row.n_requests:6d} {row.measured_ms:8.0f} "
             f"{row.median_ratio:6.2f} {row.p95_ratio:5.2f} {row.median_error_ms:9.0f}"
         )
 
@@ -83,8 +83,8 @@
     outcomes = read_outcomes(chain.from_iterable(files))
     for route, counts in sorted(count_outcomes(outcomes).items()):
         click.echo(_describe_route(route, counts))
-    for moment in find_moments(outcomes, moment_ms)[:n_moments]:
-        click.echo(_describe_moment(moment))
+    for window in find_loss_windows(outcomes, moment_ms)[:n_moments]:
+        click.echo(_describe_window(window))
 
 
 @logs_group.command("request")
@@ -131,11 +131,11 @@
     return f"{route or '-':20} {total:6d} {in_time:6.3f}  {_describe_counts(counts)}"
 
 
-def _describe_moment(moment: Moment) -> str:
-    began = datetime.fromtimestamp(moment.began_ms / MS_PER_SECOND, UTC)
-    n_lost = moment.n_lost.total()
-    counts = _describe_counts(moment.n_lost)
-    return f"{began:%H:%M:%S} {n_lost} of {moment.n_all}: {counts}"
+def _describe_window(window: LossWindow) -> str:
+    began = datetime.fromtimestamp(window.started_ms / MS_PER_SECOND, UTC)
+    n_lost = window.n_lost.total()
+    counts = _describe_counts(window.n_lost)
+    return f"{began:%H:%M:%S} {n_lost} of {window.n_all}: {counts}"
 
 
 def _describe_counts(counts: Counter[str]) -> str:
--- a/src/quetzaldeck/telemetry/__init__.py
+++ b/src/quetzaldeck/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Logs and metrics."""
+"""Structured logs, Prometheus metrics and log analysis."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/telemetry/gateway_metrics.py
+++ b/src/quetzaldeck/telemetry/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the gateway."""
+"""Prometheus metrics of the gateway."""
 
 from __future__ import annotations
 
@@ -18,63 +18,63 @@
         self.registry = CollectorRegistry()
         self.ttft_seconds = Histogram(
             "quetzaldeck_ttft_seconds",
-            "Time to first token by length class",
+            "Time to first token, by length class of the prompt",
             ["length_class"],
             buckets=_TTFT_BUCKETS,
             registry=self.registry,
         )
         self.answer_seconds = Histogram(
             "quetzaldeck_answer_seconds",
-            "Time from arrival to the end of a whole answer, by kind of request",
+            "Time from arrival to the end of a complete answer, by kind of request",
             ["kind"],
             buckets=_TTFT_BUCKETS,
             registry=self.registry,
         )
         self.queue_wait_seconds = Histogram(
             "quetzaldeck_queue_wait_seconds",
-            "Time from admission to dispatch",
+            "Time from admission to dispatch, by length class of the prompt",
             ["length_class"],
             buckets=_TTFT_BUCKETS,
             registry=self.registry,
         )
         self.requests = Counter(
             "quetzaldeck_requests",
-            "Requests by kind",
+            "Requests received, by kind",
             ["kind"],
             registry=self.registry,
         )
         self.completed = Counter(
             "quetzaldeck_completed",
-            "Requests answered whole",
+            "Requests answered completely, by kind",
             ["kind"],
             registry=self.registry,
         )
         self.failures = Counter(
             "quetzaldeck_failures",
-            "Refusals and failures by reason and whether the request ran",
+            "Refusals and failures, by reason and by whether the request ran",
             ["reason", "ran"],
             registry=self.registry,
         )
         self.requests_aborted = Counter(
             "quetzaldeck_cut_off",
-            "Requests that a stop of this gateway cut off",
+            "Requests aborted because this gateway stopped",
             registry=self.registry,
         )
         self.connections_broken = Counter(
             "quetzaldeck_connections_broken",
-            "Callers' connections broken because nothing moved on them",
+            "Callers' connections closed because they stalled, by reason",
             ["why"],
             registry=self.registry,
         )
         self.attempt_faults = Counter(
             "quetzaldeck_attempt_faults",
-            "Failed attempts by evidence; each may be retried",
+            "Failed attempts, by fault; each may be retried",
             ["fault"],
             registry=self.registry,
         )
         self.dropped_chunks = Counter(
             "quetzaldeck_dropped_chunks",
-            "Chunks discarded: late, doubled, foreign or with a gap",
+            "Chunks discarded as late, duplicate, foreign or after a gap, by reason",
             ["why"],
             registry=self.registry,
         )
@@ -84,10 +84,12 @@
             registry=self.registry,
         )
         self.queued = Gauge(
-            "quetzaldeck_queued", "Requests that wait", registry=self.registry
+            "quetzaldeck_queued",
+            "Requests that wait for dispatch",
+            registry=self.registry,
         )
         self.running = Gauge(
-            "quetzaldeck_running", "Attempts that run", registry=self.registry
+            "quetzaldeck_running", "Attempts in progress", registry=self.registry
         )
         self.bundle_version = Gauge(
             "quetzaldeck_bundle_version",
@@ -96,23 +98,23 @@
         )
         self.limit_vms = Gauge(
             "quetzaldeck_limit_vms",
-            "VMs among which limits of customers are divided",
+            "VMs among which the limits of customers are divided",
             registry=self.registry,
         )
         self.control_bytes = Counter(
             "quetzaldeck_control_bytes",
-            "Bytes exchanged with the agent",
+            "Bytes exchanged with the agent, by direction",
             ["direction"],
             registry=self.registry,
         )
         self.exchange_errors = Counter(
             "quetzaldeck_exchange_errors",
-            "Exchanges with the agent that failed",
+            "Failed exchanges with the agent",
             registry=self.registry,
         )
         self.ended_claims = Counter(
             "quetzaldeck_void_permits",
-            "Claims that had ended when their call was to be dispatched",
+            "Claims that ended before their call could be dispatched",
             registry=self.registry,
         )
         self.upstreams = UpstreamMetrics(self.registry)
--- a/src/quetzaldeck/telemetry/log.py
+++ b/src/quetzaldeck/telemetry/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs for each event."""
+"""Structured logs: one line of ``key=value`` pairs per event."""
 
 from __future__ import annotations
 
@@ -18,14 +18,18 @@
     "{extra[fields]}"
 )
 MAX_VALUE_LENGTH = 500
-"""Longer values are cut: a caller's name for a model may have megabytes."""
+"""Longer values are truncated: a caller may send a model name of megabytes."""
 _NEEDS_QUOTES = frozenset(' "=\\')
 
 
 def configure_logging(
     stream: TextIO | Writable | None = None, level: str = "INFO"
 ) -> None:
-    """Send log lines to ``stream``, standard error if none is given."""
+    """Configure logging for the whole process.
+
+    :param stream: destination of log lines; standard error if ``None``
+    :param level: lowest level that is written
+    """
     logger.remove()
     logger.configure(extra={"fields": ""})
     logger.add(stream or sys.stderr, format=_FORMAT, level=level, catch=False)
@@ -33,14 +37,14 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Writes what libraries log as one event each, without its text.
+    """Writes one ``library_log`` event per log record of a library, without its text.
 
-    A library's text may quote what a caller sent, its API key included, over
-    several lines. Which library and what kind of error is enough to look further.
+    The text may quote what a caller sent, including its API key, over several lines.
+    The library, the place in its code and the type of error are enough to investigate.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write the event for a record; see :meth:`logging.Handler.emit`."""
+        """Write the event of a record; see :meth:`logging.Handler.emit`."""
         kind = record.exc_info[0] if record.exc_info else None
         error = "" if kind is None else kind.__name__
         place = f"{record.module}:{record.lineno}"
@@ -56,15 +60,16 @@
 def log_event(event: str, *, level: str = "INFO", **fields: Any) -> None:
     """Write one event.
 
-    :param event: name in snake case
-    :param fields: its key=value pairs
+    :param event: name of the event in snake case
+    :param level: level of the log line
+    :param fields: fields written as ``key=value`` pairs
     """
     text = "".join(f" {key}={format_value(value)}" for key, value in fields.items())
     logger.bind(fields=text).log(level, event)
 
 
 def format_value(value: Any) -> str:
-    """:returns: ``value`` on one line, in quotes if a reader could misparse it"""
+    """:returns: ``value`` on one line, quoted and escaped where parsing requires it"""
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     if len(text) > MAX_VALUE_LENGTH:
         text = text[:MAX_VALUE_LENGTH] + "..."
@@ -79,7 +84,7 @@
 
 
 def locate_error(error: BaseException) -> str:
-    """:returns: an error and the place in the code where it arose, on one line"""
+    """:returns: an error and the place in the code where it was raised, on one line"""
     frames = traceback.extract_tb(error.__traceback__)
     place = f"{Path(frames[-1].filename).name}:{frames[-1].lineno}" if frames else "?"
     return f"{error!r} at {place}"
--- a/src/quetzaldeck/telemetry/log_lines.py
+++ b/src/quetzaldeck/telemetry/log_lines.py
@@ -1,4 +1,4 @@
-"""Reads lines that this software wrote to its log."""
+"""Parsing of log lines that the programs have written."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 
 def read_fields(line: str) -> dict[str, str]:
-    """:returns: the fields of one line, as they are written; empty if it has none"""
+    """:returns: the fields of one line, values as written; empty if it has none"""
     return dict(_FIELD.findall(line))
 
 
 def read_events(lines: Iterable[str], *events: str) -> Iterator[dict[str, str]]:
-    """Read the lines of some events; other lines, also foreign ones, are passed over.
+    """Read the lines of some events; all other lines are skipped.
 
-    :returns: the fields of each, as they are written
+    :param events: names of the events
+    :returns: the fields of each line, values as written
     """
     wanted = {f"event={event}" for event in events}
     for line in lines:
--- a/src/quetzaldeck/telemetry/log_writer.py
+++ b/src/quetzaldeck/telemetry/log_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever holding up what is logged."""
+"""Log writing that never blocks the program."""
 
 from __future__ import annotations
 
@@ -10,41 +10,41 @@
 if TYPE_CHECKING:
     from types import TracebackType
 
-MAX_WAITING = 2_000
-"""Lines that wait for a reader; at some 300 bytes a line, 0.6 MB at the most."""
+MAX_QUEUED_LINES = 2_000
+"""Queued lines; at about 300 bytes per line, at most 0.6 MB of memory."""
 
 MAX_LINES_PER_S = 300.0
-"""Lines a second over a longer time. A VM answers some 50 requests a second, with two
-or three lines each; a storm of failures must not cost the processor that serves."""
+"""Sustained rate. A VM answers about 50 requests per second and writes two or three
+lines for each; a burst of failures must not take processor time from serving."""
 
 BURST_LINES = 1_500.0
-"""Lines at once after a quiet time."""
+"""Lines that may be written at once after a time with few lines."""
 
 STOP_TIMEOUT_S = 0.5
-"""For the last lines when a program ends; a reader that stopped must not hold it."""
+"""Time to write the last lines when a program ends, even if nobody reads them."""
 
 
 class LogWriter:
-    """A stream for log lines, and the thread that writes them; a context manager.
+    """A stream that queues log lines, and the thread that writes them.
 
-    A program whose standard output nobody reads stops at its next log line, with all
-    its callers. Here a line that finds no room is dropped, and the next one that is
-    written says how many were.
+    A program that writes to a full pipe blocks at its next log line, and all its
+    callers wait. This stream instead drops lines that exceed the queue or the rate, and
+    writes their number before the next line. It is a context manager.
 
-    :param stream: where the lines go
+    :param stream: destination of the lines
     """
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
-        self._lines: queue.Queue[str | None] = queue.Queue(MAX_WAITING)
+        self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._allowance = BURST_LINES
-        self._counted_s = time.monotonic()
+        self._updated_s = time.monotonic()
         self._n_dropped = 0
 
     @property
     def n_dropped(self) -> int:
-        """:returns: lines dropped since the last one that was written"""
+        """:returns: lines dropped since the last line that was accepted"""
         return self._n_dropped
 
     def __enter__(self) -> LogWriter:
@@ -64,7 +64,7 @@
         self._thread.join(STOP_TIMEOUT_S)
 
     def write(self, text: str) -> None:
-        """Take a line, or drop it."""
+        """Queue a line, or drop it if the queue is full or the rate is exceeded."""
         if not self._may_write():
             self._n_dropped += 1
             return
@@ -78,14 +78,14 @@
             self._n_dropped = 0
 
     def flush(self) -> None:
-        """Do nothing: the thread flushes what it writes."""
+        """Do nothing; the thread flushes after each write."""
 
     def _may_write(self) -> bool:
-        """:returns: whether the rate allows one more line"""
+        """:returns: whether the rate limit allows one more line"""
         now_s = time.monotonic()
-        gained = (now_s - self._counted_s) * MAX_LINES_PER_S
+        gained = (now_s - self._updated_s) * MAX_LINES_PER_S
         self._allowance = min(BURST_LINES, self._allowance + gained)
-        self._counted_s = now_s
+        self._updated_s = now_s
         if self._allowance < 1.0:
             return False
         self._allowance -= 1.0
@@ -97,7 +97,7 @@
                 self._stream.write(text)
                 self._stream.flush()
             except (OSError, ValueError):
-                # The reader has closed its end; there is nobody to tell.
+                # The reader has closed the pipe: log lines can no longer be written.
                 return
 
 
--- a/src/quetzaldeck/telemetry/peer_metrics.py
+++ b/src/quetzaldeck/telemetry/peer_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of what an entry VM asks the source and tells the other VMs."""
+"""Metrics of the queries and datagrams of an entry VM."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PeerMetrics:
-    """Counters of questions and datagrams.
+    """Counters of queries for fleet state and of datagrams between VMs.
 
     :param registry: registry of the VM's metrics
     """
@@ -19,43 +19,44 @@
     def __init__(self, registry: CollectorRegistry) -> None:
         self.queries = Counter(
             "quetzaldeck_belief_questions",
-            "Questions for news of the fleet, to the source or to a VM, by outcome",
+            "Queries for fleet updates, by target (source or VM) and outcome",
             ["target", "outcome"],
             registry=registry,
         )
         self._datagrams = Counter(
             "quetzaldeck_peer_datagrams",
-            "Datagrams between VMs, by direction and by what they are for",
+            "Datagrams between VMs, by direction and kind",
             ["direction", "kind"],
             registry=registry,
         )
         self._bytes = Counter(
             "quetzaldeck_peer_bytes",
-            "Bytes of datagrams between VMs, without their heads",
+            "Bytes of datagrams between VMs without headers, by direction and kind",
             ["direction", "kind"],
             registry=registry,
         )
-        # Looking a counter up by its labels takes longer than counting.
-        self._pairs: dict[tuple[str, str], tuple[Counter, Counter]] = {}
+        # Cached, since looking up a counter by its labels takes longer than counting.
+        self._counters: dict[tuple[str, str], tuple[Counter, Counter]] = {}
 
     def note_sent(self, kind: str, n_bytes: int, n_receivers: int) -> None:
-        """Count a message that was sent.
+        """Count the datagrams of one sent message.
 
-        :param n_bytes: of one datagram
+        :param n_bytes: size of one datagram
+        :param n_receivers: VMs to which it was sent
         """
         self._count("sent", kind, n_bytes, n_receivers)
 
     def note_received(self, kind: str, n_bytes: int) -> None:
-        """Count a datagram that was received."""
+        """Count one received datagram."""
         self._count("received", kind, n_bytes, 1)
 
     def _count(self, direction: str, kind: str, n_bytes: int, n_times: int) -> None:
         key = (direction, kind)
-        pair = self._pairs.get(key)
-        if pair is None:
-            pair = (self._datagrams.labels(*key), self._bytes.labels(*key))
-            self._pairs[key] = pair
-        datagrams, size = pair
+        counters = self._counters.get(key)
+        if counters is None:
+            counters = (self._datagrams.labels(*key), self._bytes.labels(*key))
+            self._counters[key] = counters
+        datagrams, size = counters
         datagrams.inc(n_times)
         size.inc(n_bytes * n_times)
 
--- a/src/quetzaldeck/telemetry/predictions.py
+++ b/src/quetzaldeck/telemetry/predictions.py
@@ -1,4 +1,4 @@
-"""How far predicted times to a first token are from those in a log."""
+"""Comparison of predicted and measured times to first token, from logs."""
 
 from __future__ import annotations
 
@@ -15,55 +15,58 @@
 
 
 class PredictionRow(NamedTuple):
-    """Prompts of one length.
+    """Accuracy of the predictions for one length class of prompts.
 
     :param length: name of the length class
     :param n_requests: answers with a prediction
-    :param seen_ms: median time to the first token
-    :param median_ratio: median of seen against predicted
-    :param p95_ratio: 95th part in 100 of seen against predicted
-    :param median_error_ms: median of the difference, whatever its sign
+    :param measured_ms: median time to first token
+    :param median_ratio: median ratio of measured to predicted time
+    :param p95_ratio: 95th percentile of that ratio
+    :param median_error_ms: median absolute difference of the two times
     """
 
     length: str
     n_requests: int
-    seen_ms: float
+    measured_ms: float
     median_ratio: float
     p95_ratio: float
     median_error_ms: float
 
 
 def compare_predictions(lines: Iterable[str]) -> list[PredictionRow]:
-    """:returns: a row for each length of prompt in the lines of a log
+    """Compare predicted and measured times to first token.
 
-    Answers after several attempts are left out: their prediction is the last one's.
+    Answers after several attempts are left out, since the logged prediction is that of
+    the last attempt only.
+
+    :returns: a row for each length class in the lines of a log
     """
     pairs: dict[str, list[tuple[float, float]]] = {}
     for fields in read_events(lines, "request_answered"):
         if fields.get("n_attempts") != "1":
             continue
         try:
-            seen_ms = float(fields["first_event_ms"])
+            measured_ms = float(fields["first_event_ms"])
             predicted_ms = float(fields["predicted_first_event_ms"])
             n_tokens = int(fields["n_prompt_tokens"])
         except (KeyError, ValueError):
-            # A plain call has none of them; a line may be cut off at a process's end.
+            # Calls of plain services lack these fields; a last line may be truncated.
             continue
         if predicted_ms > 0:
             length = classify_length(n_tokens).value
-            pairs.setdefault(length, []).append((seen_ms, predicted_ms))
+            pairs.setdefault(length, []).append((measured_ms, predicted_ms))
     return [_summarize(length, found) for length, found in pairs.items()]
 
 
 def _summarize(length: str, pairs: list[tuple[float, float]]) -> PredictionRow:
-    ratios = sorted(seen / predicted for seen, predicted in pairs)
+    ratios = sorted(measured / predicted for measured, predicted in pairs)
     return PredictionRow(
         length,
         len(pairs),
-        statistics.median(seen for seen, _ in pairs),
+        statistics.median(measured for measured, _ in pairs),
         statistics.median(ratios),
         ratios[min(len(ratios) - 1, int(P95 * len(ratios)))],
-        statistics.median(abs(seen - predicted) for seen, predicted in pairs),
+        statistics.median(abs(measured - predicted) for measured, predicted in pairs),
     )
 
 
--- a/src/quetzaldeck/telemetry/request_trace.py
+++ b/src/quetzaldeck/telemetry/request_trace.py
@@ -1,8 +1,8 @@
-"""What happened to one request, from the logs of all VMs.
+"""Trace of one request, collected from the logs of all VMs.
 
-A caller's attempt reaches one VM, and nothing outside says which one. Of what other
-requests met, the end of attempts at the same upstreams in the same time matters most:
-whether an upstream or a VM is to blame.
+Each attempt of a caller reaches one VM, and nothing outside shows which one. The trace
+also lists faults that other requests met at the same upstreams at the same time, to
+tell a fault of an upstream from a fault of a VM.
 """
 
 from __future__ import annotations
@@ -16,15 +16,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-_FAULTS = ("attempt_failed", "upstream_avoided", "engine_slow", "replica_gone")
+_FAULT_EVENTS = ("attempt_failed", "upstream_avoided", "engine_slow", "replica_gone")
 _UPSTREAM_FIELDS = ("upstream", "replica")
 
 
 class TraceLine(NamedTuple):
     """One line of a log.
 
-    :param at_ms: wall time, of the VM's own clock
+    :param at_ms: wall time by the clock of the VM
     :param log: name of the log
+    :param text: text of the line from its event on
     """
 
     at_ms: float
@@ -33,10 +34,10 @@
 
 
 class UpstreamFault(NamedTuple):
-    """What went wrong at one upstream, as several VMs may have noted it.
+    """A fault of one upstream, which several VMs may have logged.
 
-    :param first: the first line that tells of it
-    :param n_lines: lines of the same event and upstream
+    :param first: first line that reports it
+    :param n_lines: number of lines with the same event and upstream
     """
 
     first: TraceLine
@@ -44,10 +45,10 @@
 
 
 class RequestTrace(NamedTuple):
-    """Lines about one request.
+    """Log lines about one request.
 
-    :param own: those that name it, the first one first
-    :param faults: what went wrong at its upstreams in the same time, by other lines
+    :param own: lines that name the request, in order of time
+    :param faults: faults of its upstreams at the same time, from other lines
     """
 
     own: list[TraceLine]
@@ -57,21 +58,23 @@
 def trace_request(
     request: str, logs: Mapping[str, Iterable[str]], *, margin_ms: float
 ) -> RequestTrace:
-    """Collect what logs say of a request.
+    """Collect the log lines about a request and the faults of its upstreams.
 
+    :param request: id of the request
     :param logs: lines by name of the log
-    :param margin_ms: how long before its first and after its last line faults count
+    :param margin_ms: time before its first and after its last line in which faults of
+        its upstreams are included
     """
-    found = _Found(request)
+    builder = _TraceBuilder(request)
     for log, lines in logs.items():
         for line in lines:
-            if request in line or any(event in line for event in _FAULTS):
-                found.take(log, line)
-    return found.build(margin_ms)
+            if request in line or any(event in line for event in _FAULT_EVENTS):
+                builder.add_line(log, line)
+    return builder.build(margin_ms)
 
 
-class _Found:
-    """What was found so far."""
+class _TraceBuilder:
+    """Collects the lines of one request and the faults of all upstreams."""
 
     def __init__(self, request: str) -> None:
         self._request = request
@@ -79,8 +82,8 @@
         self._upstreams: set[str] = set()
         self._faults: dict[tuple[str, str], list[TraceLine]] = {}
 
-    def take(self, log: str, line: str) -> None:
-        """Take a line that may tell of the request or of a fault."""
+    def add_line(self, log: str, line: str) -> None:
+        """Add a line that may belong to the request or report a fault."""
         fields = read_fields(line)
         entry = _read_line(log, line, fields)
         if entry is None:
@@ -90,12 +93,12 @@
             readers = fields.get("readers", "").strip('"')
             self._own.append(entry)
             self._upstreams.update(named, readers.split(","))
-        elif fields.get("event") in _FAULTS:
+        elif fields.get("event") in _FAULT_EVENTS:
             for name in named:
                 self._faults.setdefault((fields["event"], name), []).append(entry)
 
     def build(self, margin_ms: float) -> RequestTrace:
-        """:returns: the trace, in the order of time"""
+        """:returns: the trace, in order of time"""
         if not self._own:
             return RequestTrace([], [])
         begin_ms = min(self._own).at_ms - margin_ms
@@ -109,7 +112,7 @@
 
 
 def _read_line(log: str, line: str, fields: Mapping[str, str]) -> TraceLine | None:
-    """:returns: the line; ``None`` for one that was cut off, or is not ours"""
+    """:returns: the parsed line; ``None`` if it is truncated or of another program"""
     try:
         at_ms = datetime.fromisoformat(fields["time"]).timestamp() * MS_PER_SECOND
     except (KeyError, ValueError):
--- a/src/quetzaldeck/telemetry/upstream_metrics.py
+++ b/src/quetzaldeck/telemetry/upstream_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of what the gateway makes of its upstreams."""
+"""Metrics of the upstreams of a gateway."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UpstreamMetrics:
-    """Counters and gauges of retries, health, memory and crashes.
+    """Counters and gauges of retries, health, engine memory and crashes.
 
     :param registry: registry of the gateway's metrics
     """
@@ -19,48 +19,48 @@
     def __init__(self, registry: CollectorRegistry) -> None:
         self.retries = Counter(
             "quetzaldeck_retries",
-            "Attempts that are made again, by the fault of the one before",
+            "Retries, by fault of the previous attempt",
             ["fault"],
             registry=registry,
         )
         self.retry_budget_tokens = Gauge(
             "quetzaldeck_retry_budget_tokens",
-            "Work of recent retries and the line up to which it is allowed",
+            "Tokens of recent retries (retried) and the budget for them (allowed)",
             ["side"],
             registry=registry,
         )
         self.states = Gauge(
             "quetzaldeck_upstream_states",
-            "Upstreams by state of health",
+            "Upstreams, by health state",
             ["state"],
             registry=registry,
         )
         self.leaving = Gauge(
             "quetzaldeck_upstreams_leaving",
-            "Upstreams that get nothing new because they leave",
+            "Upstreams that get no new requests because they are leaving",
             registry=registry,
         )
         self.replaced_pools = Counter(
             "quetzaldeck_replaced_pools",
-            "Connection pools replaced after a silent read",
+            "Connection pools replaced after a read timed out, by upstream",
             ["upstream"],
             registry=registry,
         )
         self.pace_queries = Counter(
             "quetzaldeck_pace_questions",
-            "Questions to engines for their pace, by outcome",
+            "Polls of engines for their pace, by outcome",
             ["outcome"],
             registry=registry,
         )
         self.reservations = Counter(
             "quetzaldeck_reservations",
-            "Reservations by outcome",
+            "Reservations of engine memory, by outcome",
             ["outcome"],
             registry=registry,
         )
         self.releases = Counter(
             "quetzaldeck_releases",
-            "Releases of what abandoned attempts held, by outcome",
+            "Releases of memory held by abandoned attempts, by outcome",
             ["outcome"],
             registry=registry,
         )
@@ -71,7 +71,7 @@
         )
         self.suspects = Gauge(
             "quetzaldeck_crash_suspects",
-            "Requests that were on board of engine crashes, by what follows from it",
+            "Requests that were running on an engine when it crashed, by verdict",
             ["verdict"],
             registry=registry,
         )
--- a/tests/telemetry/test_log.py
+++ b/tests/telemetry/test_log.py
@@ -1,4 +1,4 @@
-"""Tests of log lines: one event, one line, whatever the values are."""
+"""Tests of log lines: each event is one parseable line, whatever its values."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         (1.23456, "1.235"),
     ],
 )
-def test_format_value_cannot_be_misread(value: object, text: str) -> None:
+def test_format_value_is_unambiguous(value: object, text: str) -> None:
     assert format_value(value) == text
 
 
@@ -40,14 +40,14 @@
     assert formatted.isprintable()
 
 
-def test_format_value_cuts_long_values() -> None:
+def test_format_value_truncates_long_values() -> None:
     assert len(format_value("x" * 1_000_000)) <= MAX_VALUE_LENGTH + 3
 
 
 def test_log_event_cannot_be_forged_by_a_value() -> None:
-    """A caller names a model "x" followed by a line that looks like an event.
+    """A caller sends a model name that contains a forged log line.
 
-    Whoever reads the log would find a shutdown that never was.
+    The log would show a shutdown that did not happen.
     """
     stream = io.StringIO()
     configure_logging(stream)
@@ -58,9 +58,9 @@
 
 
 def test_library_logs_do_not_quote_callers() -> None:
-    """A caller sends a broken header that holds its API key.
+    """A caller sends a malformed header that contains its API key.
 
-    The HTTP library logs the bytes that it could not read.
+    The HTTP library logs the bytes that it could not parse.
     """
     stream = io.StringIO()
     configure_logging(stream)
--- a/tests/telemetry/test_log_writer.py
+++ b/tests/telemetry/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Logging never holds a program up, and says what it left out."""
+"""Logging never blocks a program, and reports dropped lines."""
 
 from __future__ import annotations
 
@@ -7,11 +7,15 @@
 import time
 
 from quetzaldeck.telemetry import LogWriter
-from quetzaldeck.telemetry.log_writer import BURST_LINES, MAX_LINES_PER_S, MAX_WAITING
+from quetzaldeck.telemetry.log_writer import (
+    BURST_LINES,
+    MAX_LINES_PER_S,
+    MAX_QUEUED_LINES,
+)
 
 
 class StuckStream(io.StringIO):
-    """A pipe that nobody reads."""
+    """A full pipe that nobody reads until ``has_room`` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -30,23 +34,23 @@
     assert stream.getvalue() == "".join(f"line {n}\n" for n in range(100))
 
 
-def test_reader_that_stops_does_not_stop_the_program() -> None:
-    """All callers of a VM wait in silence because its log is not read.
+def test_stopped_reader_does_not_block_the_program() -> None:
+    """Nobody reads the standard output of a VM, and all its callers wait.
 
-    The pipe of standard output is full; the next log line blocks the loop.
+    The pipe is full, so that the next log line would block the event loop.
     """
     stream = StuckStream()
     with LogWriter(stream) as writer:
         begun = time.monotonic()
-        for _ in range(2 * MAX_WAITING):
+        for _ in range(2 * MAX_QUEUED_LINES):
             writer.write("line\n")
         assert time.monotonic() - begun < 1.0
         assert writer.n_dropped
         stream.has_room.set()
 
 
-def test_burst_is_bounded_and_the_loss_is_told() -> None:
-    """Load: fifty thousand failures in an instant."""
+def test_burst_is_limited_and_dropped_lines_are_reported() -> None:
+    """A burst of 50,000 failures is logged."""
     stream = io.StringIO()
     with LogWriter(stream) as writer:
         begun = time.monotonic()
--- a/tests/telemetry/test_losses.py
+++ b/tests/telemetry/test_losses.py
@@ -1,4 +1,4 @@
-"""Late, refused and failed requests, from lines of a log."""
+"""Tests of the analysis of late, refused and failed requests in logs."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     IN_TIME,
     LATE_BOTH,
     LATE_FIRST,
-    LATE_PAUSE,
+    LATE_GAP,
     count_outcomes,
-    find_moments,
+    find_loss_windows,
     read_outcomes,
 )
 
@@ -49,11 +49,11 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "what"),
+    ("changes", "result"),
     [
         ({}, IN_TIME),
         ({"first_event_ms": 301.0}, LATE_FIRST),
-        ({"max_gap_ms": 251.0}, LATE_PAUSE),
+        ({"max_gap_ms": 251.0}, LATE_GAP),
         ({"first_event_ms": 301.0, "max_gap_ms": 251.0}, LATE_BOTH),
         ({"first_event_ms": None}, LATE_FIRST),
         ({"first_event_ms": None, "elapsed_ms": 200.0}, IN_TIME),
@@ -61,27 +61,29 @@
         ({"status": 404}, "status_404"),
     ],
 )
-def test_answer_is_judged_by_its_route(changes: dict[str, Any], what: str) -> None:
+def test_answer_is_classified_by_targets_of_its_route(
+    changes: dict[str, Any], result: str
+) -> None:
     (outcome,) = read_outcomes([build_answer(**changes)])
-    assert outcome.what == what
+    assert outcome.result == result
 
 
-def test_failures_count_by_reason_and_cut_lines_do_not() -> None:
+def test_failures_are_counted_by_reason_and_truncated_lines_skipped() -> None:
     lines = [build_answer(), build_failure(), build_failure(route='""')]
     counts = count_outcomes(read_outcomes([*lines, build_answer()[:-25]]))
     assert counts["notes"] == {IN_TIME: 1, "deadline_exceeded": 1}
     assert counts[""] == {"deadline_exceeded": 1}
 
 
-def test_worst_moment_comes_first() -> None:
+def test_window_with_most_losses_comes_first() -> None:
     lines = [build_failure(2), build_failure(9), build_failure(9)]
     lines.append(build_answer(9, elapsed_ms=1.0))
-    worst, other = find_moments(read_outcomes(lines), 1_000.0)
+    worst, other = find_loss_windows(read_outcomes(lines), 1_000.0)
     assert (worst.n_lost.total(), worst.n_all) == (2, 3)
-    assert worst.began_ms - other.began_ms == 7_000.0
+    assert worst.started_ms - other.started_ms == 7_000.0
 
 
-def test_command_prints_routes_and_moments(tmp_path: Path) -> None:
+def test_command_prints_routes_and_windows(tmp_path: Path) -> None:
     path = tmp_path / "entry.log"
     path.write_text("\n".join([build_answer(), build_failure(12)]))
     result = CliRunner().invoke(main, ["logs", "losses", str(path)])
@@ -93,6 +95,6 @@
 
 
 @given(st.lists(st.text(max_size=80)))
-def test_any_lines_are_read(lines: list[str]) -> None:
+def test_malformed_lines_are_skipped(lines: list[str]) -> None:
     events = ("event=request_answered ", "event=request_failed ")
     assert read_outcomes([event + line for line in lines for event in events]) == []
--- a/tests/telemetry/test_predictions.py
+++ b/tests/telemetry/test_predictions.py
@@ -1,4 +1,4 @@
-"""Predicted against seen times, from lines of a log."""
+"""Tests of the comparison of predicted and measured times in logs."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from pathlib import Path
 
 
-def build_line(seen_ms: object, predicted_ms: object, **changes: object) -> str:
+def build_line(measured_ms: object, predicted_ms: object, **changes: object) -> str:
     fields = {
         "request": "1f",
         "n_attempts": 1,
         "n_prompt_tokens": 5_000,
-        "first_event_ms": seen_ms,
+        "first_event_ms": measured_ms,
         "predicted_first_event_ms": predicted_ms,
         **changes,
     }
@@ -28,7 +28,7 @@
     return f"time=2026-01-01 level=INFO event=request_answered {pairs}"
 
 
-def test_ratios_are_taken_over_answers_of_one_attempt() -> None:
+def test_ratios_cover_answers_of_one_attempt() -> None:
     lines = [
         *(build_line(100.0 + n, 100.0) for n in range(21)),
         build_line(900.0, 100.0, n_attempts=2),
@@ -40,7 +40,7 @@
     assert row == PredictionRow("medium", 21, 110.0, 1.1, 1.19, 10.0)
 
 
-def test_command_prints_a_row_for_each_length(tmp_path: Path) -> None:
+def test_command_prints_a_row_per_length_class(tmp_path: Path) -> None:
     lines = [build_line(100.0, 80.0), build_line(9.0, 9.0, n_prompt_tokens=300_000)]
     path = tmp_path / "entry.log"
     path.write_text("\n".join(lines))
@@ -51,7 +51,7 @@
 
 
 @given(st.lists(st.text(max_size=80)))
-def test_any_lines_are_read(lines: list[str]) -> None:
+def test_malformed_lines_are_skipped(lines: list[str]) -> None:
     assert (
         compare_predictions(["event=request_answered " + line for line in lines])
         is not None
--- a/tests/telemetry/test_request_trace.py
+++ b/tests/telemetry/test_request_trace.py
@@ -1,4 +1,4 @@
-"""One request is found in the logs of many VMs."""
+"""Tests of the trace of one request from the logs of several VMs."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     return [str(tmp_path / name) for name in LOGS]
 
 
-def test_request_is_found_with_what_its_upstreams_did(files: list[str]) -> None:
+def test_trace_shows_request_and_faults_of_its_upstreams(files: list[str]) -> None:
     result = CliRunner().invoke(main, ["logs", "request", "r1", *files])
     assert result.exit_code == 0, result.output
     shown = [line.split("event=")[-1] for line in result.output.splitlines()]
@@ -55,7 +55,7 @@
     assert files[0] in result.output.splitlines()[0]
 
 
-def test_request_that_no_log_names_is_an_error(files: list[str]) -> None:
+def test_unknown_request_is_an_error(files: list[str]) -> None:
     result = CliRunner().invoke(main, ["logs", "request", "r77", *files])
     assert result.exit_code != 0
     assert "no line names request 'r77' in 2 logs" in result.output
