--- a/src/quetzaldeck/clock/__init__.py
+++ b/src/quetzaldeck/clock/__init__.py
@@ -1,4 +1,4 @@
-"""Clocks in milliseconds."""
+"""Clocks that return milliseconds."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/clock/clock.py
+++ b/src/quetzaldeck/clock/clock.py
@@ -1,4 +1,4 @@
-"""The clock that every time-dependent part takes as an argument."""
+"""The clock that is passed to all time-dependent code."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 
 
 class Clock:
-    """Reads the time in milliseconds."""
+    """Reads the clocks of the system, in milliseconds."""
 
     def now_ms(self) -> float:
-        """:returns: monotonic milliseconds, for intervals and deadlines"""
+        """:returns: monotonic time, for intervals and deadlines"""
         return time.monotonic() * MS_PER_SECOND
 
     def uptime_ms(self) -> float:
-        """Read a clock that goes on while the whole VM is suspended.
+        """Read a clock that continues while the whole VM is suspended.
 
-        What was confirmed before a suspension is older than the monotonic clock says
-        afterwards; the wall clock counts it too, but may be set back.
+        The monotonic clock leaves out suspensions and would report too low an age for
+        data that was confirmed before one. The wall clock includes them, but may be
+        set back.
 
-        :returns: milliseconds since the VM's start, for the age of what is believed
+        :returns: time since the VM's boot, for the age of its copy of the fleet state
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME) * MS_PER_SECOND
 
     def wall_ms(self) -> float:
-        """:returns: milliseconds since the Unix epoch, for validity times only"""
+        """:returns: time since the Unix epoch, for validity times only"""
         return time.time() * MS_PER_SECOND
 
 
--- a/src/quetzaldeck/clock/manual.py
+++ b/src/quetzaldeck/clock/manual.py
@@ -1,4 +1,4 @@
-"""A clock that moves only when told to, for tests and for the bench."""
+"""A clock that is advanced explicitly, for tests and simulations."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class ManualClock(Clock):
-    """A clock that an event driver or a test moves.
+    """A clock that a simulation or a test advances.
 
-    :param now_ms: first monotonic reading in milliseconds
+    :param now_ms: initial monotonic time in milliseconds
     :param wall_offset_ms: wall clock minus monotonic clock in milliseconds
     """
 
@@ -17,25 +17,25 @@
         self._wall_offset_ms = wall_offset_ms
 
     def now_ms(self) -> float:
-        """:returns: the time last set, in milliseconds"""
+        """:returns: the current time, in milliseconds"""
         return self._now_ms
 
     def uptime_ms(self) -> float:
-        """:returns: the time last set, in milliseconds"""
+        """:returns: the current time, in milliseconds"""
         return self._now_ms
 
     def wall_ms(self) -> float:
-        """:returns: the time last set plus the wall offset, in milliseconds"""
+        """:returns: the current time plus the wall offset, in milliseconds"""
         return self._now_ms + self._wall_offset_ms
 
     def advance(self, delta_ms: float) -> None:
-        """Move the clock forward.
+        """Advance the clock.
 
-        :param delta_ms: milliseconds, not negative
+        :param delta_ms: milliseconds
         :raises ValueError: if ``delta_ms`` is negative
         """
         if delta_ms < 0:
-            msg = f"a clock cannot go back by {-delta_ms} ms"
+            msg = f"the clock cannot be set back by {-delta_ms} ms"
             raise ValueError(msg)
         self._now_ms += delta_ms
 
--- a/src/quetzaldeck/directory/__init__.py
+++ b/src/quetzaldeck/directory/__init__.py
@@ -1,4 +1,4 @@
-"""The platform: configuration service and list of VMs, read-only."""
+"""Read-only access to the platform: configuration service and list of VMs."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/directory/api.py
+++ b/src/quetzaldeck/directory/api.py
@@ -1,4 +1,4 @@
-"""Interfaces to what the platform publishes; all of it is read-only."""
+"""Interfaces for reading what the platform publishes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 
 class PlatformError(Exception):
-    """The platform does not answer, or not in a readable way."""
+    """Raised if the platform does not answer, or answers with undecodable data."""
 
 
 class Published(NamedTuple):
     """A value of the configuration service.
 
-    :param revision: grows with each change; may be stale
+    :param revision: increases with each change; the value read may be outdated
+    :param value: content of the value
     """
 
     revision: int
@@ -40,24 +41,30 @@
 
     @abstractmethod
     async def read(self, key: str) -> Published | None:
-        """:returns: the value, ``None`` if there is none
+        """Read a value.
 
-        :raises PlatformError: if the service does not answer
+        :param key: name of the value
+        :returns: the value; ``None`` if the key does not exist
+
+        :raises PlatformError: if the service does not answer, or not as expected
         """
 
     @abstractmethod
     async def watch(
         self, key: str, after_revision: int, timeout_ms: float
     ) -> Published | None:
-        """Wait for a newer value; the waiting call counts as one call.
+        """Wait for a newer value by one long poll, which counts as a single call.
 
-        :returns: the newer value, ``None`` if the time passed without one
-        :raises PlatformError: if the service does not answer
+        :param key: name of the value
+        :param after_revision: revision that is known already
+        :param timeout_ms: time to wait
+        :returns: the newer value; ``None`` if there was none within the time
+        :raises PlatformError: if the service does not answer, or not as expected
         """
 
 
 class VmList(ABC):
-    """Reads the platform's list of VMs, which lags.
+    """Reads the platform's list of VMs, which lags behind the actual state.
 
     :param address: base URL of the list
     :param session: connection pool, owned by the caller
@@ -69,7 +76,7 @@
 
     @abstractmethod
     async def read(self) -> tuple[VmEntry, ...]:
-        """:returns: the VMs that the platform believes in
+        """:returns: the VMs that the platform lists
 
         :raises PlatformError: if the list cannot be read
         """
--- a/src/quetzaldeck/directory/http.py
+++ b/src/quetzaldeck/directory/http.py
@@ -22,13 +22,13 @@
 HTTP_NOT_MODIFIED = 304
 REVISION_HEADER = "X-Revision"
 READ_TIMEOUT_MS = 2_000.0
-WATCH_GRACE_MS = 1_000.0
+WATCH_TIMEOUT_MARGIN_MS = 1_000.0
 _VMS_DECODER = msgspec.json.Decoder(tuple[VmEntry, ...])
 
 
 @configuration_services.register("http")
 class HttpConfigurationService(ConfigurationService):
-    """Reads by GET; watches by a GET that the service holds open."""
+    """Reads values by GET, and watches them by a long poll."""
 
     async def read(self, key: str) -> Published | None:
         """Read a value; see :meth:`ConfigurationService.read`."""
@@ -39,11 +39,11 @@
     ) -> Published | None:
         """Wait for a newer value; see :meth:`ConfigurationService.watch`.
 
-        The bound on the wait is ours, not the service's: a watch whose connection
-        went silent would otherwise hold back every later bundle.
+        The time-out is enforced here and not left to the service: otherwise a watch on
+        a connection that fell silent would delay every later bundle.
         """
         path = f"/v1/keys/{key}?after={after_revision}&timeout_ms={round(timeout_ms)}"
-        return await self._get(path, timeout_ms + WATCH_GRACE_MS)
+        return await self._get(path, timeout_ms + WATCH_TIMEOUT_MARGIN_MS)
 
     async def _get(self, path: str, timeout_ms: float) -> Published | None:
         try:
@@ -62,13 +62,13 @@
             msg = f"configuration service: {error!r}"
             raise PlatformError(msg) from error
         except (KeyError, ValueError) as error:
-            msg = f"configuration service: no revision in the answer: {error!r}"
+            msg = f"configuration service: no revision in the response: {error!r}"
             raise PlatformError(msg) from error
 
 
 @vm_lists.register("http")
 class HttpVmList(VmList):
-    """Reads the list by GET."""
+    """Reads the list of VMs by GET."""
 
     async def read(self) -> tuple[VmEntry, ...]:
         """Read the list; see :meth:`VmList.read`."""
@@ -85,7 +85,7 @@
             msg = f"VM list: {error!r}"
             raise PlatformError(msg) from error
         except msgspec.DecodeError as error:
-            msg = f"VM list: unreadable: {error}"
+            msg = f"VM list: response cannot be decoded: {error}"
             raise PlatformError(msg) from error
 
 
--- a/src/quetzaldeck/directory/vm_entry.py
+++ b/src/quetzaldeck/directory/vm_entry.py
@@ -9,14 +9,14 @@
 
 
 class VmRole(StrEnum):
-    """What a VM is for."""
+    """Roles of VMs."""
 
     ENTRY = "entry"
     UPSTREAM = "upstream"
 
 
 class VmState(StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -28,11 +28,13 @@
     :param address: base URL of the agent on an entry VM
     """
 
-    vm: Annotated[str, Option("Id of the VM.")]
-    role: Annotated[str, Option("What it is for.", choices=("entry", "upstream"))]
-    address: Annotated[str, Option("Base URL of its agent, by IP number.")] = ""
-    availability_zone: Annotated[str, Option("Where it runs.")] = ""
-    state: Annotated[str, Option("Its state.", choices=("live", "leaving"))] = "live"
+    vm: Annotated[str, Option("ID of the VM.")]
+    role: Annotated[str, Option("Role of the VM.", choices=("entry", "upstream"))]
+    address: Annotated[str, Option("Base URL of its agent, with an IP address.")] = ""
+    availability_zone: Annotated[str, Option("Zone that it runs in.")] = ""
+    state: Annotated[str, Option("State of the VM.", choices=("live", "leaving"))] = (
+        "live"
+    )
 
 
 __all__ = ("VmEntry", "VmRole", "VmState")
--- a/src/quetzaldeck/http/__init__.py
+++ b/src/quetzaldeck/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP parts that all programs share."""
+"""HTTP server components shared by all programs."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/http/address.py
+++ b/src/quetzaldeck/http/address.py
@@ -1,4 +1,4 @@
-"""Addresses that programs listen on."""
+"""Addresses on which programs listen."""
 
 from __future__ import annotations
 
@@ -8,20 +8,22 @@
 
 
 class ListenAddress(NamedTuple):
-    """Where a program listens; port 0 takes any free port."""
+    """Address and port on which a program listens."""
 
-    host: Annotated[str, Option("IP number to listen on.")] = "127.0.0.1"
-    port: Annotated[int, Option("TCP port.", minimum=0, maximum=65_535)] = 0
+    host: Annotated[str, Option("IP address to listen on.")] = "127.0.0.1"
+    port: Annotated[
+        int, Option("TCP port; 0: any free port.", minimum=0, maximum=65_535)
+    ] = 0
 
 
 def parse_listen_address(text: str) -> ListenAddress:
-    """:returns: the address in ``IP:PORT``
+    """:returns: the address given as ``IP:PORT``
 
-    :raises ValueError: if it is none
+    :raises ValueError: if ``text`` does not have this form
     """
     host, separator, port = text.rpartition(":")
     if not separator or not port.isdigit():
-        msg = f"an address is IP:PORT, not {text!r}"
+        msg = f"an address must be IP:PORT, not {text!r}"
         raise ValueError(msg)
     return ListenAddress(host, int(port))
 
--- a/src/quetzaldeck/http/connection_guard.py
+++ b/src/quetzaldeck/http/connection_guard.py
@@ -1,4 +1,4 @@
-"""Breaks connections that hold memory and do nothing for it."""
+"""Closes connections that make no progress."""
 
 from __future__ import annotations
 
@@ -13,36 +13,40 @@
 
     from quetzaldeck.clock import Clock
 
-SWEEP_MS = 500.0
-"""Pause between two looks at the connections; the bounds on them are seconds."""
+CHECK_INTERVAL_MS = 500.0
+"""Interval between two checks of all connections; the time limits are seconds."""
 
 
 class Stall(StrEnum):
-    """Why a connection was broken."""
+    """Why a connection was closed."""
 
     NO_REQUEST = "no_request"
     SLOW_READER = "slow_reader"
 
 
-class _Seen(NamedTuple):
-    """What was seen of a connection, and since when nothing changed."""
+class _Progress(NamedTuple):
+    """Last progress of a connection.
+
+    :param n_buffered: bytes in the write buffer, not yet taken by the reader
+    :param since_ms: time of the last change of ``n_buffered``
+    """
 
     n_buffered: int
     since_ms: float
 
 
 class ConnectionGuard:
-    """Sweeps over the connections of a server.
+    """Checks the connections of a server regularly and aborts those that stall.
 
-    A caller that connects and never completes its first request line and headers,
-    or that asks and then reads nothing, costs it nothing and holds a connection
-    and an answer here for ever. Nothing fails, memory only grows. Both are bounded
-    by time without progress.
+    A caller may connect and never complete the head of its first request, or send a
+    request and never read the answer. Without a limit, the connection and the answer
+    stay in memory for ever at no cost to the caller, and memory grows without an error.
+    Both cases are limited by the time without progress.
 
-    :param list_connections: gives the connections that are open
-    :param request_timeout_ms: for the first request on a connection
-    :param read_timeout_ms: for a reader to take some bytes
-    :param on_break: is told of each connection broken
+    :param list_connections: returns the open connections
+    :param request_timeout_ms: time limit for the first request head on a connection
+    :param read_timeout_ms: time limit for the caller to read more of a buffered answer
+    :param on_break: called with the reason for each connection that is aborted
     """
 
     def __init__(
@@ -59,47 +63,47 @@
         self._request_timeout_ms = request_timeout_ms
         self._read_timeout_ms = read_timeout_ms
         self._on_break = on_break
-        self._seen: dict[RequestHandler, _Seen] = {}
+        self._progress: dict[RequestHandler, _Progress] = {}
         self._with_request: set[RequestHandler] = set()
 
     def note_request(self, connection: RequestHandler) -> None:
-        """Note that a whole request head came on a connection."""
+        """Note that a complete request head has arrived on a connection."""
         self._with_request.add(connection)
 
     async def run(self) -> None:
-        """Sweep until cancelled."""
+        """Check the connections regularly until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_MS / 1_000)
-            self.sweep()
+            await asyncio.sleep(CHECK_INTERVAL_MS / 1_000)
+            self.check_connections()
 
-    def sweep(self) -> None:
-        """Look at each connection once and break those that stall."""
+    def check_connections(self) -> None:
+        """Check each connection once and abort those that stall."""
         now_ms = self._clock.now_ms()
         connections = set(self._list_connections())
         self._with_request &= connections
-        self._seen = {
-            connection: self._look(connection, now_ms) for connection in connections
+        self._progress = {
+            connection: self._check(connection, now_ms) for connection in connections
         }
 
-    def _look(self, connection: RequestHandler, now_ms: float) -> _Seen:
+    def _check(self, connection: RequestHandler, now_ms: float) -> _Progress:
         transport = connection.transport
         n_buffered = 0 if transport is None else transport.get_write_buffer_size()
-        seen = self._seen.get(connection)
-        if seen is None or seen.n_buffered != n_buffered:
-            return _Seen(n_buffered, now_ms)
-        stall = self._judge(connection, n_buffered, now_ms - seen.since_ms)
+        progress = self._progress.get(connection)
+        if progress is None or progress.n_buffered != n_buffered:
+            return _Progress(n_buffered, now_ms)
+        stall = self._find_stall(connection, n_buffered, now_ms - progress.since_ms)
         if stall is not None and transport is not None:
             transport.abort()
             self._on_break(stall)
-        return seen
+        return progress
 
-    def _judge(
-        self, connection: RequestHandler, n_buffered: int, still_ms: float
+    def _find_stall(
+        self, connection: RequestHandler, n_buffered: int, idle_ms: float
     ) -> Stall | None:
-        if n_buffered and still_ms >= self._read_timeout_ms:
+        if n_buffered and idle_ms >= self._read_timeout_ms:
             return Stall.SLOW_READER
         is_new = connection not in self._with_request
-        if is_new and still_ms >= self._request_timeout_ms:
+        if is_new and idle_ms >= self._request_timeout_ms:
             return Stall.NO_REQUEST
         return None
 
--- a/src/quetzaldeck/http/json.py
+++ b/src/quetzaldeck/http/json.py
@@ -1,4 +1,4 @@
-"""JSON bodies between processes."""
+"""JSON bodies of requests and responses between processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BodyError(ValueError):
-    """A body that is not the message expected."""
+    """Raised for a body that is not the expected message."""
 
 
 def json_response(
@@ -31,7 +31,7 @@
 def decode_body(data: bytes, decoder: msgspec.json.Decoder[T]) -> T:
     """:returns: the message in ``data``
 
-    :raises BodyError: with the place of the fault
+    :raises BodyError: naming the field that is not valid
     """
     try:
         return decoder.decode(data)
--- a/src/quetzaldeck/http/metrics.py
+++ b/src/quetzaldeck/http/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics endpoint of the daemons."""
+"""Response of the metrics endpoint."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def metrics_response(registry: CollectorRegistry) -> web.Response:
-    """:returns: the metrics in the text format of Prometheus"""
+    """:returns: all metrics of a registry in the Prometheus text format"""
     return web.Response(
         body=generate_latest(registry), headers={"Content-Type": CONTENT_TYPE_LATEST}
     )
--- a/src/quetzaldeck/http/service.py
+++ b/src/quetzaldeck/http/service.py
@@ -1,4 +1,4 @@
-"""Base of every program's HTTP side."""
+"""Base class of the HTTP services of all programs."""
 
 from __future__ import annotations
 
@@ -14,22 +14,25 @@
     from quetzaldeck.http.address import ListenAddress
 
 MAX_HEADER_BYTES = 16_384
-"""Longest line or header of a request; twice what servers usually allow."""
+"""Maximum length of a request line or header; twice the usual limit of servers."""
 KEEP_ALIVE_S = 75.0
-"""For an idle connection of a caller; longer than balancers usually keep theirs."""
+"""Time for which an idle connection of a caller is kept open; longer than load
+balancers usually keep theirs."""
 SHUTDOWN_TIMEOUT_S = 1.0
-"""For connections to end after the last request."""
+"""Default of ``HttpServiceBase.shutdown_timeout_s``."""
 
 
 class HttpServiceBase(aiomisc.Service):
-    """Owns one listening socket.
+    """Owns one listening socket and serves an application on it.
 
-    A subclass builds its application and starts its tasks in :meth:`open`, ends
-    them in :meth:`close`.
+    A subclass builds its application and starts its tasks in :meth:`open`, and ends the
+    tasks in :meth:`close`.
+
+    :param listen: address and port to listen on
     """
 
     shutdown_timeout_s = SHUTDOWN_TIMEOUT_S
-    """For connections to close once nothing is in progress."""
+    """Time for connections to close after the last request has ended."""
 
     _runner: web.AppRunner | None = None
     _site: web.TCPSite | None = None
@@ -41,46 +44,46 @@
 
     @property
     def port(self) -> int:
-        """:returns: the port it listens on, also if the settings said 0
+        """:returns: the port it listens on, also if it was configured as 0
 
-        :raises RuntimeError: if it does not listen yet
+        :raises RuntimeError: if it is not listening yet
         """
         if not self._port:
-            msg = "the service does not listen yet; start it first"
+            msg = "the service is not listening yet; start it first"
             raise RuntimeError(msg)
         return self._port
 
     @property
     def address(self) -> str:
-        """:returns: base URL of the service"""
+        """:returns: the base URL of the service"""
         return f"http://{self._listen.host}:{self.port}"
 
     @property
     def connections(self) -> list[RequestHandler]:
-        """:returns: the connections that are open"""
+        """:returns: the open connections"""
         server = None if self._runner is None else self._runner.server
         return [] if server is None else server.connections
 
     @abstractmethod
     async def open(self) -> web.Application:
-        """Start tasks and build the application."""
+        """Start the tasks and build the application."""
 
     @abstractmethod
     async def close(self) -> None:
-        """End the tasks; the socket is closed already."""
+        """End the tasks; called after the socket has been closed."""
 
     async def drain(self) -> int:
-        """Finish what is in progress before a stop.
+        """Wait for requests in progress before a stop.
 
-        :returns: number of requests that were cut off
+        :returns: number of requests that were aborted
         """
         return 0
 
     def abort_drain(self) -> None:
-        """Let :meth:`drain` wait no longer."""
+        """End a running :meth:`drain` at once; aborts what is still in progress."""
 
     async def start(self) -> None:
-        """Open and listen."""
+        """Open the application and listen."""
         application = await self.open()
         self._runner = web.AppRunner(
             application,
@@ -96,7 +99,7 @@
         await self.listen()
 
     async def listen(self) -> None:
-        """Listen; after :meth:`stop_listening`, on the same port as before."""
+        """Start to listen; after :meth:`stop_listening`, on the same port as before."""
         assert self._runner is not None
         port = self._port or self._listen.port
         self._site = web.TCPSite(
@@ -106,13 +109,13 @@
         self._port = int(self._runner.addresses[0][1])
 
     async def stop_listening(self) -> None:
-        """Refuse new connections; those that are open stay open."""
+        """Close the listening socket; open connections stay open."""
         if self._site is not None:
             site, self._site = self._site, None
             await site.stop()
 
     async def stop(self, exception: BaseException | None = None) -> None:
-        """Stop listening, then close."""
+        """Stop listening, close all connections, then call :meth:`close`."""
         if self._runner is not None:
             await self._runner.cleanup()
         await self.close()
--- a/src/quetzaldeck/telemetry/agent_metrics.py
+++ b/src/quetzaldeck/telemetry/agent_metrics.py
@@ -99,12 +99,12 @@
         )
         self.load_reads = Counter(
             "quetzaldeck_agent_load_reads",
-            "Load reports read from upstreams",
+            "Attempts to read the load report of an upstream",
             registry=self.registry,
         )
         self.load_errors = Counter(
             "quetzaldeck_agent_load_errors",
-            "Load reports that could not be read",
+            "Load reports that could not be read or decoded",
             registry=self.registry,
         )
         self._add_claim_metrics()
--- a/tests/http/test_connection_guard.py
+++ b/tests/http/test_connection_guard.py
@@ -1,4 +1,4 @@
-"""Tests of the guard against connections that stall."""
+"""Tests of the guard that aborts stalled connections."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
     )
 
 
-def test_sweep_breaks_a_reader_that_takes_nothing(clock: ManualClock) -> None:
-    """A caller asks for a long answer and reads none of it.
+def test_guard_aborts_connection_whose_answer_is_not_read(clock: ManualClock) -> None:
+    """A caller requests a long answer and does not read it.
 
-    The answer stays in the gateway's memory; the caller's side costs nothing.
+    The answer would stay in the gateway's memory, at no cost to the caller.
     """
     broken: list[Stall] = []
     reader, idle = FakeConnection(), FakeConnection()
@@ -52,25 +52,25 @@
     for connection in (reader, idle):
         guard.note_request(cast("RequestHandler", connection))
     reader.transport.n_buffered = 10_000
-    guard.sweep()
+    guard.check_connections()
     clock.advance(4_000)
     reader.transport.n_buffered = 9_000
-    guard.sweep()
+    guard.check_connections()
     clock.advance(4_999)
-    guard.sweep()
+    guard.check_connections()
     assert broken == []
     clock.advance(1)
-    guard.sweep()
+    guard.check_connections()
     assert broken == [Stall.SLOW_READER]
     assert reader.transport.is_aborted
     assert not idle.transport.is_aborted
 
 
-def test_sweep_breaks_a_connection_without_a_request(clock: ManualClock) -> None:
+def test_guard_aborts_connection_without_request(clock: ManualClock) -> None:
     broken: list[Stall] = []
     connections = [FakeConnection()]
     guard = make_guard(clock, connections, broken)
-    guard.sweep()
+    guard.check_connections()
     clock.advance(1_000)
-    guard.sweep()
+    guard.check_connections()
     assert broken == [Stall.NO_REQUEST]
