--- a/src/quetzaldeck/bundle/store.py
+++ b/src/quetzaldeck/bundle/store.py
@@ -1,4 +1,4 @@
-"""The bundle in force on one VM: it never steps back."""
+"""The bundle in force on one VM; its version never decreases."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     from quetzaldeck.bundle.signing import Envelope
 
 
-class Offer(StrEnum):
-    """What became of an envelope that was offered."""
+class OfferResult(StrEnum):
+    """Result of offering an envelope to the store."""
 
     ACCEPTED = "accepted"
     KNOWN = "known"
@@ -29,12 +29,12 @@
 
 
 def digest_payload(payload: str) -> int:
-    """:returns: digest that names a payload between agents; no proof of anything"""
+    """:returns: digest by which agents identify a payload; not cryptographic"""
     return xxhash.xxh3_64_intdigest(payload.encode())
 
 
 class BundleStore:
-    """Holds the highest valid version seen; order of arrival plays no part.
+    """Holds the highest valid version offered, whatever the order of arrival.
 
     :param public_keys: trusted public keys (base64) by key id
     """
@@ -52,49 +52,52 @@
 
     @property
     def envelope(self) -> Envelope | None:
-        """:returns: its envelope, as it was signed"""
+        """:returns: the envelope of the bundle in force, if any"""
         return self._envelope
 
     @property
     def version(self) -> int:
-        """:returns: the version in force; 0 if there is none"""
+        """:returns: version of the bundle in force; 0 if there is none"""
         return 0 if self._bundle is None else self._bundle.version
 
     @property
     def digest(self) -> int:
-        """:returns: digest of the payload in force; 0 if there is none"""
+        """:returns: digest of the payload of the bundle in force; 0 if there is none"""
         if self._envelope is None:
             return 0
         return digest_payload(self._envelope.payload)
 
     @property
     def detail(self) -> str:
-        """:returns: why the last envelope offered did not come in force"""
+        """:returns: why the last rejected envelope did not take effect"""
         return self._detail
 
-    def offer(self, envelope: Envelope) -> Offer:
-        """Take an envelope from the configuration service or from a peer.
+    def offer(self, envelope: Envelope) -> OfferResult:
+        """Verify an envelope and put its bundle in force if its version is higher.
 
-        :returns: whether it came in force, and if not, why
+        :param envelope: read from the configuration service or from a peer
+        :returns: whether the bundle took effect, and if not, why
         """
         if self._envelope is not None and envelope.payload == self._envelope.payload:
-            return Offer.KNOWN
+            return OfferResult.KNOWN
         try:
             bundle = verify_envelope(envelope, self._public_keys)
         except SignatureError as error:
             self._detail = str(error)
-            return Offer.BAD_SIGNATURE
+            return OfferResult.BAD_SIGNATURE
         except FindingsError as error:
             self._detail = "; ".join(finding.render() for finding in error.findings)
-            return Offer.BAD_BUNDLE
+            return OfferResult.BAD_BUNDLE
         if bundle.version < self.version:
-            return Offer.OLDER
+            return OfferResult.OLDER
         if bundle.version == self.version:
-            self._detail = f"version {bundle.version} has two contents; the first stays"
-            return Offer.CONFLICT
+            self._detail = (
+                f"version {bundle.version} has two contents; the first one is kept"
+            )
+            return OfferResult.CONFLICT
         self._bundle = bundle
         self._envelope = envelope
-        return Offer.ACCEPTED
+        return OfferResult.ACCEPTED
 
 
-__all__ = ("BundleStore", "Offer", "digest_payload")
+__all__ = ("BundleStore", "OfferResult", "digest_payload")
--- a/src/quetzaldeck/gateway/drain.py
+++ b/src/quetzaldeck/gateway/drain.py
@@ -88,14 +88,14 @@
         self._enter(Phase.STOPPED)
         return self._n_aborted
 
-    def cut_off(self) -> None:
+    def abort(self) -> None:
         """Stop waiting and abort the requests that are still in progress."""
         self._must_abort.set()
 
     def _abort_remaining(self) -> None:
         request_ids = self._in_flight.abort_all()
         self._n_aborted = len(request_ids)
-        self._metrics.cut_off.inc(len(request_ids))
+        self._metrics.requests_aborted.inc(len(request_ids))
         for request_id in request_ids:
             log_event("request_cut_off", level="ERROR", request=request_id)
 
--- a/src/quetzaldeck/gateway/service.py
+++ b/src/quetzaldeck/gateway/service.py
@@ -52,8 +52,8 @@
         self._connection_guard = ConnectionGuard(
             lambda: self.connections,
             clock,
-            request_ms=settings.callers.request_head_ms,
-            read_ms=settings.callers.write_idle_ms,
+            request_timeout_ms=settings.callers.request_head_ms,
+            read_timeout_ms=settings.callers.write_idle_ms,
             on_break=self._note_broken_connection,
         )
 
@@ -91,9 +91,9 @@
         await self._session.report_to_agent()
         return n_aborted
 
-    def cut_off(self) -> None:
+    def abort_drain(self) -> None:
         """Abort the requests that are still in progress."""
-        self._session.state.drain.cut_off()
+        self._session.state.drain.abort()
 
     async def close(self) -> None:
         """Close the session."""
