--- a/src/quetzaldeck/gateway/claimed_call.py
+++ b/src/quetzaldeck/gateway/claimed_call.py
@@ -44,15 +44,18 @@
     """Obtains a claim on entry, and reports the outcome to the agent on exit.
 
     :param client: HTTP client for the agent, owned by the creator of this object
-    :param order: the requested claim; its timeout starts now
+    :param claim_request: the claim to request; its timeout starts now
     """
 
     def __init__(
-        self, state: GatewayState, client: aiohttp.ClientSession, order: ClaimOrder
+        self,
+        state: GatewayState,
+        client: aiohttp.ClientSession,
+        claim_request: ClaimOrder,
     ) -> None:
         self._state = state
         self._client = client
-        self._order = order
+        self._claim_request = claim_request
         self._guard = PauseGuard(
             state.clock,
             max_pause_ms=0.0,
@@ -124,12 +127,12 @@
         self._answer = answer
 
     async def _request_claim(self) -> ClaimDecision:
-        timeout_ms = self._order.timeout_ms + AGENT_MARGIN_MS
+        timeout_ms = self._claim_request.timeout_ms + AGENT_MARGIN_MS
         async with (
             asyncio.timeout(timeout_ms / 1_000),
             self._client.post(
                 self._state.settings.agent_address + CLAIM_PATH,
-                data=msgspec.json.encode(self._order),
+                data=msgspec.json.encode(self._claim_request),
             ) as response,
         ):
             response.raise_for_status()
@@ -142,7 +145,7 @@
         answered with ``ran: unknown``, which is correct.
         """
         end = ClaimEnd(
-            self._order.order_id, self._has_run, _to_kept_answer(self._answer)
+            self._claim_request.order_id, self._has_run, _to_kept_answer(self._answer)
         )
         try:
             async with (
--- a/src/quetzaldeck/gateway/degraded_upstreams.py
+++ b/src/quetzaldeck/gateway/degraded_upstreams.py
@@ -1,4 +1,4 @@
-"""Logs when an upstream starts or stops to be degraded: partly failing, or slow."""
+"""Logs when an upstream becomes degraded (partly failing, or slow) or recovers."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -132,7 +132,7 @@
         """Handle messages until cancelled."""
         while True:
             await self._receive()
-            self._carry_out_decisions()
+            self._deliver_decisions()
             self._degraded_log.check(self._clock.now_ms())
             self._metrics.queued.set(self._scheduler.n_queued)
             self._metrics.running.set(self._scheduler.n_running)
@@ -244,9 +244,9 @@
         self._scheduler.limits.n_vms = message.n_vms
         self._metrics.limit_vms.set(message.n_vms)
         self._metrics.upstreams.leaving.set(len(message.leaving))
-        self._report_upstreams()
+        self._update_upstream_gauges()
 
-    def _report_upstreams(self) -> None:
+    def _update_upstream_gauges(self) -> None:
         """Set the gauges, as often as reports are exchanged with the agent."""
         metrics = self._metrics.upstreams
         n_by_state = self._scheduler.upstreams.count_health(self._clock.now_ms())
@@ -260,7 +260,7 @@
         for verdict in Verdict:
             metrics.suspects.labels(verdict.value).set(n_by_verdict[verdict])
 
-    def _carry_out_decisions(self) -> None:
+    def _deliver_decisions(self) -> None:
         for decision in self._scheduler.poll():
             self._deliver(decision)
             self._load_changed.set()
@@ -273,7 +273,7 @@
         last ones would be refused although upstreams are idle.
         """
         if self._scheduler.n_queued:
-            self._carry_out_decisions()
+            self._deliver_decisions()
         failure = self._scheduler.submit(message.request)
         if failure is None:
             self._outboxes[message.request.request_id] = message.decisions
--- a/src/quetzaldeck/gateway/release_task.py
+++ b/src/quetzaldeck/gateway/release_task.py
@@ -85,12 +85,12 @@
         n_repeats = math.ceil(release.repeat_ms / REPEAT_INTERVAL_MS)
         for _ in range(n_repeats):
             await asyncio.sleep(REPEAT_INTERVAL_MS / 1_000)
-            await self._try(release)
+            await self._try_release(release)
 
     async def _release_once(self, release: Release) -> None:
         backoff_ms = INITIAL_BACKOFF_MS
         for _ in range(MAX_TRIES):
-            if await self._try(release):
+            if await self._try_release(release):
                 self._metrics.releases.labels("done").inc()
                 return
             await asyncio.sleep(backoff_ms / 1_000)
@@ -98,7 +98,7 @@
         self._metrics.releases.labels("given_up").inc()
         log_event("release_given_up", level="WARNING", **release._asdict())
 
-    async def _try(self, release: Release) -> bool:
+    async def _try_release(self, release: Release) -> bool:
         try:
             async with asyncio.timeout(RELEASE_TIMEOUT_MS / 1_000):
                 await self._cancel(release)
--- a/src/quetzaldeck/gateway/services.py
+++ b/src/quetzaldeck/gateway/services.py
@@ -96,14 +96,14 @@
         self, request: Request, call: ServiceCall, key: str
     ) -> ServiceAnswer:
         """Serve a call that may not be repeated, or replay its earlier answer."""
-        order = ClaimOrder(
+        claim_request = ClaimOrder(
             new_claim_request_id(),
             request.customer,
             key,
             _digest(request.service, call),
             request.deadline_ms - self._state.clock.now_ms(),
         )
-        claimed = ClaimedCall(self._state, self._state.agent_client, order)
+        claimed = ClaimedCall(self._state, self._state.agent_client, claim_request)
         running = asyncio.create_task(self._run_claimed(request, call, claimed))
         try:
             return await asyncio.shield(running)
--- a/tests/gateway/test_claimed_call.py
+++ b/tests/gateway/test_claimed_call.py
@@ -82,9 +82,14 @@
     agent = FakeAgent()
     await agent.start()
     state: GatewayState = FakeState(agent.address, clock)  # type: ignore[assignment]
-    order = ClaimOrder(new_claim_request_id(), "club", "key", "digest", LEASE_MS)
+    claim_request = ClaimOrder(
+        new_claim_request_id(), "club", "key", "digest", LEASE_MS
+    )
     try:
-        async with ClientSession() as client, ClaimedCall(state, client, order) as call:
+        async with (
+            ClientSession() as client,
+            ClaimedCall(state, client, claim_request) as call,
+        ):
             clock.advance(pause_ms)
             call.begin_dispatch()
             call.store_answer(ServiceAnswer(200, (), b"booked"))
