--- a/src/quetzaldeck/entry/service.py
+++ b/src/quetzaldeck/entry/service.py
@@ -55,7 +55,7 @@
 
     def abort_drain(self) -> None:
         """Abort the requests that are still in progress."""
-        self._session.state.drain.cut_off()
+        self._session.state.drain.abort()
 
     async def close(self) -> None:
         """End the session."""
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -1,4 +1,4 @@
-"""The task that owns the scheduler; handlers talk to it by messages."""
+"""The task that owns the scheduler; handlers send it messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from quetzaldeck.decisions import AttemptFault, Rejection
 from quetzaldeck.decisions.health import HealthState
 from quetzaldeck.decisions.poison import Verdict
-from quetzaldeck.gateway.failing_upstreams import FailingUpstreams
+from quetzaldeck.gateway.degraded_upstreams import DegradedUpstreamsLog
 from quetzaldeck.gateway.messages import (
     ApplyBundle,
     EndAttempt,
@@ -40,15 +40,15 @@
 Reply = TypeVar("Reply")
 
 POLL_INTERVAL_MS = 20.0
-"""Pause between two looks at what waits, while anything does."""
+"""Interval between polls of the scheduler while requests are queued."""
 
 IDLE_INTERVAL_MS = 500.0
-"""Pause while nothing waits. Fifty looks a second at nothing were most of the processor
-time of a VM with a request a second."""
+"""Interval between polls while no request is queued. Fifty polls a second of an empty
+queue used most of the CPU time of a VM with one request a second."""
 
 
 class DispatchTask:
-    """Feeds messages to the scheduler and hands out its decisions."""
+    """Passes messages to the scheduler and delivers its decisions."""
 
     def __init__(
         self, scheduler: Scheduler, metrics: GatewayMetrics, clock: Clock
@@ -56,110 +56,110 @@
         self._scheduler = scheduler
         self._clock = clock
         self._metrics = metrics
-        self._failing = FailingUpstreams(scheduler)
+        self._degraded_log = DegradedUpstreamsLog(scheduler)
         self._mailbox: asyncio.Queue[Message] = asyncio.Queue()
-        self._news: list[Message] = []
+        self._deferred: list[Message] = []
         self._outboxes: dict[str, asyncio.Queue[Decision]] = {}
-        self._has_crash_news = asyncio.Event()
-        self._has_load_news = asyncio.Event()
+        self._crash_seen = asyncio.Event()
+        self._load_changed = asyncio.Event()
 
     @property
     def n_queued(self) -> int:
-        """:returns: requests that wait"""
+        """:returns: number of queued requests"""
         return self._scheduler.n_queued
 
     @property
     def n_running(self) -> int:
-        """:returns: attempts that run"""
+        """:returns: number of running attempts"""
         return self._scheduler.n_running
 
     @property
     def poison_bounds(self) -> PoisonBounds:
-        """:returns: figures of the judgement on requests that crash engines"""
+        """:returns: parameters of the detection of requests that crash engines"""
         return self._scheduler.poison.bounds
 
-    async def wait_for_crash_news(self) -> None:
-        """Wait until an attempt ended as it does when its engine crashes."""
-        await self._has_crash_news.wait()
-        self._has_crash_news.clear()
+    async def wait_for_crash(self) -> None:
+        """Wait until an attempt ended with a broken connection, as after a crash."""
+        await self._crash_seen.wait()
+        self._crash_seen.clear()
 
-    async def wait_for_load_news(self) -> None:
-        """Wait until an attempt began, got its first token, or ended."""
-        await self._has_load_news.wait()
-        self._has_load_news.clear()
+    async def wait_for_load_change(self) -> None:
+        """Wait until an attempt started, received its first token, or ended."""
+        await self._load_changed.wait()
+        self._load_changed.clear()
 
-    def take_crash_news(self) -> list[tuple[CrashSighting, ...]]:
-        """:returns: by request, what other VMs should know of it and crashes"""
+    def pop_crash_sightings(self) -> list[tuple[CrashSighting, ...]]:
+        """:returns: by request, crash sightings to be sent to the other VMs"""
         return self._scheduler.fleet.pop_crash_sightings()
 
-    def list_shares(self) -> list[tuple[str, VmLoad]]:
-        """:returns: what of this VM is at each upstream"""
+    def list_own_loads(self) -> list[tuple[str, VmLoad]]:
+        """:returns: load of this VM on each upstream"""
         now_ms = self._clock.now_ms()
         return [
             (state.spec.name, state.own_load(now_ms))
             for state in self._scheduler.upstreams
         ]
 
-    def take_usage_news(self) -> list[UsageUpdate]:
-        """:returns: what other VMs should know of limited customers"""
+    def take_usage_updates(self) -> list[UsageUpdate]:
+        """:returns: usage of limited customers to be sent to the other VMs"""
         return self._scheduler.limits.take_updates(self._clock.now_ms())
 
     def send(self, message: Message) -> None:
-        """Put a message into the task's mailbox."""
+        """Add a message to the task's mailbox."""
         self._mailbox.put_nowait(message)
 
-    def send_news(self, message: Message) -> None:
-        """Put a message that changes nothing unless a request has to be placed.
+    def send_deferrable(self, message: Message) -> None:
+        """Add a message that has no effect unless a request has to be placed.
 
-        Load pattern: VMs tell each other what they send where, many messages a second
-        for each request that a VM serves itself. Waking the task for each of them would
-        look for decisions where there are none to make.
+        Load pattern: VMs send each other their loads, many messages a second for each
+        request that a VM serves itself. Waking the task for each of them would poll the
+        scheduler when there is nothing to decide.
 
-        So they lie until the next message or the next look, half a second at most, and
-        are handled before it. While requests wait for a place the task is woken: what
-        is told may be that there is room.
+        So they are deferred until the next message or the next poll, for half a second
+        at most, and are handled before it. While requests are queued the task is woken
+        at once, since the message may report free capacity.
         """
         if self._scheduler.n_queued:
             self._mailbox.put_nowait(message)
         else:
-            self._news.append(message)
+            self._deferred.append(message)
 
     def open_ticket(self, request: Request) -> Ticket:
-        """:returns: the caller side of one request; a context manager"""
+        """:returns: a context manager that admits and later withdraws a request"""
         return Ticket(request, self.send)
 
     async def run(self) -> None:
         """Handle messages until cancelled."""
         while True:
             await self._receive()
-            self._carry_out_decisions()
-            self._failing.look(self._clock.now_ms())
+            self._deliver_decisions()
+            self._degraded_log.check(self._clock.now_ms())
             self._metrics.queued.set(self._scheduler.n_queued)
             self._metrics.running.set(self._scheduler.n_running)
 
     async def _receive(self) -> None:
-        """Handle what is in the mailbox; wait a little if it is empty.
+        """Handle all messages in the mailbox; wait for one if it is empty.
 
-        The wait is bounded so that expiries and reports that age are seen while
-        no message comes.
+        The wait is bounded so that expired requests and outdated reports are noticed
+        while no message arrives.
         """
         wait_ms = POLL_INTERVAL_MS if self._scheduler.n_queued else IDLE_INTERVAL_MS
         try:
             async with asyncio.timeout(wait_ms / 1_000):
                 message = await self._mailbox.get()
         except TimeoutError:
-            self._handle_news()
+            self._handle_deferred()
             return
-        self._handle_news()
+        self._handle_deferred()
         self._handle(message)
-        self.handle_waiting()
+        self.handle_pending()
 
-    def _handle_news(self) -> None:
-        news, self._news = self._news, []
-        for message in news:
+    def _handle_deferred(self) -> None:
+        deferred, self._deferred = self._deferred, []
+        for message in deferred:
             self._handle(message)
 
-    def handle_waiting(self) -> None:
+    def handle_pending(self) -> None:
         """Handle every message that is in the mailbox."""
         while not self._mailbox.empty():
             self._handle(self._mailbox.get_nowait())
@@ -170,13 +170,13 @@
                 self._submit(message)
             case EndAttempt():
                 self._end_attempt(message)
-                self._has_load_news.set()
+                self._load_changed.set()
             case NoteFirstToken() | NoteReserved() | JudgeSilence():
                 self._note_progress(message)
             case Withdraw():
                 self._scheduler.withdraw(message.request_id)
                 self._outboxes.pop(message.request_id, None)
-                self._has_load_news.set()
+                self._load_changed.set()
             case ApplyBundle():
                 self._scheduler.apply_bundle(message.bundle)
             case Observe():
@@ -184,18 +184,18 @@
             case ObserveIncarnations():
                 self._scheduler.fleet.observe_incarnations(message.incarnations)
             case ObserveLoad() | ObservePeerLoad() | ObservePaces():
-                self._take_load(message)
+                self._observe_load(message)
             case ObserveCache() | ObserveCrashes() | ObserveUsage():
-                self._take_news(message)
+                self._observe_update(message)
 
     def _note_progress(
         self, message: NoteFirstToken | NoteReserved | JudgeSilence
     ) -> None:
-        """Take how far a running attempt is."""
+        """Handle the progress of a running attempt."""
         match message:
             case NoteFirstToken():
                 self._scheduler.note_first_token(message.attempt_id)
-                self._has_load_news.set()
+                self._load_changed.set()
             case NoteReserved():
                 self._scheduler.note_reserved(message.attempt_id)
             case JudgeSilence():
@@ -204,18 +204,22 @@
                 )
                 _reply(message.reply, verdict)
 
-    def _take_load(self, message: ObserveLoad | ObservePeerLoad | ObservePaces) -> None:
-        """Take what an upstream or another VM tells of load."""
+    def _observe_load(
+        self, message: ObserveLoad | ObservePeerLoad | ObservePaces
+    ) -> None:
+        """Handle loads and paces reported by upstreams or other VMs."""
         match message:
             case ObserveLoad():
                 self._scheduler.fleet.observe_load(message.report)
             case ObservePeerLoad():
-                self._scheduler.fleet.observe_peer(message.vm, message.shares)
+                self._scheduler.fleet.observe_peer(message.vm, message.loads)
             case ObservePaces():
                 self._scheduler.fleet.observe_paces(message.paces)
 
-    def _take_news(self, message: ObserveCache | ObserveCrashes | ObserveUsage) -> None:
-        """Take what engines and other VMs tell."""
+    def _observe_update(
+        self, message: ObserveCache | ObserveCrashes | ObserveUsage
+    ) -> None:
+        """Handle cache events, crash sightings and usage of other VMs."""
         match message:
             case ObserveCache():
                 self._scheduler.fleet.observe_cache(message.events)
@@ -223,14 +227,14 @@
                 self._scheduler.fleet.observe_crashes(message.sightings)
             case ObserveUsage():
                 self._scheduler.limits.observe(
-                    message.vm, message.news, self._clock.now_ms()
+                    message.vm, message.update, self._clock.now_ms()
                 )
 
     def _end_attempt(self, message: EndAttempt) -> None:
         failure = self._scheduler.end_attempt(message.end)
         fault = message.end.fault
         if fault is AttemptFault.BROKEN:
-            self._has_crash_news.set()
+            self._crash_seen.set()
         if fault is not None and failure is None:
             self._metrics.upstreams.retries.labels(fault.value).inc()
         _reply(message.reply, failure)
@@ -240,10 +244,10 @@
         self._scheduler.limits.n_vms = message.n_vms
         self._metrics.limit_vms.set(message.n_vms)
         self._metrics.upstreams.leaving.set(len(message.leaving))
-        self._report_upstreams()
+        self._update_upstream_gauges()
 
-    def _report_upstreams(self) -> None:
-        """Set the gauges, at the pace of the exchange with the agent."""
+    def _update_upstream_gauges(self) -> None:
+        """Set the gauges, as often as reports are exchanged with the agent."""
         metrics = self._metrics.upstreams
         n_by_state = self._scheduler.upstreams.count_health(self._clock.now_ms())
         for state in HealthState:
@@ -256,20 +260,20 @@
         for verdict in Verdict:
             metrics.suspects.labels(verdict.value).set(n_by_verdict[verdict])
 
-    def _carry_out_decisions(self) -> None:
+    def _deliver_decisions(self) -> None:
         for decision in self._scheduler.poll():
             self._deliver(decision)
-            self._has_load_news.set()
+            self._load_changed.set()
 
     def _submit(self, message: Submit) -> None:
-        """Admit a request, after those before it have been placed where there is room.
+        """Admit a request after placing queued requests for which there is capacity.
 
-        Several requests arrive between two looks at the queue: a burst, or all that
-        came while the VM stood still. Counted as a queue before the last of them, they
-        would have it refused before idle upstreams.
+        Several requests may arrive between two polls: a burst, or everything that came
+        in while the VM was paused. If the earlier ones still counted as queued, the
+        last ones would be refused although upstreams are idle.
         """
         if self._scheduler.n_queued:
-            self._carry_out_decisions()
+            self._deliver_decisions()
         failure = self._scheduler.submit(message.request)
         if failure is None:
             self._outboxes[message.request.request_id] = message.decisions
@@ -285,7 +289,7 @@
 
 
 def _reply(future: asyncio.Future[Reply], reply: Reply) -> None:
-    """Answer a handler, unless its caller is gone and it no longer waits."""
+    """Reply to a handler, unless it was cancelled because its caller disconnected."""
     if not future.done():
         future.set_result(reply)
 
