--- a/src/quetzaldeck/cli/__init__.py
+++ b/src/quetzaldeck/cli/__init__.py
@@ -1,4 +1,4 @@
-"""Command lines of the programs."""
+"""Command-line interfaces of the programs."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/cli/agent.py
+++ b/src/quetzaldeck/cli/agent.py
@@ -23,7 +23,7 @@
 @version_option("quetzaldeck-agent")
 @settings_option()
 def main(*, settings_path: Path) -> None:
-    """Run the control path of one VM.
+    """Run the agent, the control plane of one VM, until SIGTERM or SIGINT.
 
     Example: quetzaldeck-agent --settings examples/demo/agent-a.yaml
     """
--- a/src/quetzaldeck/cli/bundle_commands.py
+++ b/src/quetzaldeck/cli/bundle_commands.py
@@ -30,13 +30,13 @@
 
 @click.group("bundle", epilog=EPILOG)
 def bundle_group() -> None:
-    """Check, sign and verify bundles."""
+    """Check, compare, sign and verify bundles."""
 
 
 @bundle_group.command("check", epilog=EPILOG)
 @click.argument("path", type=PATH)
 def check_command(*, path: Path) -> None:
-    """Check a bundle written in YAML.
+    """Check a bundle in YAML and print its size or its faults.
 
     Example: quetzaldeck bundle check bundle.yaml
     """
@@ -48,7 +48,7 @@
 @bundle_group.command("show", epilog=EPILOG)
 @click.argument("path", type=PATH)
 def show_command(*, path: Path) -> None:
-    """Print what a bundle, in YAML or signed, serves to whom.
+    """Print a summary of a bundle, in YAML or signed.
 
     Example: quetzaldeck bundle show bundle.signed
     """
@@ -62,9 +62,9 @@
 @click.argument("old", type=PATH)
 @click.argument("new", type=PATH)
 def diff_command(*, old: Path, new: Path) -> None:
-    """Print what changes from one bundle to another, in YAML or signed.
+    """Print the changes between two bundles, in YAML or signed.
 
-    Exits with 1 if NEW would not come in force after OLD.
+    Exits with 1 if NEW would not take effect after OLD: its version must be higher.
 
     Example: quetzaldeck bundle diff bundle-41.signed bundle-42.yaml
     """
@@ -76,7 +76,7 @@
     click.echo(f"{len(changes)} changes")
     if changes and new_bundle.version <= old_bundle.version:
         click.echo(
-            f"version {new_bundle.version} does not come in force after "
+            f"version {new_bundle.version} does not take effect after "
             f"{old_bundle.version}; raise the version",
             err=True,
         )
@@ -85,10 +85,12 @@
 
 @bundle_group.command("keygen", epilog=EPILOG)
 @click.option(
-    "--private-key", "path", type=PATH, required=True, help="File to be written."
+    "--private-key", "path", type=PATH, required=True, help="Key file to create."
 )
 def keygen_command(*, path: Path) -> None:
-    """Write a new private key and print the public key for the agents.
+    """Create a private key file and print the public key for the agents.
+
+    Only the owner may read the file. An existing file is not overwritten.
 
     Example: quetzaldeck bundle keygen --private-key operator.key
     """
@@ -105,15 +107,17 @@
 
 @bundle_group.command("sign", epilog=EPILOG)
 @click.option(
-    "--private-key", "key_path", type=PATH, required=True, help="File from keygen."
+    "--private-key", "key_path", type=PATH, required=True, help="Key file from keygen."
+)
+@click.option(
+    "--key-id", required=True, help="Name of the key in the settings of the agents."
 )
-@click.option("--key-id", required=True, help="Name of the key in agents' settings.")
 @click.option(
-    "--output", type=PATH, required=True, help="File to be written, for publishing."
+    "--output", type=PATH, required=True, help="File to write the signed bundle to."
 )
 @click.argument("path", type=PATH)
 def sign_command(*, key_path: Path, key_id: str, output: Path, path: Path) -> None:
-    """Check and sign a bundle.
+    """Check and sign a bundle in YAML.
 
     Example: quetzaldeck bundle sign --private-key operator.key --key-id ops --output
     bundle.signed bundle.yaml
@@ -130,10 +134,12 @@
 
 
 @bundle_group.command("verify", epilog=EPILOG)
-@click.option("--public-key", required=True, help="Public key (base64).")
+@click.option(
+    "--public-key", required=True, help="Public key in base64, as printed by keygen."
+)
 @click.argument("path", type=PATH)
 def verify_command(*, public_key: str, path: Path) -> None:
-    """Verify a signed bundle.
+    """Verify the signature of a bundle, and check the bundle.
 
     Example: quetzaldeck bundle verify --public-key KEY bundle.signed
     """
@@ -146,7 +152,7 @@
     except FindingsError as error:
         print_findings(error)
         sys.exit(ExitCode.BAD_SETTINGS)
-    click.echo(f"version {bundle.version}: signature of {envelope.key_id} holds")
+    click.echo(f"version {bundle.version}: signature of {envelope.key_id} is valid")
 
 
 __all__ = ("bundle_group",)
--- a/src/quetzaldeck/cli/bundle_files.py
+++ b/src/quetzaldeck/cli/bundle_files.py
@@ -1,4 +1,4 @@
-"""Bundle files as operators have them: YAML, or signed."""
+"""Loading of bundle files, in YAML or signed."""
 
 from __future__ import annotations
 
@@ -17,17 +17,21 @@
     from pathlib import Path
 
 SIGNED_START = b"["
+"""A signed bundle is a JSON array; a bundle in YAML is a mapping."""
 
 
 class BundleFile(NamedTuple):
-    """A bundle and the key that its file says it is signed with, if any."""
+    """A bundle and the ID of the key that signed its file.
+
+    :param key_id: as stated in the file, not verified; empty for YAML
+    """
 
     bundle: Bundle
     key_id: str
 
 
 def load_bundle(path: Path) -> Bundle:
-    """:returns: the bundle in a YAML file; ends the program if it has faults"""
+    """:returns: the bundle in a YAML file; exits the program if it has faults"""
     bundle = load_settings(path, Bundle)
     try:
         raise_findings(path.name, check_bundle(bundle, path.name))
@@ -38,9 +42,9 @@
 
 
 def load_any_bundle(path: Path) -> BundleFile:
-    """Load a YAML file or a signed bundle, whose signature is not verified.
+    """Load a bundle from a YAML file or a signed file, without verifying a signature.
 
-    :returns: the bundle; ends the program if it has faults
+    :returns: the bundle; exits the program if it has faults
     """
     try:
         data = path.read_bytes()
--- a/src/quetzaldeck/cli/common.py
+++ b/src/quetzaldeck/cli/common.py
@@ -1,4 +1,4 @@
-"""Parts that all command lines share."""
+"""Options and functions shared by all command-line interfaces."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 EPILOG = (
     "Exit codes: 0 ok, 1 failed, 2 usage, 3 faulty settings, 4 bad signature, "
-    "5 requests were cut off."
+    "5 requests were aborted."
 )
 
 
@@ -47,19 +47,19 @@
         type=click.Path(path_type=Path),
         envvar=envvar,
         required=True,
-        help="YAML file; see 'quetzaldeck settings reference'.",
+        help="YAML file with the settings; see 'quetzaldeck settings reference'.",
     )
 
 
 def print_findings(error: FindingsError) -> None:
-    """Print all findings of a document, one a line."""
+    """Print all findings of a document to standard error, one per line."""
     for finding in error.findings:
         click.echo(finding.render(), err=True)
     click.echo(f"{len(error.findings)} findings", err=True)
 
 
 def load_settings(path: Path, cls: type[T]) -> T:
-    """:returns: the settings in ``path``; ends the program if they have faults"""
+    """:returns: the settings in ``path``; exits the program if they have faults"""
     try:
         return load_file(path, cls)
     except FindingsError as error:
@@ -72,21 +72,21 @@
     background: Callable[[], Coroutine[Any, Any, None]] | None = None,
     log_stream: TextIO | None = None,
 ) -> NoReturn:
-    """Run services until a signal asks the program to stop.
+    """Run services until a signal stops the program.
 
-    The first SIGTERM or SIGINT drains the services, a second one cuts off what
-    is still in progress.
+    The first SIGTERM or SIGINT drains the services; a second one aborts the requests
+    that are still in progress.
 
-    :param background: runs beside the services
-    :param log_stream: where log lines go; standard error if not given
+    :param background: task that runs as long as the services
+    :param log_stream: destination of log lines; standard error if ``None``
     """
     with LogWriter(log_stream or sys.stderr) as writer:
         configure_logging(writer)
         log_event("started", version=__version__)
         with aiomisc.entrypoint(*services, log_config=False) as loop:
-            running = _serve_until_stopped(services, background)
-            n_cut_off = loop.run_until_complete(running)
-    sys.exit(ExitCode.REQUESTS_ABORTED if n_cut_off else ExitCode.OK)
+            serving = _serve_until_stopped(services, background)
+            n_aborted = loop.run_until_complete(serving)
+    sys.exit(ExitCode.REQUESTS_ABORTED if n_aborted else ExitCode.OK)
 
 
 async def _serve_until_stopped(
@@ -104,16 +104,16 @@
         loop.add_signal_handler(number, signals.put_nowait, number)
     received = await signals.get()
     log_event("stopping", signal=received.name)
-    cutting = asyncio.create_task(_cut_off_on_signal(signals, services))
+    aborting = asyncio.create_task(_abort_on_signal(signals, services))
     try:
         counts = await asyncio.gather(*(service.drain() for service in services))
     finally:
-        cutting.cancel()
+        aborting.cancel()
     log_event("stopped", n_cut_off=sum(counts))
     return sum(counts)
 
 
-async def _cut_off_on_signal(
+async def _abort_on_signal(
     signals: asyncio.Queue[signal.Signals], services: Sequence[HttpServiceBase]
 ) -> None:
     received = await signals.get()
--- a/src/quetzaldeck/cli/entry.py
+++ b/src/quetzaldeck/cli/entry.py
@@ -28,7 +28,7 @@
 @version_option("quetzaldeck-entry")
 @settings_option(envvar="QUETZALDECK_SETTINGS")
 def main(*, settings_path: Path) -> None:
-    """Run an entry VM on the users' platform.
+    """Run an entry VM on the users' platform, until SIGTERM or SIGINT.
 
     Example: quetzaldeck-entry --settings /etc/quetzaldeck/local.conf
     """
--- a/src/quetzaldeck/cli/exit_codes.py
+++ b/src/quetzaldeck/cli/exit_codes.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a program's exit code means."""
+    """Exit codes, as listed in the help of each program."""
 
     OK = 0
     FAILED = 1
--- a/src/quetzaldeck/cli/gateway.py
+++ b/src/quetzaldeck/cli/gateway.py
@@ -24,7 +24,7 @@
 @version_option("quetzaldeck-gateway")
 @settings_option()
 def main(*, settings_path: Path) -> None:
-    """Run the data path of one VM.
+    """Run the gateway, the data plane of one VM, until SIGTERM or SIGINT.
 
     Example: quetzaldeck-gateway --settings examples/demo/gateway-a.yaml
     """
--- a/src/quetzaldeck/cli/history_commands.py
+++ b/src/quetzaldeck/cli/history_commands.py
@@ -15,13 +15,15 @@
 
 @click.group("history")
 def history_group() -> None:
-    """Check recorded histories against what must always hold."""
+    """Check recorded histories against the invariants of the system."""
 
 
 @history_group.command("check")
 @click.argument("path", type=click.Path(path_type=Path))
 def check_command(*, path: Path) -> None:
-    """Print every violation in a history file.
+    """Print every violation of an invariant in a history file.
+
+    Exits with 1 if there are violations.
 
     Example: quetzaldeck history check history.jsonl
     """
--- a/src/quetzaldeck/cli/load.py
+++ b/src/quetzaldeck/cli/load.py
@@ -28,10 +28,13 @@
     "settings_path",
     type=click.Path(path_type=Path),
     required=True,
-    help="YAML file that describes the mixture.",
+    help="YAML file that describes the calls to send.",
 )
 def main(*, settings_path: Path) -> None:
-    """Send a mixture of calls and report TTFT by prompt length.
+    """Send the configured calls and print time to first token by prompt length.
+
+    Exits with 1 if no call was answered, or if a call was lost, mixed up with another
+    one, executed twice or falsely reported as not executed.
 
     Example: quetzaldeck-load --settings examples/demo/load.yaml
     """
--- a/src/quetzaldeck/cli/log_commands.py
+++ b/src/quetzaldeck/cli/log_commands.py
@@ -33,16 +33,16 @@
 
 @click.group("logs")
 def logs_group() -> None:
-    """Work out figures from logs of entry VMs."""
+    """Analyse the logs of entry VMs."""
 
 
 @logs_group.command("predictions")
 @_files_argument
 def predictions_command(*, files: tuple[TextIO, ...]) -> None:
-    """Compare predicted and seen times to the first token, by length of prompt.
+    """Compare predicted and measured times to first token.
 
-    A median ratio far from 1 means that engines are not as fast as the configuration
-    says.
+    Prints a line for each length class of prompts. A median ratio of measured to
+    predicted time far from 1 means that the engines are not as fast as configured.
 
     Example: quetzaldeck logs predictions entry-a.log entry-b.log
     """
@@ -62,21 +62,23 @@
     type=click.FloatRange(min=1.0),
     default=2_000.0,
     show_default=True,
-    help="Length of the moments that are compared.",
+    help="Length of the compared time windows, in ms.",
 )
 @click.option(
     "--n-moments",
     type=click.IntRange(min=0),
     default=6,
     show_default=True,
-    help="How many of the worst are shown.",
+    help="Number of time windows to print, those with most losses first.",
 )
 def losses_command(
     *, files: tuple[TextIO, ...], moment_ms: float, n_moments: int
 ) -> None:
-    """Count what callers received, by route, and when most of them lost.
+    """Count late, refused and failed requests by route and time.
 
-    A caller that was refused and came back is counted each time.
+    Prints a line for each route, then one for each of the worst time windows.
+
+    A request that was refused and sent again is counted each time.
 
     Example: quetzaldeck logs losses entry-a.log entry-b.log
     """
@@ -95,15 +97,16 @@
     type=click.FloatRange(min=0.0),
     default=2_000.0,
     show_default=True,
-    help="How long before and after it faults of its upstreams are shown.",
+    help="Time before and after the request in which faults of its upstreams are "
+    "shown, in ms.",
 )
 def request_command(
     *, request_id: str, files: tuple[TextIO, ...], margin_ms: float
 ) -> None:
-    """Show what happened to one request, from the logs of all VMs.
+    """Print the log lines about one request from all VMs.
 
-    Faults of the upstreams that it was sent to, and of those that read parts of its
-    prompt, follow: how many lines tell of each, and the first one.
+    Then prints the faults of the upstreams that it was sent to, and of those that
+    prefilled parts of its prompt: number of lines and first line of each fault.
 
     Example: quetzaldeck logs request 9c41d07be2a35f68 logs/*.log
     """
@@ -115,7 +118,9 @@
     for line in trace.own:
         click.echo(_describe_line(line))
     if trace.faults:
-        click.echo("its upstreams meanwhile, the first line of each event:")
+        click.echo(
+            "its upstreams at the same time, number and first line of each fault:"
+        )
     for fault in trace.faults:
         click.echo(f"{fault.n_lines:4} x {_describe_line(fault.first)}")
 
@@ -132,10 +137,10 @@
 
 
 def _describe_window(window: LossWindow) -> str:
-    began = datetime.fromtimestamp(window.started_ms / MS_PER_SECOND, UTC)
+    started = datetime.fromtimestamp(window.started_ms / MS_PER_SECOND, UTC)
     n_lost = window.n_lost.total()
     counts = _describe_counts(window.n_lost)
-    return f"{began:%H:%M:%S} {n_lost} of {window.n_all}: {counts}"
+    return f"{started:%H:%M:%S} {n_lost} of {window.n_all}: {counts}"
 
 
 def _describe_counts(counts: Counter[str]) -> str:
--- a/src/quetzaldeck/cli/operator.py
+++ b/src/quetzaldeck/cli/operator.py
@@ -1,4 +1,4 @@
-"""Command line of ``quetzaldeck``: the operators' commands."""
+"""Command line of ``quetzaldeck``, the commands for operators."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 @click.group(epilog=EPILOG)
 @version_option("quetzaldeck")
 def main() -> None:
-    """Check settings and bundles, read status, run the demo."""
+    """Check settings and bundles, read status and logs, run the demo."""
 
 
 @main.command("demo", epilog=EPILOG)
@@ -33,11 +33,18 @@
     "--directory",
     type=click.Path(path_type=Path),
     required=True,
-    help="Folder with the demo's settings files.",
+    help="Directory with the settings files of the demo.",
+)
+@click.option(
+    "--log-level",
+    default="WARNING",
+    help="Lowest level of log lines to write; WARNING by default.",
 )
-@click.option("--log-level", default="WARNING", help="Least level of log lines.")
 def run_demo_command(*, directory: Path, log_level: str) -> None:
-    """Run the whole path in one process and print TTFT by prompt length.
+    """Run all programs in one process and print TTFT by prompt length.
+
+    Exits with 1 if no call was answered, or if a call was lost, mixed up with another
+    one, executed twice or falsely reported as not executed.
 
     Example: quetzaldeck demo --directory examples/demo
     """
@@ -54,7 +61,7 @@
 
 @main.command("reasons", epilog=EPILOG)
 def reasons_command() -> None:
-    """Print the list of reasons for refusals and failures as Markdown.
+    """Print all reasons for refusals and failures as Markdown.
 
     Example: quetzaldeck reasons > docs/reasons.md
     """
--- a/src/quetzaldeck/cli/standin.py
+++ b/src/quetzaldeck/cli/standin.py
@@ -25,7 +25,7 @@
     help="YAML file that lists the stand-ins.",
 )
 def main(*, settings_path: Path) -> None:
-    """Run stand-ins for the platform, engines and plain services.
+    """Run stand-ins for the platform, engines and plain services, for demos and tests.
 
     Example: quetzaldeck-standin --settings examples/demo/standins.yaml
     """
--- a/src/quetzaldeck/cli/start_entry.py
+++ b/src/quetzaldeck/cli/start_entry.py
@@ -1,4 +1,4 @@
-"""Starts ``quetzaldeck-entry`` quickly: after a loss of power callers wait for it."""
+"""Fast start of ``quetzaldeck-entry``, for which callers wait after a power failure."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def main() -> None:
-    """Run the entry, with the garbage collector off while its modules are imported.
+    """Run the entry VM, with garbage collection disabled while modules are imported.
 
-    Importing makes many objects and frees hardly any. Collections meanwhile are a sixth
-    of the processor time until the first request can be served.
+    Imports create many objects and free hardly any. Collecting garbage meanwhile would
+    take a sixth of the processor time until the first request can be served.
     """
     gc.disable()
     from quetzaldeck.cli.entry import main as run_entry
--- a/src/quetzaldeck/cli/status_command.py
+++ b/src/quetzaldeck/cli/status_command.py
@@ -23,15 +23,16 @@
 
 
 class StatusError(Exception):
-    """A program gave no status."""
+    """Raised if a program does not return its status."""
 
 
 @click.command("status", epilog=EPILOG)
 @click.argument("addresses", metavar="URL...", nargs=-1, required=True)
 def status_command(*, addresses: tuple[str, ...]) -> None:
-    """Read the state of gateways and agents, one line each.
+    """Print the status of gateways and agents, one line each.
 
-    Exits with 1 if one gives no status, or if their bundle versions differ.
+    Exits with 1 if one does not return its status within 5 s, or if their bundle
+    versions differ.
 
     Example: quetzaldeck status http://127.0.0.1:21020 http://127.0.0.1:21010
     """
@@ -48,8 +49,8 @@
     if len(versions) > 1:
         listed = ", ".join(str(version) for version in sorted(versions, key=str))
         click.echo(f"bundle versions differ: {listed}", err=True)
-    is_well = n_failed == 0 and len(versions) == 1
-    sys.exit(ExitCode.OK if is_well else ExitCode.FAILED)
+    is_ok = n_failed == 0 and len(versions) == 1
+    sys.exit(ExitCode.OK if is_ok else ExitCode.FAILED)
 
 
 async def _read_all(
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command lines as operators see them."""
+"""Tests of the commands, as operators run them."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class Command(NamedTuple):
-    """One command with the words that call it."""
+    """One command: program and subcommand words."""
 
     program: str
     words: tuple[str, ...]
@@ -86,7 +86,7 @@
 
 @pytest.fixture
 def key(tmp_path: Path) -> tuple[Path, str]:
-    """:returns: file of a private key, and its public key"""
+    """:returns: path of a private key file, and the public key"""
     path = tmp_path / "operator.key"
     made = run("quetzaldeck", "bundle", "keygen", "--private-key", path)
     assert made.exit_code == ExitCode.OK
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("program", sorted(PROGRAMS))
-def test_every_program_tells_its_version(program: str) -> None:
+def test_every_program_prints_its_version(program: str) -> None:
     result = run(program, "--version")
     assert result.output == f"{program}, version {__version__}\n"
 
@@ -136,7 +136,7 @@
     assert len(lines) == 7
 
 
-def test_settings_check_says_what_is_not_there(tmp_path: Path) -> None:
+def test_settings_check_reports_missing_file(tmp_path: Path) -> None:
     result = run("quetzaldeck", "settings", "check", tmp_path / "none.yaml")
     assert result.exit_code == ExitCode.BAD_SETTINGS
     assert "cannot be read" in result.output
@@ -150,16 +150,16 @@
     assert "5 findings" in result.output
 
 
-def test_bundle_verify_refuses_a_tampered_bundle(
+def test_bundle_verify_rejects_tampered_bundle(
     bundle_path: Path, key: tuple[Path, str]
 ) -> None:
-    """Somebody raises a customer's weight in a bundle that is signed already."""
+    """The weight of a customer is changed in a bundle after it was signed."""
     key_path, public_key = key
     signed = sign(bundle_path, key_path)
     words = ("bundle", "verify", "--public-key", public_key)
     result = run("quetzaldeck", *words, signed)
     assert result.exit_code == ExitCode.OK
-    assert result.output == "version 1: signature of ops holds\n"
+    assert result.output == "version 1: signature of ops is valid\n"
     other = bundle_path.with_name("other.yaml")
     other.write_text(bundle_path.read_text().replace("2.0", "9.0"))
     other_signed = sign(other, key_path)
@@ -171,7 +171,7 @@
     assert "does not match the bundle" in result.output
 
 
-def test_bundle_verify_refuses_another_key(
+def test_bundle_verify_rejects_other_key(
     bundle_path: Path, key: tuple[Path, str], tmp_path: Path
 ) -> None:
     signed = sign(bundle_path, key[0])
@@ -180,7 +180,7 @@
     assert run("quetzaldeck", *words, signed).exit_code == ExitCode.BAD_SIGNATURE
 
 
-def test_bundle_keygen_overwrites_no_key(key: tuple[Path, str]) -> None:
+def test_bundle_keygen_does_not_overwrite_a_key(key: tuple[Path, str]) -> None:
     before = key[0].read_text()
     assert key[0].stat().st_mode & 0o077 == 0
     result = run("quetzaldeck", "bundle", "keygen", "--private-key", key[0])
@@ -209,10 +209,10 @@
     assert result.output == snapshot
     back = run("quetzaldeck", "bundle", "diff", new, bundle_path)
     assert back.exit_code == ExitCode.FAILED
-    assert "does not come in force" in back.output
+    assert "does not take effect" in back.output
 
 
-def test_status_tells_who_does_not_answer() -> None:
+def test_status_reports_unreachable_address() -> None:
     result = run("quetzaldeck", "status", "http://127.0.0.1:1")
     assert result.exit_code == ExitCode.FAILED
     assert result.output.startswith("http://127.0.0.1:1 error=")
--- a/tests/cli/test_entry.py
+++ b/tests/cli/test_entry.py
@@ -1,4 +1,4 @@
-"""What a process of ``quetzaldeck-entry`` loads."""
+"""Tests of the modules that ``quetzaldeck-entry`` imports."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def loaded() -> frozenset[str]:
-    """:returns: names of all modules that a fresh process has after the import"""
+    """:returns: names of all modules that a new process has loaded after the import"""
     done = subprocess.run(
         [sys.executable, "-OO", "-c", PRINT_MODULES],
         capture_output=True,
@@ -39,6 +39,6 @@
 def test_entry_does_not_load_what_only_other_programs_use(
     loaded: frozenset[str], module: str
 ) -> None:
-    """Each VM of a large fleet pays the memory of a library that it never calls."""
+    """Every entry VM would keep a library in memory that it never calls."""
     assert "quetzaldeck.cli.entry" in loaded
     assert module not in loaded
