--- a/src/quetzaldeck/http/service.py
+++ b/src/quetzaldeck/http/service.py
@@ -80,7 +80,7 @@
         return 0
 
     def abort_drain(self) -> None:
-        """End a running :meth:`drain` at once; aborts what is still in progress."""
+        """End a running :meth:`drain` at once: do not wait for requests in progress."""
 
     async def start(self) -> None:
         """Open the application and listen."""
