--- a/src/quetzaldeck/bundle/check.py
+++ b/src/quetzaldeck/bundle/check.py
@@ -43,11 +43,11 @@
 
 
 def _check_known(
-    names: Iterable[str], known: set[str], place: str, what: str
+    names: Iterable[str], known: set[str], place: str, kind: str
 ) -> Iterable[Finding]:
     for name in names:
         if name not in known:
-            yield Finding(place, f"the bundle has no {what} named {name!r}")
+            yield Finding(place, f"the bundle has no {kind} named {name!r}")
 
 
 def _check_customers(bundle: Bundle) -> Iterable[Finding]:
--- a/src/quetzaldeck/config/finding.py
+++ b/src/quetzaldeck/config/finding.py
@@ -48,15 +48,15 @@
         return tuple(error.finding for error in self.exceptions)  # type: ignore[union-attr]
 
 
-def raise_findings(what: str, findings: list[Finding]) -> None:
+def raise_findings(name: str, findings: list[Finding]) -> None:
     """Raise all findings together, if there are any.
 
-    :param what: name of the checked document, for the error message
+    :param name: name of the checked document, for the error message
     :raises FindingsError: if ``findings`` is not empty
     """
     if findings:
         raise FindingsError(
-            f"{what}: {len(findings)} findings",
+            f"{name}: {len(findings)} findings",
             [FindingError(finding) for finding in findings],
         )
 
--- a/src/quetzaldeck/http/connection_guard.py
+++ b/src/quetzaldeck/http/connection_guard.py
@@ -40,8 +40,8 @@
 
     A caller may connect and never complete the head of its first request, or send a
     request and never read the answer. Without a limit, the connection and the answer
-    stay in memory indefinitely at no cost to the caller, and memory grows without an error.
-    Both cases are limited by the time without progress.
+    stay in memory indefinitely at no cost to the caller, and memory grows without an
+    error. Both cases are limited by the time without progress.
 
     :param list_connections: returns the open connections
     :param request_timeout_ms: time limit for the first request head on a connection
