--- a/src/quetzaldeck/history/__init__.py
+++ b/src/quetzaldeck/history/__init__.py
@@ -1,8 +1,8 @@
-"""Histories of concurrent runs, and the checks of what must always hold."""
+"""Histories of concurrent runs, and checks of the invariants I1 to I7 on them."""
 
 from __future__ import annotations
 
-import quetzaldeck.history.checks  # noqa: F401 - fills the registry
+import quetzaldeck.history.checks  # noqa: F401 - registers the checks
 from quetzaldeck.history.api import (
     Bounds,
     HistoryCheck,
--- a/src/quetzaldeck/history/api.py
+++ b/src/quetzaldeck/history/api.py
@@ -1,4 +1,4 @@
-"""The family of history checks: one for each promise."""
+"""Interface of the history checks, each of which checks one invariant."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 
 class Bounds(NamedTuple):
-    """Times that the promises allow, in milliseconds.
+    """Time limits of the invariants, in milliseconds.
 
-    :param deadline_grace_ms: for a final answer to travel after the deadline
-    :param leaving_ms: until a leaving upstream gets no new work
-    :param bundle_ms: until an accepted bundle is in force on every ready VM
+    :param deadline_grace_ms: how long after its deadline a call may still end, for the
+        time that its answer travels
+    :param leaving_ms: time after which a leaving upstream gets no new work
+    :param bundle_ms: time after which an accepted bundle is in force on every ready VM
     """
 
     deadline_grace_ms: float = 1_000.0
@@ -27,11 +28,11 @@
 
 
 class Violation(NamedTuple):
-    """A promise that the history breaks.
+    """One violation of an invariant.
 
-    :param check: name of the check
-    :param line: line of the event in the history, from 1
-    :param message: what happened
+    :param check: registered name of the check that found it
+    :param line: line of the offending event in the history file, from 1
+    :param message: description of the violation
     """
 
     check: str
@@ -44,14 +45,14 @@
 
 
 class HistoryCheck(ABC):
-    """Checks one promise over a whole history."""
+    """Checks one invariant over a complete history."""
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds = bounds
 
     @abstractmethod
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield the index of each offending event and what happened."""
+        """Yield the index of each offending event, and a description."""
 
 
 history_checks: Registry[HistoryCheck] = Registry("history check")
@@ -60,7 +61,7 @@
 def check_history(
     events: Sequence[Event], bounds: Bounds | None = None
 ) -> list[Violation]:
-    """:returns: every violation that any registered check finds, by line"""
+    """:returns: the violations found by all registered checks, sorted by line"""
     violations = [
         Violation(name, index + 1, message)
         for name in history_checks.names
--- a/src/quetzaldeck/history/checks/bundles_advance.py
+++ b/src/quetzaldeck/history/checks/bundles_advance.py
@@ -1,4 +1,4 @@
-"""I7: an accepted bundle is in force everywhere soon, and never steps back."""
+"""I7: an accepted bundle takes effect on all VMs in time; versions never decrease."""
 
 from __future__ import annotations
 
@@ -14,27 +14,30 @@
 
 
 @history_checks.register("I7_never_back")
-class NeverBack(HistoryCheck):
-    """Finds a VM that is ready with an older bundle than it had before."""
+class BundleRegression(HistoryCheck):
+    """Finds ready VMs whose bundle version is lower than an earlier one."""
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield each step back."""
+        """Yield each report of a lower version."""
         highest: dict[str, int] = {}
         for index, event in enumerate(events):
             if not isinstance(event, BundleSeen) or event.version == 0:
                 continue
             before = highest.get(event.vm, 0)
             if event.version < before:
-                yield index, f"{event.vm} went from {before} back to {event.version}"
+                yield (
+                    index,
+                    f"{event.vm}: bundle version fell from {before} to {event.version}",
+                )
             highest[event.vm] = max(before, event.version)
 
 
 @history_checks.register("I7_in_force_soon")
-class InForceSoon(HistoryCheck):
-    """Finds a ready VM with an old bundle too long after a newer one came."""
+class BundleRollout(HistoryCheck):
+    """Finds ready VMs that still use an old bundle after the time limit."""
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield each sighting of a bundle that should have been replaced."""
+        """Yield each report of a bundle that should have been replaced by then."""
         published: list[BundlePublished] = []
         for index, event in enumerate(events):
             if isinstance(event, BundlePublished):
@@ -47,7 +50,7 @@
                 if event.at_ms - p.at_ms > self._bounds.bundle_ms
             ]
             if due and event.version < max(due):
-                yield index, f"{event.vm} has {event.version}, {max(due)} is due"
+                yield index, f"{event.vm} uses {event.version} instead of {max(due)}"
 
 
-__all__ = ("InForceSoon", "NeverBack")
+__all__ = ("BundleRegression", "BundleRollout")
--- a/src/quetzaldeck/history/checks/calls_end.py
+++ b/src/quetzaldeck/history/checks/calls_end.py
@@ -1,4 +1,4 @@
-"""I1: every admitted call ends within its deadline, and is not left hanging."""
+"""I1 and a part of I3: calls end by their deadline, and answers are complete."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 @history_checks.register("I1_calls_end")
 class CallsEnd(HistoryCheck):
-    """Finds calls that never ended, or ended after their deadline.
+    """Finds calls that never ended or ended after their deadline.
 
-    A caller that gave up waiting shows a call that the VM left hanging, unless
-    the VM was paused meanwhile.
+    A caller that timed out counts as a violation as well, because the VM should
+    have ended the call by itself, unless the VM was paused during the call.
     """
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield the sending of each such call."""
+        """Yield the ``CallSent`` event of each such call."""
         ended = {e.call_id: e for e in events if isinstance(e, CallEnded)}
         pauses = _list_pauses(events)
         for index, event in enumerate(events):
@@ -43,17 +43,17 @@
                 continue
             late_ms = end.at_ms - event.deadline_ms
             if late_ms > self._bounds.deadline_grace_ms:
-                yield index, f"call {event.call_id} ended {late_ms:.0f} ms too late"
+                yield index, f"call {event.call_id} ended {late_ms:.0f} ms late"
             elif end.reason == CALLER_TIMEOUT and not _was_paused(event, end, pauses):
-                yield index, f"{event.vm} left call {event.call_id} hanging"
+                yield index, f"{event.vm} never ended call {event.call_id}"
 
 
 @history_checks.register("I3_whole_answer")
-class WholeAnswer(HistoryCheck):
-    """Finds answers that broke off though their VM was not killed."""
+class CompleteAnswer(HistoryCheck):
+    """Finds truncated answers from VMs that were not killed during the call."""
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield each such ending."""
+        """Yield the end of each such call."""
         sent = {e.call_id: e for e in events if isinstance(e, CallSent)}
         kills = [e for e in events if isinstance(e, VmKilled)]
         for index, event in enumerate(events):
@@ -66,7 +66,7 @@
                 kill.vm == call.vm and kill.at_ms >= call.at_ms for kill in kills
             )
             if not was_killed:
-                yield index, f"{call.vm} broke off call {event.call_id}"
+                yield index, f"{call.vm} aborted call {event.call_id}"
 
 
 def _list_pauses(events: Sequence[Event]) -> list[tuple[str, float, float]]:
@@ -90,4 +90,4 @@
     )
 
 
-__all__ = ("CallsEnd", "WholeAnswer")
+__all__ = ("CallsEnd", "CompleteAnswer")
--- a/src/quetzaldeck/history/checks/leaving.py
+++ b/src/quetzaldeck/history/checks/leaving.py
@@ -1,4 +1,4 @@
-"""I6: leaving upstreams get no new work; a graceful stop cuts nothing off."""
+"""I6: leaving upstreams get no new work; a graceful shutdown aborts no call."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 @history_checks.register("I6_leaving_upstreams")
 class LeavingUpstreams(HistoryCheck):
-    """Finds work that an upstream got too long after it began to leave."""
+    """Finds work that an upstream received too long after it started to leave."""
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield each such piece of work."""
+        """Yield each such sequence or execution."""
         leaving: dict[str, float] = {}
         for index, event in enumerate(events):
             if isinstance(event, UpstreamLeaving):
@@ -44,10 +44,10 @@
 
 @history_checks.register("I6_graceful_stops")
 class GracefulStops(HistoryCheck):
-    """Finds calls that a gracefully stopping VM broke off."""
+    """Finds calls aborted by a VM during its graceful shutdown."""
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield each broken call of a VM that was stopping, not killed."""
+        """Yield each broken call of a VM that was stopping and was not killed."""
         vm_of = {e.call_id: e.vm for e in events if isinstance(e, CallSent)}
         stopping: set[str] = set()
         for index, event in enumerate(events):
@@ -59,7 +59,7 @@
                 continue
             vm = vm_of.get(event.call_id, "")
             if event.outcome == CallOutcome.BROKEN and vm in stopping:
-                yield index, f"{vm} broke off call {event.call_id} while stopping"
+                yield index, f"{vm} aborted call {event.call_id} while stopping"
 
 
 __all__ = ("GracefulStops", "LeavingUpstreams")
--- a/src/quetzaldeck/history/checks/memory_returns.py
+++ b/src/quetzaldeck/history/checks/memory_returns.py
@@ -1,4 +1,4 @@
-"""I2: no engine loses memory permanently."""
+"""I2: no engine leaks memory."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 @history_checks.register("I2_memory_returns")
 class MemoryReturns(HistoryCheck):
-    """Finds memory still held when the fleet had come to rest."""
+    """Finds memory still held after all calls had time to end."""
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield each engine that still holds memory, each sequence not let go."""
+        """Yield each engine that still holds memory and each unreleased sequence."""
         ended = {
             (e.upstream, e.attempt_id) for e in events if isinstance(e, SequenceEnded)
         }
-        rested = {e.upstream for e in events if isinstance(e, MemoryHeld)}
+        measured = {e.upstream for e in events if isinstance(e, MemoryHeld)}
         for index, event in enumerate(events):
             if isinstance(event, MemoryHeld) and event.n_kv_tokens:
                 yield index, f"{event.upstream} still holds {event.n_kv_tokens} tokens"
-            if not isinstance(event, SequenceStarted) or event.upstream not in rested:
+            if not isinstance(event, SequenceStarted) or event.upstream not in measured:
                 continue
             if (event.upstream, event.attempt_id) not in ended:
-                yield index, f"{event.upstream} never let {event.attempt_id} go"
+                yield index, f"{event.upstream} never released {event.attempt_id}"
 
 
 __all__ = ("MemoryReturns",)
--- a/src/quetzaldeck/history/checks/own_answer.py
+++ b/src/quetzaldeck/history/checks/own_answer.py
@@ -1,4 +1,4 @@
-"""I3: a caller receives the whole answer to its own call, and only that."""
+"""I3: a caller receives the answer to its own call, exactly once."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @history_checks.register("I3_own_answer")
 class OwnAnswer(HistoryCheck):
-    """Finds answers that are not the one expected, and second endings."""
+    """Finds calls with an unexpected answer, and calls that ended twice."""
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield each such ending."""
+        """Yield the end of each such call."""
         seen: set[str] = set()
         for index, event in enumerate(events):
             if not isinstance(event, CallEnded):
@@ -28,7 +28,7 @@
             seen.add(event.call_id)
             is_answered = event.outcome == CallOutcome.ANSWERED
             if is_answered and event.answer != event.expected:
-                yield index, f"call {event.call_id} got an answer that is not its own"
+                yield index, f"call {event.call_id} got an unexpected answer"
 
 
 __all__ = ("OwnAnswer",)
--- a/src/quetzaldeck/history/checks/true_refusals.py
+++ b/src/quetzaldeck/history/checks/true_refusals.py
@@ -1,4 +1,4 @@
-"""I4: a call that is said not to have run did not run."""
+"""I4: a call reported as not run was not run."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
 
 @history_checks.register("I4_true_refusals")
 class TrueRefusals(HistoryCheck):
-    """Finds failures with ``ran: no`` whose request reached an upstream."""
+    """Finds failures reported with ``ran: no`` whose request an upstream ran."""
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
-        """Yield each such ending."""
-        reached = {request_id for e in events if (request_id := _request_of(e))}
+        """Yield the end of each such call."""
+        executed_ids = {request_id for e in events if (request_id := _request_id_of(e))}
         for index, event in enumerate(events):
             if not isinstance(event, CallEnded) or event.ran != Ran.NO:
                 continue
-            if event.request_id in reached:
-                yield index, f"request {event.request_id} ran, the caller was told no"
+            if event.request_id in executed_ids:
+                yield (
+                    index,
+                    f"request {event.request_id} ran but was reported as not run",
+                )
 
 
-def _request_of(event: Event) -> str:
+def _request_id_of(event: Event) -> str:
     if isinstance(event, Executed):
         return event.request_id
     if isinstance(event, SequenceStarted):
--- a/src/quetzaldeck/history/codec.py
+++ b/src/quetzaldeck/history/codec.py
@@ -1,4 +1,4 @@
-"""History files: one JSON array a line, the event's name first."""
+"""Reads and writes history files: one JSON array per line, event name first."""
 
 from __future__ import annotations
 
@@ -16,33 +16,34 @@
 
 
 def encode_event(event: Event) -> bytes:
-    """:returns: ``event`` as one line"""
+    """:returns: ``event`` encoded as one line of a history file"""
     return msgspec.json.encode([type(event).__name__, *event]) + b"\n"
 
 
 def decode_event(line: bytes) -> Event:
-    """:returns: the event on ``line``
+    """:returns: the event encoded on ``line``
 
-    :raises ValueError: if the line holds none
+    :raises ValueError: if the line does not encode a known event
     """
     fields = msgspec.json.decode(line, type=list[Any])
     cls = _CLASS_BY_NAME.get(fields[0]) if fields else None
     if cls is None:
-        msg = f"no event is named {fields[:1]}; known: {', '.join(_CLASS_BY_NAME)}"
+        msg = f"unknown event {fields[:1]}; known events: {', '.join(_CLASS_BY_NAME)}"
         raise ValueError(msg)
     event: Event = msgspec.convert(fields[1:], cls)
     return event
 
 
 def write_history(path: Path, events: list[Event]) -> None:
-    """Write events to a file, in the order given."""
+    """Write the events to a history file, in the order given."""
     path.write_bytes(b"".join(encode_event(event) for event in events))
 
 
 def read_history(path: Path) -> list[Event]:
-    """:returns: the events of a file
+    """:returns: the events of a history file
 
-    :raises FindingsError: with every line that cannot be read
+    :raises FindingsError: with one finding per line that cannot be decoded, or one
+        if the file cannot be read
     """
     findings: list[Finding] = []
     events: list[Event] = []
--- a/src/quetzaldeck/history/events.py
+++ b/src/quetzaldeck/history/events.py
@@ -1,4 +1,7 @@
-"""Events of a history: what callers, upstreams and VMs saw, in order of time."""
+"""Events of a history, as observed by callers, upstreams and VMs.
+
+The names of the event classes are written to history files.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 class CallOutcome(StrEnum):
-    """How a call ended for its caller."""
+    """Outcome of a call as its caller observed it."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -18,8 +21,10 @@
     """A caller sent a call to a VM.
 
     :param at_ms: time on the recorder's clock, as in every event
+    :param key: idempotency key; ``""`` if the call has none
+    :param digest: digest of the request body
+    :param is_repeatable: whether the call may be executed more than once
     :param deadline_ms: time by which the call must have ended
-    :param digest: digest of the body
     """
 
     at_ms: float
@@ -33,13 +38,14 @@
 
 
 class CallEnded(NamedTuple):
-    """A call ended for its caller.
+    """A call ended from the point of view of its caller.
 
-    :param request_id: id that the VM gave the call; ``""`` if none came back
-    :param ran: what a failure said about execution
+    :param request_id: id that the VM assigned to the call; ``""`` if the caller
+        received none
+    :param ran: whether the call ran, according to the error response
     :param answer: digest of the answer received
-    :param expected: digest of the answer that belongs to the call
-    :param ttft_ms: time to the first token; ``None`` if there was none
+    :param expected: digest of the correct answer to the call
+    :param ttft_ms: time to first token; ``None`` if no token arrived
     """
 
     at_ms: float
@@ -54,14 +60,14 @@
 
 
 CALLER_TIMEOUT = "caller_timeout"
-"""Reason that a caller records when it gave up waiting."""
+"""Reason recorded by a caller that timed out waiting for the VM."""
 
 UNREACHABLE = "unreachable"
-"""Reason that a caller records when no process listened on the VM."""
+"""Reason recorded by a caller when no process was listening on the VM."""
 
 
 class Executed(NamedTuple):
-    """A plain service ran a call."""
+    """A plain service executed a call."""
 
     at_ms: float
     upstream: str
@@ -71,7 +77,7 @@
 
 
 class SequenceStarted(NamedTuple):
-    """An engine took a sequence."""
+    """An engine accepted a sequence."""
 
     at_ms: float
     upstream: str
@@ -81,7 +87,7 @@
 
 
 class SequenceEnded(NamedTuple):
-    """An engine let a sequence go."""
+    """An engine finished or cancelled a sequence and released its memory."""
 
     at_ms: float
     upstream: str
@@ -89,7 +95,7 @@
 
 
 class MemoryHeld(NamedTuple):
-    """Engine memory held after the fleet had time to come to rest."""
+    """Memory that an engine still holds after all calls had time to end."""
 
     at_ms: float
     upstream: str
@@ -97,14 +103,14 @@
 
 
 class BundlePublished(NamedTuple):
-    """Operators rolled a bundle."""
+    """Operators published a bundle."""
 
     at_ms: float
     version: int
 
 
 class BundleSeen(NamedTuple):
-    """A ready VM said which bundle is in force; 0: it is not ready."""
+    """A VM reported the version of the bundle in force; 0: the VM is not ready."""
 
     at_ms: float
     vm: str
@@ -112,28 +118,28 @@
 
 
 class VmStopping(NamedTuple):
-    """Operators asked a VM to stop gracefully."""
+    """Operators requested the graceful shutdown of a VM."""
 
     at_ms: float
     vm: str
 
 
 class VmKilled(NamedTuple):
-    """A VM died without notice."""
+    """A VM was killed without a graceful shutdown."""
 
     at_ms: float
     vm: str
 
 
 class VmPaused(NamedTuple):
-    """A VM's processes were stopped by the scheduler of the machine."""
+    """The processes of a VM stopped being scheduled."""
 
     at_ms: float
     vm: str
 
 
 class VmResumed(NamedTuple):
-    """A paused VM's processes run again."""
+    """The processes of a paused VM are scheduled again."""
 
     at_ms: float
     vm: str
@@ -147,7 +153,7 @@
 
 
 class FaultInjected(NamedTuple):
-    """A fault began or ended; for the reader, no check uses it."""
+    """A fault began or ended; recorded for human readers, no check uses it."""
 
     at_ms: float
     fault: str
--- a/src/quetzaldeck/history/recorder.py
+++ b/src/quetzaldeck/history/recorder.py
@@ -1,4 +1,4 @@
-"""Records events of one run in memory."""
+"""Records the events of one run in memory."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Recorder:
-    """Collects events; its clock is the one that all events are stamped with."""
+    """Collects events; all of them take their time stamps from its clock."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -18,15 +18,15 @@
 
     @property
     def events(self) -> list[Event]:
-        """:returns: the events so far, in order of recording"""
+        """:returns: the events recorded so far, in the order of recording"""
         return list(self._events)
 
     def now_ms(self) -> float:
-        """:returns: time for the next event"""
+        """:returns: time stamp for an event that is recorded now"""
         return self._clock.now_ms()
 
     def record(self, event: Event) -> None:
-        """Add an event."""
+        """Append an event."""
         self._events.append(event)
 
 
