--- a/src/quetzaldeck/bench/bench_engine.py
+++ b/src/quetzaldeck/bench/bench_engine.py
@@ -72,7 +72,7 @@
             self._shape.report_lag_ms,
             self._model.n_running,
             self._model.n_waiting,
-            self._model.n_kv_tokens_promised,
+            self._model.n_kv_tokens_committed,
             self._model.n_prefill_tokens,
             self.spec.models,
         )
--- a/src/quetzaldeck/bench/pass_engine.py
+++ b/src/quetzaldeck/bench/pass_engine.py
@@ -88,7 +88,7 @@
         """Begin to write: every part of the prompt is read."""
         if self._attempts.get(attempt.attempt_id) is not attempt:
             return
-        is_last = self._model.note_parts_read(attempt.attempt_id)
+        is_last = self._model.note_parts_prefilled(attempt.attempt_id)
         self._emit(attempt, is_last=is_last)
         self._work()
 
@@ -104,8 +104,8 @@
         call = attempt.call
         work = PassWork(
             attempt.attempt_id,
-            n_read_tokens=call.n_prompt_tokens,
-            read_ms=self._figures.read_ms(call.n_prompt_tokens),
+            n_prefill_tokens=call.n_prompt_tokens,
+            prefill_ms=self._figures.read_ms(call.n_prompt_tokens),
             n_events=self.n_events(attempt),
             n_context_tokens=call.n_prompt_tokens,
             n_kv_tokens=call.n_prompt_tokens + call.n_answer_tokens,
@@ -153,12 +153,12 @@
         if self.is_down or incarnation != self.incarnation:
             return
         self._is_working = False
-        for work_id in done.read:
+        for work_id in done.prefilled:
             spread = self._parts.pop(work_id, None)
             if spread is not None:
                 spread.note_read()
         finished = set(done.finished)
-        for attempt_id in done.written:
+        for attempt_id in done.emitted:
             attempt = self._attempts.get(attempt_id)
             if attempt is not None:
                 self._emit(attempt, is_last=attempt_id in finished)
--- a/src/quetzaldeck/bench/spread_read.py
+++ b/src/quetzaldeck/bench/spread_read.py
@@ -100,8 +100,8 @@
         n_parts = len(self._engines)
         return PassWork(
             work_id,
-            n_read_tokens=math.ceil(n_prompt_tokens / n_parts),
-            read_ms=engine.figures.read_ms(n_prompt_tokens, n_parts=n_parts),
+            n_prefill_tokens=math.ceil(n_prompt_tokens / n_parts),
+            prefill_ms=engine.figures.read_ms(n_prompt_tokens, n_parts=n_parts),
             n_events=0,
             priority=self._attempt.dispatch.rank,
         )
@@ -118,10 +118,10 @@
         n_kv_tokens = call.n_prompt_tokens + call.n_answer_tokens
         return PassWork(
             part.work_id,
-            n_read_tokens=part.n_read_tokens,
-            read_ms=part.read_ms,
+            n_prefill_tokens=part.n_prefill_tokens,
+            prefill_ms=part.prefill_ms,
             n_events=first.n_events(self._attempt),
-            n_context_tokens=part.n_read_tokens,
+            n_context_tokens=part.n_prefill_tokens,
             n_kv_tokens=max(0, n_kv_tokens - self._n_reserved_tokens),
             priority=part.priority,
             is_spread=True,
--- a/src/quetzaldeck/engine_model/__init__.py
+++ b/src/quetzaldeck/engine_model/__init__.py
@@ -1,4 +1,4 @@
-"""Cost models of a model engine: continuous batching, and work in passes."""
+"""Cost models of an engine: one by the step, one by the scheduling pass."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/engine_model/engine.py
+++ b/src/quetzaldeck/engine_model/engine.py
@@ -1,4 +1,4 @@
-"""The engine cost model: continuous batching with chunked prefill."""
+"""Cost model of an engine: continuous batching with chunked prefill."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 class Step(NamedTuple):
     """Result of one step.
 
-    :param duration_ms: how long the step takes
-    :param emitted: ids of the sequences that got one token each
-    :param finished: ids of the sequences that got their last token
-    :param cached: prefix hashes that entered the cache
-    :param evicted: prefix hashes that left it
+    :param duration_ms: duration of the step
+    :param emitted: ids of the sequences that emitted one token each
+    :param finished: ids of the sequences that emitted their last token
+    :param cached: prefix hashes added to the cache
+    :param evicted: prefix hashes evicted from the cache
     """
 
     duration_ms: float
@@ -35,10 +35,10 @@
 
 
 class EngineModel:
-    """State of one engine; it does no I/O and reads no clock.
+    """State of one engine, without I/O and without a clock.
 
-    The stand-in sleeps for the duration of each step, the bench adds it to its
-    clock: both see the same engine.
+    The stand-in sleeps for the duration of each step and the bench advances its
+    simulated clock by it, so that both use the same engine.
     """
 
     def __init__(self, profile: EngineProfile) -> None:
@@ -54,43 +54,43 @@
 
     @property
     def n_waiting(self) -> int:
-        """:returns: sequences that wait for the batch"""
+        """:returns: number of sequences waiting to join the batch"""
         return len(self._waiting)
 
     @property
     def n_running(self) -> int:
-        """:returns: sequences in the batch"""
+        """:returns: number of sequences in the batch"""
         return len(self._running)
 
     @property
     def n_kv_tokens(self) -> int:
-        """:returns: memory of the engine"""
+        """:returns: total KV memory of the engine, in tokens"""
         return self._profile.kv_tokens
 
     @property
     def n_kv_tokens_used(self) -> int:
-        """:returns: memory held by the batch and by reservations"""
+        """:returns: memory held by the batch and by granted reservations"""
         return self._n_running_tokens + self._reservations.n_granted_tokens
 
     @property
-    def n_kv_tokens_promised(self) -> int:
-        """:returns: memory in use or set aside for the next reservation"""
-        promised = self.n_kv_tokens_used + self._reservations.n_earmarked_tokens
-        return min(promised, self._profile.kv_tokens)
+    def n_kv_tokens_committed(self) -> int:
+        """:returns: memory in use or earmarked for the next reservation"""
+        committed = self.n_kv_tokens_used + self._reservations.n_earmarked_tokens
+        return min(committed, self._profile.kv_tokens)
 
     @property
     def max_reserved_tokens(self) -> int:
-        """:returns: largest reservation that could ever be granted"""
+        """:returns: size of the largest reservation that can be granted"""
         return self._reservations.max_tokens
 
     @property
     def n_prefill_tokens(self) -> int:
-        """:returns: prompt tokens still to be prefilled, batch and waiting"""
+        """:returns: prompt tokens still to prefill, of running and waiting sequences"""
         return sum(sequence.n_to_prefill for sequence in self)
 
     @property
     def is_idle(self) -> bool:
-        """:returns: whether a step would do nothing"""
+        """:returns: whether there are neither running nor waiting sequences"""
         return not self._waiting and not self._running
 
     def __iter__(self) -> Iterator[Sequence]:
@@ -98,13 +98,13 @@
         yield from self._waiting.values()
 
     def submit(self, sequence: Sequence) -> None:
-        """Let a sequence wait for the batch."""
+        """Add a sequence to the queue for the batch."""
         self._n_submitted += 1
-        sequence.n_order = self._n_submitted
+        sequence.arrival_number = self._n_submitted
         self._waiting[sequence.sequence_id] = sequence
 
     def cancel(self, sequence_id: str) -> bool:
-        """:returns: whether a sequence was there to be cancelled"""
+        """:returns: whether a running or waiting sequence was removed"""
         if self._waiting.pop(sequence_id, None) is not None:
             return True
         sequence = self._running.pop(sequence_id, None)
@@ -114,15 +114,15 @@
         return True
 
     def reserve(self, reservation_id: str, n_tokens: int) -> bool:
-        """Ask for memory for a member of a group; asking again is how to wait.
+        """Request memory for a member of an engine group; poll by repeating the call.
 
-        :returns: whether the memory is set aside
+        :returns: whether the reservation is granted
         """
         n_free = self._profile.kv_tokens - self.n_kv_tokens_used
-        return self._reservations.ask(reservation_id, n_tokens, n_free)
+        return self._reservations.request(reservation_id, n_tokens, n_free)
 
     def n_reserved_left(self, reservation_id: str) -> int:
-        """:returns: memory of a granted reservation that no sequence uses"""
+        """:returns: memory of a granted reservation that its sequences leave unused"""
         reserved = self._reservations.get(reservation_id)
         if reserved is None:
             return 0
@@ -134,9 +134,9 @@
         return reserved.n_tokens - used
 
     def release(self, reservation_id: str) -> bool:
-        """Give reserved memory back; sequences under it end.
+        """Release a reservation and cancel the sequences that use it.
 
-        :returns: whether there was anything to release
+        :returns: whether a granted or waiting reservation was removed
         """
         for sequence in list(self):
             if sequence.reservation_id == reservation_id:
@@ -144,9 +144,9 @@
         return self._reservations.release(reservation_id)
 
     def step(self) -> Step:
-        """Advance by one step.
+        """Run one step of the batch.
 
-        :returns: what the step took and gave
+        :returns: its duration and its effects
         """
         self._fill_batch()
         duration_ms = self._profile.step_ms
@@ -154,7 +154,7 @@
         cached: list[int] = []
         evicted: list[int] = []
         emitted: list[str] = []
-        for sequence in sorted(self._running.values(), key=_turn):
+        for sequence in sorted(self._running.values(), key=_scheduling_key):
             if sequence.n_to_prefill == 0:
                 duration_ms += self._profile.decode_ms_per_sequence
                 emitted.append(sequence.sequence_id)
@@ -165,9 +165,9 @@
             duration_ms += self._prefill_ms(n_before, n_tokens)
             sequence.n_prefilled += n_tokens
             if n_tokens and sequence.n_to_prefill == 0:
-                added, gone = self._cache.add(sequence.prefix_hashes)
+                added, removed = self._cache.add(sequence.prefix_hashes)
                 cached.extend(added)
-                evicted.extend(gone)
+                evicted.extend(removed)
                 emitted.append(sequence.sequence_id)
         finished = self._emit(emitted)
         return Step(
@@ -185,14 +185,15 @@
         return tuple(finished)
 
     def _fill_batch(self) -> None:
-        """Admit waiting sequences in turn.
+        """Move waiting sequences to the batch, in order of priority and arrival.
 
-        One that finds no memory holds back those after it, or small ones would pass
-        it for ever. It must not hold back a sequence whose memory is reserved: the
-        memory that it waits for may be that very reservation.
+        A sequence that does not fit in free memory blocks those behind it, because
+        smaller ones would starve it otherwise. It does not block a sequence whose
+        memory is reserved: the memory that it waits for may belong to that very
+        reservation, and both would wait for each other.
         """
         is_full = False
-        for sequence in sorted(self._waiting.values(), key=_turn):
+        for sequence in sorted(self._waiting.values(), key=_scheduling_key):
             if len(self._running) >= self._profile.max_batch:
                 return
             n_tokens = _unreserved_tokens(sequence)
@@ -204,7 +205,7 @@
             self._admit(sequence)
 
     def _has_memory(self, n_tokens: int) -> bool:
-        return self.n_kv_tokens_promised + n_tokens <= self._profile.kv_tokens
+        return self.n_kv_tokens_committed + n_tokens <= self._profile.kv_tokens
 
     def _admit(self, sequence: Sequence) -> None:
         del self._waiting[sequence.sequence_id]
@@ -216,18 +217,18 @@
         )
 
     def _prefill_ms(self, n_before: int, n_tokens: int) -> float:
-        base_ms = n_tokens / self._profile.prefill_tokens_per_s * MS_PER_SECOND
-        middle = n_before + n_tokens / 2
-        return base_ms * (1 + middle / self._profile.attention_tokens)
+        short_context_ms = n_tokens / self._profile.prefill_tokens_per_s * MS_PER_SECOND
+        mean_position = n_before + n_tokens / 2
+        return short_context_ms * (1 + mean_position / self._profile.attention_tokens)
 
 
 def _unreserved_tokens(sequence: Sequence) -> int:
-    """:returns: memory that a sequence takes beside reservations"""
+    """:returns: memory that a sequence takes outside of reservations"""
     return 0 if sequence.reservation_id else sequence.n_kv_tokens
 
 
-def _turn(sequence: Sequence) -> tuple[int, int]:
-    return sequence.priority, sequence.n_order
+def _scheduling_key(sequence: Sequence) -> tuple[int, int]:
+    return sequence.priority, sequence.arrival_number
 
 
 __all__ = ("EngineModel", "Step")
--- a/src/quetzaldeck/engine_model/pass_work.py
+++ b/src/quetzaldeck/engine_model/pass_work.py
@@ -1,28 +1,29 @@
-"""What an engine that works in passes has to do for a request, or a part of it."""
+"""Work of an engine in the pass model: a request or a prompt part."""
 
 from __future__ import annotations
 
 
 class PassWork:
-    """A prompt to read and events to write.
+    """A prompt to prefill and events to generate.
 
-    :param n_read_tokens: prompt tokens that this engine reads; 0: other engines have
-        read the prompt already
-    :param read_ms: time in which an engine that does nothing else reads them
-    :param n_events: events to write; 0 for a part that another engine answers
-    :param n_context_tokens: tokens that each step of its writing looks at here
-    :param n_kv_tokens: memory that it takes, beside what is set aside for it
-    :param priority: 0 is read first
-    :param is_spread: whether engines beside this one read parts of the prompt; it is
-        not written before :meth:`note_parts_read`
+    :param n_prefill_tokens: prompt tokens that this engine prefills; 0: other engines
+        have prefilled the prompt already
+    :param prefill_ms: time that an otherwise idle engine needs to prefill them
+    :param n_events: events to generate; 0 for a part of a prompt that another engine
+        answers
+    :param n_context_tokens: context tokens that each decode step attends to here
+    :param n_kv_tokens: memory that it takes, in addition to its reservation
+    :param priority: lower values are prefilled first
+    :param is_spread: whether other engines prefill parts of the prompt as well; its
+        decoding starts with :meth:`note_parts_prefilled`
     """
 
     def __init__(
         self,
         work_id: str,
         *,
-        n_read_tokens: int,
-        read_ms: float,
+        n_prefill_tokens: int,
+        prefill_ms: float,
         n_events: int,
         n_context_tokens: int = 0,
         n_kv_tokens: int = 0,
@@ -30,58 +31,58 @@
         is_spread: bool = False,
     ) -> None:
         self.work_id = work_id
-        self.n_read_tokens = n_read_tokens
+        self.n_prefill_tokens = n_prefill_tokens
         self.n_events = n_events
         self.n_context_tokens = n_context_tokens
         self.n_kv_tokens = n_kv_tokens
         self.priority = priority
-        self.n_unread_tokens = n_read_tokens
-        self.n_written = 0
-        self.n_order = 0
-        self.read_ms = read_ms
+        self.n_to_prefill = n_prefill_tokens
+        self.n_emitted = 0
+        self.arrival_number = 0
+        self.prefill_ms = prefill_ms
         self._is_spread = is_spread
         self._waits_for_parts = is_spread
 
     @property
     def is_part(self) -> bool:
-        """:returns: whether another engine answers the prompt"""
+        """:returns: whether it is a part of a prompt that another engine answers"""
         return not self.n_events
 
     @property
-    def goes_first(self) -> bool:
-        """:returns: whether it is read before whole prompts: others wait for it"""
+    def has_precedence(self) -> bool:
+        """:returns: whether it is prefilled before whole prompts; others wait for it"""
         return self.is_part or self._is_spread
 
     @property
-    def is_read(self) -> bool:
-        """:returns: whether the prompt is read, as far as it has to be here"""
-        return not self.n_unread_tokens and not self._waits_for_parts
+    def is_prefilled(self) -> bool:
+        """:returns: whether this engine and, if spread, all others have prefilled it"""
+        return not self.n_to_prefill and not self._waits_for_parts
 
     @property
-    def is_writing(self) -> bool:
-        """:returns: whether each pass gives one of its events"""
-        return self.is_read and not self.is_part
+    def is_decoding(self) -> bool:
+        """:returns: whether each pass emits one of its events"""
+        return self.is_prefilled and not self.is_part
 
     @property
     def is_finished(self) -> bool:
-        """:returns: whether nothing is left to do"""
-        return self.is_read and self.n_written >= self.n_events
+        """:returns: whether all of the work is done"""
+        return self.is_prefilled and self.n_emitted >= self.n_events
 
-    def note_parts_read(self) -> None:
-        """Write from now on: all parts are read, and the first event is made."""
+    def note_parts_prefilled(self) -> None:
+        """Start decoding: all parts are prefilled, which yields the first event."""
         self._waits_for_parts = False
-        self.n_written += 1
+        self.n_emitted += 1
 
-    def read(self, max_tokens: int) -> tuple[int, float]:
-        """Read on.
+    def prefill(self, max_tokens: int) -> tuple[int, float]:
+        """Prefill more of the prompt.
 
-        :returns: tokens read, at most ``max_tokens``, and the time that it takes
+        :returns: tokens prefilled, at most ``max_tokens``, and the time it takes
         """
-        n_tokens = min(max_tokens, self.n_unread_tokens)
+        n_tokens = min(max_tokens, self.n_to_prefill)
         if not n_tokens:
             return 0, 0.0
-        self.n_unread_tokens -= n_tokens
-        return n_tokens, n_tokens * self.read_ms / self.n_read_tokens
+        self.n_to_prefill -= n_tokens
+        return n_tokens, n_tokens * self.prefill_ms / self.n_prefill_tokens
 
 
 __all__ = ("PassWork",)
--- a/src/quetzaldeck/engine_model/prefix_cache.py
+++ b/src/quetzaldeck/engine_model/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of the engine model: bounded, least recently used goes first."""
+"""Prefix cache of the engine model, with a size limit and LRU eviction."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class PrefixCache:
-    """Remembers which prefixes an engine holds.
+    """Keeps track of the prompt prefixes that an engine has cached.
 
-    :param max_tokens: memory of the cache in tokens
+    :param max_tokens: size of the cache, in tokens
     """
 
     def __init__(self, max_tokens: int) -> None:
@@ -19,7 +19,7 @@
         self._n_tokens = 0
 
     def n_cached(self, prefix_hashes: tuple[int, ...]) -> int:
-        """:returns: tokens of the longest prefix held"""
+        """:returns: length of the longest cached prefix, in tokens"""
         n_tokens = 0
         for prefix_hash, length in zip(prefix_hashes, PREFIX_TOKENS, strict=False):
             if prefix_hash not in self._entries:
@@ -29,7 +29,7 @@
         return n_tokens
 
     def add(self, prefix_hashes: tuple[int, ...]) -> tuple[list[int], list[int]]:
-        """Keep the prefixes of a prefilled prompt.
+        """Cache the prefixes of a prefilled prompt.
 
         :returns: hashes added and hashes evicted
         """
--- a/src/quetzaldeck/engine_model/profile.py
+++ b/src/quetzaldeck/engine_model/profile.py
@@ -1,4 +1,4 @@
-"""Figures of the engine cost model."""
+"""Parameters of the engine cost model."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EngineProfile(NamedTuple):
-    """What an engine costs; the defaults are of the order of one 8-way server."""
+    """Speed and size of an engine; the defaults resemble one 8-way server."""
 
     kv_tokens: Annotated[int, Option("Memory.", unit="tokens", minimum=1)] = 400_000
     prefill_tokens_per_s: Annotated[
--- a/src/quetzaldeck/engine_model/sequence.py
+++ b/src/quetzaldeck/engine_model/sequence.py
@@ -1,16 +1,16 @@
-"""One sequence inside the engine model."""
+"""A sequence in the engine model."""
 
 from __future__ import annotations
 
 
 class Sequence:
-    """A prompt and its answer while an engine holds them.
+    """A prompt and the answer to it, in an engine.
 
     :param n_prompt_tokens: tokens to prefill
     :param max_output_tokens: tokens to generate
-    :param priority: 0 goes first
-    :param reservation_id: reservation whose memory it uses; ``""``: free memory
-    :param n_context_tokens: tokens before the prompt that other engines hold
+    :param priority: lower values are scheduled first
+    :param reservation_id: reservation whose memory it uses; ``""``: unreserved memory
+    :param n_context_tokens: tokens before the prompt whose KV cache other engines hold
     :param prefix_hashes: as :func:`quetzaldeck.decisions.prefix.hash_prefixes`
     """
 
@@ -34,21 +34,21 @@
         self.n_context_tokens = n_context_tokens
         self.n_prefilled = 0
         self.n_generated = 0
-        self.n_order = 0
+        self.arrival_number = 0
 
     @property
     def n_kv_tokens(self) -> int:
-        """:returns: memory that it reserves"""
+        """:returns: memory for the prompt and the longest answer"""
         return self.n_prompt_tokens + self.max_output_tokens
 
     @property
     def n_to_prefill(self) -> int:
-        """:returns: prompt tokens still to be prefilled"""
+        """:returns: prompt tokens still to prefill"""
         return self.n_prompt_tokens - self.n_prefilled
 
     @property
     def is_finished(self) -> bool:
-        """:returns: whether the whole answer is generated"""
+        """:returns: whether the answer is complete"""
         return self.n_generated >= self.max_output_tokens
 
 
--- a/src/quetzaldeck/standin/engine_task.py
+++ b/src/quetzaldeck/standin/engine_task.py
@@ -189,7 +189,7 @@
                 self._n_loads,
                 model.n_running,
                 model.n_waiting,
-                model.n_kv_tokens_promised,
+                model.n_kv_tokens_committed,
                 model.n_prefill_tokens,
             )
         )
--- a/tests/engine_model/test_engine_reservations.py
+++ b/tests/engine_model/test_engine_reservations.py
@@ -1,4 +1,4 @@
-"""Tests of reservations in the engine model: floor, line and no circular wait."""
+"""Tests of memory reservations in the engine model: limit, order, no deadlock."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     )
 
 
-def test_reserve_leaves_the_floor() -> None:
+def test_reserve_leaves_the_unreservable_share() -> None:
     model = EngineModel(PROFILE)
     assert model.max_reserved_tokens == 750
     assert model.reserve("a", 700)
@@ -28,10 +28,10 @@
     assert model.n_running == 1
 
 
-def test_reserve_waits_in_line_and_gets_what_becomes_free() -> None:
-    """Short sequences come faster than one by one they could leave room.
+def test_waiting_reservation_is_granted_under_a_stream_of_short_sequences() -> None:
+    """A large reservation starves while short sequences keep arriving.
 
-    Without the earmark a new one takes each gap before the gaps add up.
+    Without an earmark each new sequence takes the memory that a finished one freed.
     """
     model = EngineModel(PROFILE)
     for index in range(4):
@@ -50,12 +50,11 @@
     assert model.n_running > 1
 
 
-def test_reserved_sequence_is_not_held_back_by_one_that_waits_for_its_memory() -> None:
-    """A long prompt never got its first token, and nothing else ran.
+def test_reserved_sequence_is_not_blocked_by_one_that_waits_for_its_memory() -> None:
+    """A deadlock between two sequences of the same priority.
 
-    Its memory was reserved; then a sequence of the same priority came that found
-    too little left. That one waited for the reservation to end, the reserved
-    sequence stood behind it in the engine's line.
+    The first finds too little memory and waits for a reservation to end; the sequence
+    that uses this reservation is behind it in the queue and never gets a token.
     """
     model = EngineModel(PROFILE)
     assert model.reserve("large", 700)
@@ -65,7 +64,7 @@
     assert step.emitted == ("reserved",)
 
 
-def test_release_ends_what_ran_under_it() -> None:
+def test_release_cancels_the_sequences_that_use_the_reservation() -> None:
     model = EngineModel(PROFILE)
     assert model.reserve("large", 700)
     model.submit(make_sequence("reserved", 600, reservation_id="large"))
--- a/tests/engine_model/test_pass_model.py
+++ b/tests/engine_model/test_pass_model.py
@@ -1,4 +1,4 @@
-"""Engines that work in passes cost what their figures state."""
+"""Tests of the pass model: pass durations follow from the configured figures."""
 
 from __future__ import annotations
 
@@ -28,29 +28,31 @@
 def make_work(work_id: str, n_tokens: int = 1_000, n_events: int = 3) -> PassWork:
     return PassWork(
         work_id,
-        n_read_tokens=n_tokens,
-        read_ms=FIGURES.read_ms(n_tokens),
+        n_prefill_tokens=n_tokens,
+        prefill_ms=FIGURES.read_ms(n_tokens),
         n_events=n_events,
         n_context_tokens=n_tokens,
         n_kv_tokens=n_tokens,
     )
 
 
-def test_prompt_on_an_idle_engine_is_read_chunk_by_chunk(model: PassModel) -> None:
+def test_prompt_on_an_idle_engine_is_prefilled_chunk_by_chunk(model: PassModel) -> None:
     model.submit(make_work("a", n_tokens=6_000))
     passes = [model.run_pass() for _ in range(3)]
-    assert [done.written for done in passes] == [(), (), ("a",)]
-    read_ms = FIGURES.read_ms(6_000)
+    assert [done.emitted for done in passes] == [(), (), ("a",)]
+    prefill_ms = FIGURES.read_ms(6_000)
     total_ms = sum(done.duration_ms for done in passes)
-    assert total_ms == pytest.approx(read_ms + 3 * FIGURES.step_ms)
+    assert total_ms == pytest.approx(prefill_ms + 3 * FIGURES.step_ms)
 
 
-def test_writers_get_one_event_a_pass_of_many_steps(model: PassModel) -> None:
+def test_decoding_requests_emit_one_event_per_pass_of_many_steps(
+    model: PassModel,
+) -> None:
     model.submit(make_work("a"))
     model.submit(make_work("b"))
     model.run_pass()
     done = model.run_pass()
-    assert set(done.written) == {"a", "b"}
+    assert set(done.emitted) == {"a", "b"}
     step_ms = FIGURES.step_ms + 2 * FIGURES.sequence_ms + 2 * FIGURES.context_ms_per_k
     assert done.duration_ms == pytest.approx(10 * step_ms)
     assert set(model.run_pass().finished) == {"a", "b"}
@@ -58,13 +60,13 @@
     assert model.n_kv_tokens_used == 0
 
 
-def test_long_prompt_holds_up_what_an_engine_writes(model: PassModel) -> None:
-    """A pass with writers reads up to a chunk in each of its steps."""
+def test_long_prompt_delays_the_decoding_of_others(model: PassModel) -> None:
+    """A pass with decoding requests prefills up to one chunk in each step."""
     model.submit(make_work("short"))
     model.run_pass()
     model.submit(make_work("long", n_tokens=60_000))
     done = model.run_pass()
-    assert done.written == ("short",)
+    assert done.emitted == ("short",)
     assert done.duration_ms > FIGURES.read_ms(60_000) / 60_000 * 20_000
 
 
@@ -81,10 +83,10 @@
     model.run_pass()
     assert (model.n_running, model.n_waiting) == (0, 1)
     assert model.release("group")
-    assert model.run_pass().written == ("d",)
+    assert model.run_pass().emitted == ("d",)
 
 
-def test_reservation_is_refused_beside_what_is_held(model: PassModel) -> None:
+def test_reserve_refuses_more_than_the_free_memory(model: PassModel) -> None:
     assert model.reserve("a", 60_000)
     assert model.reserve("a", 60_000)
     assert not model.reserve("b", 60_000)
@@ -92,23 +94,29 @@
     assert not model.release("b")
 
 
-def test_parts_of_others_are_read_first_and_take_no_slot(model: PassModel) -> None:
+def test_parts_for_other_engines_are_prefilled_first_and_take_no_slot(
+    model: PassModel,
+) -> None:
     for work_id in ("a", "b"):
         model.submit(make_work(work_id, n_tokens=4_000))
-    part = PassWork("part", n_read_tokens=2_000, read_ms=10.0, n_events=0)
+    part = PassWork("part", n_prefill_tokens=2_000, prefill_ms=10.0, n_events=0)
     model.submit(part)
     done = model.run_pass()
-    assert done.read == ("part",)
+    assert done.prefilled == ("part",)
     assert model.n_running == 2
     assert model.n_parts == 0
 
 
-def test_spread_prompt_is_written_once_all_parts_are_read(model: PassModel) -> None:
+def test_spread_prompt_is_decoded_once_all_parts_are_prefilled(
+    model: PassModel,
+) -> None:
     model.submit(
-        PassWork("a", n_read_tokens=1_000, read_ms=5.0, n_events=2, is_spread=True)
+        PassWork(
+            "a", n_prefill_tokens=1_000, prefill_ms=5.0, n_events=2, is_spread=True
+        )
     )
-    assert model.run_pass().read == ("a",)
+    assert model.run_pass().prefilled == ("a",)
     idle = model.run_pass()
-    assert (idle.duration_ms, idle.written) == (0.0, ())
-    assert not model.note_parts_read("a")
+    assert (idle.duration_ms, idle.emitted) == (0.0, ())
+    assert not model.note_parts_prefilled("a")
     assert model.run_pass().finished == ("a",)
