--- a/src/quetzaldeck/demo/__init__.py
+++ b/src/quetzaldeck/demo/__init__.py
@@ -1,4 +1,4 @@
-"""The demo: the whole path in one process."""
+"""The demo: callers, gateways, agents and upstreams in one process."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/demo/session.py
+++ b/src/quetzaldeck/demo/session.py
@@ -1,4 +1,4 @@
-"""The demo: stand-ins, VMs and the load tool in one process."""
+"""Runs stand-ins, agents, gateways and the load generator in one process."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class DemoSettings(NamedTuple):
-    """All settings files of the demo."""
+    """Contents of all settings files of the demo."""
 
     standins: StandinSettings
     agents: tuple[AgentSettings, ...]
@@ -49,7 +49,7 @@
 def load_demo_settings(directory: Path) -> DemoSettings:
     """:returns: the settings in ``directory``
 
-    :raises FindingsError: if a file has faults
+    :raises FindingsError: if a settings file is invalid
     """
     return DemoSettings(
         load_file(directory / "standins.yaml", StandinSettings),
@@ -68,7 +68,7 @@
 
 @asynccontextmanager
 async def start_service(service: HttpServiceBase) -> AsyncIterator[None]:
-    """Run one service for as long as the context is open."""
+    """Run a service while the context is open."""
     await service.start()
     try:
         yield
@@ -77,9 +77,9 @@
 
 
 async def run_demo(settings: DemoSettings) -> LoadReport:
-    """Start everything, publish the signed bundle, and run the load.
+    """Start all services, publish the signed bundle and run the load.
 
-    :returns: what the callers received
+    :returns: the report of the load run
     :raises TimeoutError: if a gateway does not become ready
     """
     private_key, public_key = generate_key()
@@ -102,9 +102,9 @@
 
 
 async def wait_until_ready(gateway: GatewayService) -> None:
-    """Wait until a gateway has a bundle.
+    """Wait until a gateway has a bundle in force.
 
-    :raises TimeoutError: if it takes too long
+    :raises TimeoutError: if it has none within ``READY_TIMEOUT_S``
     """
     async with asyncio.timeout(READY_TIMEOUT_S):
         while gateway.session.state.bundle_version == 0:
--- a/src/quetzaldeck/load/__init__.py
+++ b/src/quetzaldeck/load/__init__.py
@@ -1,4 +1,4 @@
-"""The load tool: sends a mixture and reports what callers receive."""
+"""The load generator: sends a mix of calls and reports what their callers receive."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/load/caller.py
+++ b/src/quetzaldeck/load/caller.py
@@ -1,4 +1,4 @@
-"""One caller: makes a call and judges what it receives."""
+"""A caller of the load generator: makes calls and checks their answers."""
 
 from __future__ import annotations
 
@@ -20,22 +20,23 @@
     from quetzaldeck.clock import Clock
     from quetzaldeck.load.settings import KindSettings
 
-GRACE_MS = 2_000.0
+DEADLINE_GRACE_MS = 2_000.0
+"""How long after its deadline a call may still end before it counts as lost."""
 HTTP_OK = 200
 
 
 class StreamedText:
-    """Text of a streamed answer and how the stream ended."""
+    """Text of a streamed answer, and how the stream ended."""
 
     def __init__(self) -> None:
         self.parts: list[str] = []
-        self.first_ms: float | None = None
+        self.first_token_ms: float | None = None
         self.error: dict[str, Any] | None = None
         self.is_done = False
 
 
 class Caller:
-    """Makes calls through one client session."""
+    """Makes calls through a shared client session."""
 
     def __init__(self, client: aiohttp.ClientSession, clock: Clock) -> None:
         self._client = client
@@ -45,9 +46,9 @@
     async def run(
         self, gateway: str, kind: KindSettings, n_prompt_tokens: int
     ) -> Result:
-        """:returns: what one call of ``kind`` received"""
+        """:returns: the result of one call of ``kind``"""
         started_ms = self._clock.now_ms()
-        timeout_s = (kind.deadline_ms + GRACE_MS) / 1_000
+        timeout_s = (kind.deadline_ms + DEADLINE_GRACE_MS) / 1_000
         try:
             async with asyncio.timeout(timeout_s):
                 if kind.model:
@@ -82,9 +83,9 @@
         ) as response:
             if response.status != HTTP_OK:
                 error = msgspec.json.decode(await response.read())["error"]
-                return self._refusal(kind, n_prompt_tokens, started_ms, error)
+                return self._build_refusal(kind, n_prompt_tokens, started_ms, error)
             streamed = await self._read_stream(response)
-        return self._judge(kind, n_prompt_tokens, prompt, started_ms, streamed)
+        return self._check_answer(kind, n_prompt_tokens, prompt, started_ms, streamed)
 
     async def _read_stream(self, response: aiohttp.ClientResponse) -> StreamedText:
         streamed = StreamedText()
@@ -99,12 +100,12 @@
             if "error" in event:
                 streamed.error = event["error"]
                 break
-            if streamed.first_ms is None:
-                streamed.first_ms = self._clock.now_ms()
+            if streamed.first_token_ms is None:
+                streamed.first_token_ms = self._clock.now_ms()
             streamed.parts.append(event["choices"][0]["text"])
         return streamed
 
-    def _judge(
+    def _check_answer(
         self,
         kind: KindSettings,
         n_prompt_tokens: int,
@@ -113,7 +114,9 @@
         streamed: StreamedText,
     ) -> Result:
         if streamed.error is not None:
-            return self._refusal(kind, n_prompt_tokens, started_ms, streamed.error)
+            return self._build_refusal(
+                kind, n_prompt_tokens, started_ms, streamed.error
+            )
         text = "".join(streamed.parts)
         expected = answer_text(prompt, kind.max_output_tokens)
         if streamed.is_done and text == expected:
@@ -122,8 +125,8 @@
             verdict = Verdict.LOST
         else:
             verdict = Verdict.MIXED_UP
-        first_ms = streamed.first_ms
-        ttft_ms = None if first_ms is None else first_ms - started_ms
+        first_token_ms = streamed.first_token_ms
+        ttft_ms = None if first_token_ms is None else first_token_ms - started_ms
         total_ms = self._clock.now_ms() - started_ms
         return Result(kind.name, verdict, n_prompt_tokens, ttft_ms, total_ms)
 
@@ -139,7 +142,7 @@
             answer = msgspec.json.decode(await response.read())
             total_ms = self._clock.now_ms() - started_ms
             if response.status != HTTP_OK:
-                refusal = self._refusal(kind, 1, started_ms, answer["error"])
+                refusal = self._build_refusal(kind, 1, started_ms, answer["error"])
                 return refusal._replace(key=key)
         is_own = answer["key"] == key and answer["digest"] == xxhash.xxh3_64_hexdigest(
             body
@@ -147,7 +150,7 @@
         verdict = Verdict.ANSWERED if is_own else Verdict.MIXED_UP
         return Result(kind.name, verdict, 1, total_ms, total_ms, key=key)
 
-    def _refusal(
+    def _build_refusal(
         self,
         kind: KindSettings,
         n_prompt_tokens: int,
--- a/src/quetzaldeck/load/generator.py
+++ b/src/quetzaldeck/load/generator.py
@@ -1,4 +1,4 @@
-"""The load: arrivals at random, each call a caller of its own."""
+"""Generates the load: calls arrive at random, independently of each other."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def run_load(settings: LoadSettings, clock: Clock) -> list[Result]:
-    """Send the mixture and wait for every call to end.
+    """Send the mix of calls and wait until all of them have ended.
 
     :returns: the result of each call
     """
@@ -40,14 +40,16 @@
 
 
 def draw_length(kind: KindSettings, random_state: random.Random) -> int:
-    """:returns: a prompt length between the bounds of ``kind``, log-uniform"""
+    """:returns: a prompt length from a log-uniform distribution within the limits of
+    ``kind``
+    """
     low = math.log(kind.min_prompt_tokens)
     high = math.log(kind.max_prompt_tokens)
     return round(math.exp(random_state.uniform(low, high)))
 
 
 async def read_executions(services: tuple[str, ...]) -> dict[str, int]:
-    """:returns: how often the stand-in replicas together ran each key"""
+    """:returns: executions of each idempotency key, summed over all replicas"""
     executions: dict[str, int] = {}
     async with aiohttp.ClientSession() as client:
         for address in services:
--- a/src/quetzaldeck/load/report.py
+++ b/src/quetzaldeck/load/report.py
@@ -1,4 +1,4 @@
-"""The report of a load: TTFT by length class, and what went wrong."""
+"""Report of a load run: TTFT by length class, and counts of failures."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Tails(NamedTuple):
-    """Quantiles of one measure in milliseconds."""
+    """Number of samples and upper quantiles of one duration, in milliseconds."""
 
     n: int
     p50: float
@@ -24,13 +24,14 @@
 
 
 class LoadReport(NamedTuple):
-    """Everything that a load showed.
+    """Results of a load run.
 
-    :param ttft: time to first token by length class; ``call`` for plain calls
+    :param ttft: time to first token by length class; ``call`` stands for calls to
+        plain services
     :param verdicts: number of calls by verdict
     :param reasons: number of refusals and failures by reason and ``ran``
-    :param n_doubled: keys that ran more than once
-    :param n_false_refusals: calls told ``ran: no`` that did run
+    :param n_doubled: number of idempotency keys that were executed more than once
+    :param n_false_refusals: number of calls refused with ``ran: no`` that did run
     """
 
     ttft: dict[str, Tails]
@@ -41,16 +42,20 @@
 
     @property
     def is_clean(self) -> bool:
-        """:returns: whether no call was lost, doubled, mixed up or lied to"""
-        wrong = (Verdict.LOST, Verdict.MIXED_UP)
-        n_wrong = sum(self.verdicts.get(verdict.value, 0) for verdict in wrong)
+        """Whether calls were answered and nothing went wrong.
+
+        :returns: whether no call was lost, executed twice, answered wrongly or falsely
+            refused
+        """
+        failures = (Verdict.LOST, Verdict.MIXED_UP)
+        n_failed = sum(self.verdicts.get(verdict.value, 0) for verdict in failures)
         has_answers = self.verdicts.get(Verdict.ANSWERED.value, 0) > 0
-        n_broken = n_wrong + self.n_doubled + self.n_false_refusals
-        return has_answers and n_broken == 0
+        n_violations = n_failed + self.n_doubled + self.n_false_refusals
+        return has_answers and n_violations == 0
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """:returns: the value that ``share`` of the sorted ``values`` do not exceed"""
+    """:returns: the quantile of the sorted ``values`` at ``share``, from 0 to 1"""
     index = min(len(values) - 1, int(share * len(values)))
     return values[index]
 
@@ -69,14 +74,14 @@
 def build_report(
     results: Sequence[Result], executions: Mapping[str, int]
 ) -> LoadReport:
-    """:returns: the report of a load
+    """:returns: the report of a load run
 
-    :param executions: how often each idempotency key ran
+    :param executions: number of executions of each idempotency key
     """
     groups: dict[str, list[float]] = {}
     for result in results:
         if result.ttft_ms is not None:
-            groups.setdefault(_class_of(result), []).append(result.ttft_ms)
+            groups.setdefault(_length_class_of(result), []).append(result.ttft_ms)
     reasons = Counter(
         f"{result.reason} (ran: {result.ran})" for result in results if result.reason
     )
@@ -91,7 +96,7 @@
 
 
 def render_report(report: LoadReport) -> str:
-    """:returns: the report as a table"""
+    """:returns: the report as plain text, with a table of TTFT quantiles"""
     lines = [f"{'TTFT in ms':<12}{'n':>7}{'p50':>10}{'p95':>10}{'p99':>10}"]
     lines.extend(
         f"{name:<12}{t.n:>7}{t.p50:>10.0f}{t.p95:>10.0f}{t.p99:>10.0f}"
@@ -112,7 +117,7 @@
 _ORDER = (_PLAIN_CALL, *(length_class.value for length_class in LengthClass))
 
 
-def _class_of(result: Result) -> str:
+def _length_class_of(result: Result) -> str:
     if result.key:
         return _PLAIN_CALL
     return classify_length(result.n_prompt_tokens).value
--- a/src/quetzaldeck/load/result.py
+++ b/src/quetzaldeck/load/result.py
@@ -1,4 +1,4 @@
-"""What became of one call."""
+"""Result of one call of the load generator."""
 
 from __future__ import annotations
 
@@ -7,7 +7,11 @@
 
 
 class Verdict(StrEnum):
-    """Judgement of one call by what its caller received."""
+    """Outcome of a call, judged by what its caller received.
+
+    ``LOST``: no complete answer and no error; ``MIXED_UP``: an answer that does not
+    belong to the call.
+    """
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -17,13 +21,15 @@
 
 
 class Result(NamedTuple):
-    """One call and what its caller received.
+    """Result of one call.
 
-    :param ttft_ms: time to the first token, ``None`` if there was none
-    :param total_ms: time to the end
-    :param reason: reason of a refusal or failure
-    :param ran: what the refusal or failure said about execution
+    :param kind: name of the kind of call
+    :param ttft_ms: time to first token, ``None`` if no token arrived
+    :param total_ms: time to the end of the call
+    :param reason: reason code of a refusal or failure
+    :param ran: whether the call ran, according to the refusal or failure
     :param key: idempotency key, if the call had one
+    :param detail: error message of a refusal, a failure or a lost connection
     """
 
     kind: str
--- a/src/quetzaldeck/load/settings.py
+++ b/src/quetzaldeck/load/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the load tool."""
+"""Settings of the load generator."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class KindSettings(NamedTuple):
-    """One kind of call in the mixture."""
+    """One kind of call in the mix."""
 
     name: Annotated[str, Option("Name in the report.")]
-    api_key: Annotated[str, Option("API key of the customer that makes it.")]
-    share: Annotated[float, Option("Share of the calls.", minimum=0)] = 1.0
-    model: Annotated[str, Option("Model asked for; empty for a plain service.")] = ""
+    api_key: Annotated[str, Option("API key of the customer that sends it.")]
+    share: Annotated[float, Option("Share of the calls, as a weight.", minimum=0)] = 1.0
+    model: Annotated[str, Option("Requested model; empty for a plain service.")] = ""
     path: Annotated[str, Option("Path of a plain service's call.")] = ""
     min_prompt_tokens: Annotated[
         int, Option("Shortest prompt.", unit="tokens", minimum=1)
@@ -30,17 +30,17 @@
 
 
 class LoadSettings(NamedTuple):
-    """What the load tool sends, where and for how long."""
+    """What the load generator sends, where to and for how long."""
 
     gateways: Annotated[tuple[str, ...], Option("Base URLs of the gateways.")]
-    kinds: Annotated[tuple[KindSettings, ...], Option("The mixture.", minimum=1)]
+    kinds: Annotated[tuple[KindSettings, ...], Option("The mix of calls.", minimum=1)]
     requests_per_second: Annotated[
-        float, Option("Rate of arrivals.", unit="requests/s", minimum=0.01)
+        float, Option("Mean rate of calls.", unit="requests/s", minimum=0.01)
     ] = 10.0
     duration_ms: Annotated[
-        int, Option("How long calls arrive.", unit="ms", minimum=100)
+        int, Option("How long calls are sent.", unit="ms", minimum=100)
     ] = 10_000
-    random_state: Annotated[int, Option("Seed of arrivals and choices.")] = 1
+    random_state: Annotated[int, Option("Seed of the random arrivals and choices.")] = 1
     services: Annotated[
         tuple[str, ...], Option("Stand-in replicas to ask for their executions.")
     ] = ()
