--- a/src/quetzaldeck/standin/__init__.py
+++ b/src/quetzaldeck/standin/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the systems outside, for tests and the demo."""
+"""Simple stand-ins for external systems, used by tests and the demo."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/standin/answer_text.py
+++ b/src/quetzaldeck/standin/answer_text.py
@@ -1,4 +1,4 @@
-"""The answer that stand-in engines give: a function of the prompt alone."""
+"""Answers of the stand-in engines, which depend on nothing but the prompt."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 def digest_prompt(prompt: str) -> str:
-    """:returns: short digest that marks the answer to ``prompt``"""
+    """:returns: short digest of ``prompt``, contained in each token of the answer"""
     return xxhash.xxh3_64_hexdigest(prompt.encode("utf-8", "surrogatepass"))[
         :_N_HEX_DIGITS
     ]
 
 
 def token_text(digest: str, index: int) -> str:
-    """:returns: text of the answer's token number ``index``, from 0"""
+    """:returns: text of the token at ``index`` of the answer, from 0"""
     return f"{digest}.{index} "
 
 
 def answer_text(prompt: str, n_tokens: int) -> str:
-    """:returns: the whole answer to ``prompt``, for checks by callers"""
+    """:returns: the complete answer to ``prompt``, for callers that check answers"""
     digest = digest_prompt(prompt)
     return "".join(token_text(digest, index) for index in range(n_tokens))
 
 
 def count_tokens(prompt: str) -> int:
-    """:returns: tokens of ``prompt`` as the stand-ins count them: one a word"""
+    """:returns: number of tokens of ``prompt``; for stand-ins each word is one token"""
     return prompt.count(" ") + 1
 
 
--- a/src/quetzaldeck/standin/build.py
+++ b/src/quetzaldeck/standin/build.py
@@ -1,4 +1,4 @@
-"""Stand-ins from their settings."""
+"""Builds stand-ins from their settings."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def build_standins(settings: StandinSettings) -> list[HttpServiceBase]:
-    """:returns: all stand-ins that the settings name, not started yet"""
+    """:returns: all configured stand-ins, not started yet"""
     services: list[HttpServiceBase] = []
     if settings.configuration_service is not None:
         services.append(ConfigurationServiceStandin(settings.configuration_service))
--- a/src/quetzaldeck/standin/cache_event_reader.py
+++ b/src/quetzaldeck/standin/cache_event_reader.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine tells of its prefix cache, late or with gaps if it has to."""
+"""Serves the cache events of a stand-in engine, subject to its faults."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class CacheEventReader:
-    """Reads the events of one start of an engine.
+    """Reads the cache events of one incarnation of an engine.
 
-    :param incarnation: id of that start
-    :param read_faults: the lasting faults, as they are now
+    :param incarnation: id of the incarnation
+    :param read_faults: returns the current persistent faults
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._read_faults = read_faults
 
     def read(self, after: int) -> list[CacheEventBody]:
-        """:returns: the events after a sequence number"""
+        """:returns: the events after the sequence number ``after``"""
         faults = self._read_faults()
         events = self._events.read(
             after,
@@ -48,8 +48,8 @@
         )
         return [event.to_body() for event in events]
 
-    def read_last(self, cursor: CacheCursorBody) -> CacheEventsBody:
-        """:returns: the last events that the reader does not have"""
+    def read_newest(self, cursor: CacheCursorBody) -> CacheEventsBody:
+        """:returns: the last ``MAX_EVENTS_IN_ANSWER`` events after ``cursor``"""
         is_same = cursor["incarnation"] == self._incarnation
         events = self.read(cursor["sequence"] if is_same else 0)
         return {
--- a/src/quetzaldeck/standin/cache_events.py
+++ b/src/quetzaldeck/standin/cache_events.py
@@ -1,4 +1,4 @@
-"""Cache events of a stand-in engine: late and with gaps, as in real life."""
+"""Log of the cache events of a stand-in engine."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class CacheEventKind(StrEnum):
-    """What happened to a prefix."""
+    """Kind of change of a cached prefix."""
 
     CACHED = "cached"
     EVICTED = "evicted"
 
 
 class CacheEventBody(TypedDict):
-    """One event in the answer of ``GET /v1/cache_events``."""
+    """One event in the response of ``GET /v1/cache_events``."""
 
     sequence: int
     kind: str
@@ -28,9 +28,9 @@
 
 
 class CacheEvent(NamedTuple):
-    """One change of the prefix cache.
+    """A change of the prefix cache.
 
-    :param sequence: number of the event since the engine's start, from 1
+    :param sequence: number of the event in this incarnation of the engine, from 1
     """
 
     sequence: int
@@ -39,7 +39,7 @@
     at_ms: float
 
     def to_body(self) -> CacheEventBody:
-        """:returns: the event as ``GET /v1/cache_events`` gives it"""
+        """:returns: the event as in the response of ``GET /v1/cache_events``"""
         return {
             "sequence": self.sequence,
             "kind": self.kind.value,
@@ -48,14 +48,14 @@
 
 
 class CacheEventLog:
-    """Numbers events and keeps the last ones; a reader that is slow sees a gap."""
+    """Numbers events and keeps the last ``MAX_EVENTS``; slow readers see a gap."""
 
     def __init__(self) -> None:
         self._events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
         self._n_events = 0
 
     def add(self, cached: Iterable[int], evicted: Iterable[int], now_ms: float) -> None:
-        """Record what one step did to the cache."""
+        """Record the changes of the cache in one step."""
         for prefix_hash in cached:
             self._add(CacheEventKind.CACHED, prefix_hash, now_ms)
         for prefix_hash in evicted:
@@ -66,8 +66,8 @@
     ) -> tuple[CacheEvent, ...]:
         """:returns: the events after number ``after``, oldest first
 
-        :param until_ms: later events are not shown yet
-        :param gap: each event whose number is a multiple of it is lost; 0: none
+        :param until_ms: later events are left out
+        :param gap: events whose number is a multiple of it are left out; 0: none
         """
         return tuple(
             event
--- a/src/quetzaldeck/standin/chunk.py
+++ b/src/quetzaldeck/standin/chunk.py
@@ -1,4 +1,4 @@
-"""Body of one chunk of a stand-in engine's stream."""
+"""Builds the chunks that a stand-in engine streams."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 def build_chunk(
     sequence: Sequence, text: str, *, offset: int, n_output_tokens: int, is_last: bool
 ) -> ChunkBody:
-    """:returns: the chunk that holds one token
+    """:returns: the body of a chunk with one token
 
-    :param offset: characters of the answer before it
-    :param n_output_tokens: tokens of the answer with it
+    :param offset: number of characters of the answer before this chunk
+    :param n_output_tokens: number of tokens of the answer up to and with this chunk
     """
     return {
         "id": sequence.sequence_id,
--- a/src/quetzaldeck/standin/chunk_faults.py
+++ b/src/quetzaldeck/standin/chunk_faults.py
@@ -1,4 +1,4 @@
-"""Chunks sent twice, late, swapped or of another attempt."""
+"""Faults of an answer's chunks: sent twice, delayed, swapped or foreign."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class ChunkFaults:
-    """Turns the chunks of one answer into what a faulty engine sends."""
+    """Applies the faults of an engine to the chunks of one answer."""
 
     def __init__(self, faults: EngineFaults) -> None:
         self._faults = faults
         self._previous: ChunkBody | None = None
-        self._held: ChunkBody | None = None
+        self._delayed: ChunkBody | None = None
 
     def apply(self, chunk: ChunkBody) -> list[ChunkBody]:
-        """:returns: what is sent when ``chunk`` is ready"""
+        """:returns: chunks to send when ``chunk`` is ready"""
         sent = self._swap(chunk)
         if self._faults.doubles_chunks:
             sent = [item for item in sent for _ in range(2)]
@@ -36,11 +36,11 @@
         if not self._faults.swaps_chunks:
             return [chunk]
         is_last = chunk["choices"][0]["finish_reason"] is not None
-        if self._held is None and not is_last:
-            self._held = chunk
+        if self._delayed is None and not is_last:
+            self._delayed = chunk
             return []
-        held, self._held = self._held, None
-        return [chunk] if held is None else [chunk, held]
+        delayed, self._delayed = self._delayed, None
+        return [chunk] if delayed is None else [chunk, delayed]
 
 
 def _build_foreign(chunk: ChunkBody) -> ChunkBody:
--- a/src/quetzaldeck/standin/configuration_service.py
+++ b/src/quetzaldeck/standin/configuration_service.py
@@ -21,7 +21,7 @@
 
 
 class ConfigurationServiceStandin(StandinBase):
-    """Holds values that can be read and watched; counts every call."""
+    """Serves values that clients read and watch; counts all calls."""
 
     def __init__(self, settings: ConfigurationServiceSettings, **kwargs: Any) -> None:
         super().__init__(settings.listen, **kwargs)
@@ -31,23 +31,23 @@
         self._task: asyncio.Task[None] | None = None
         self.n_calls = 0
         self.n_waiting = 0
-        self._n_silenced = 0
+        self._n_silence_calls = 0
         self.is_down = settings.faults.is_down
         self.n_revisions_behind = settings.faults.n_revisions_behind
         self.hangs_watch = settings.faults.hangs_watch
 
     async def publish(self, value: bytes, key: str = BUNDLE_KEY) -> None:
-        """Change a value, as operators do by their own means."""
+        """Add a revision of a value, as operators do with their own tools."""
         async with self._changed:
             self._values.setdefault(key, []).append(value)
             self._changed.notify_all()
 
     def restore(self, value: bytes, key: str = BUNDLE_KEY) -> None:
-        """Come back from a backup: ``value`` is the only revision there is."""
+        """Simulate a restore from a backup: ``value`` becomes the only revision."""
         self._values[key] = [value]
 
     async def set_faults(self, data: Any) -> None:
-        """Replace the lasting faults; see :meth:`StandinBase.set_faults`."""
+        """Replace the persistent faults; see :meth:`StandinBase.set_faults`."""
         faults = load_data(data, ConfigurationFaults, "faults")
         self.is_down = faults.is_down
         self.n_revisions_behind = faults.n_revisions_behind
@@ -56,11 +56,11 @@
             self._changed.notify_all()
 
     def silence_watches(self) -> None:
-        """Let the watches that are open now never be answered; new calls are."""
-        self._n_silenced += 1
+        """Never answer the watches that are open now; new calls are answered."""
+        self._n_silence_calls += 1
 
     async def open(self) -> web.Application:
-        """Start to follow the bundle file, if there is one."""
+        """Build the application; follow the bundle file if one is configured."""
         if self._settings.bundle_file is not None:
             self._task = asyncio.create_task(self._follow_file())
         return self.build_application(
@@ -71,7 +71,7 @@
         )
 
     async def close(self) -> None:
-        """End the task that follows the bundle file."""
+        """Stop following the bundle file."""
         await super().close()
         if self._task is not None:
             self._task.cancel()
@@ -89,7 +89,7 @@
             await asyncio.get_running_loop().create_future()
         if timeout_ms:
             await self._wait_for_newer(key, after, timeout_ms)
-        revision = self._shown_revision(key)
+        revision = self._served_revision(key)
         if revision == 0:
             return web.Response(status=404)
         if revision <= after:
@@ -97,25 +97,25 @@
         value = self._values[key][revision - 1]
         return web.Response(body=value, headers={REVISION_HEADER: str(revision)})
 
-    def _shown_revision(self, key: str) -> int:
+    def _served_revision(self, key: str) -> int:
         return max(0, len(self._values.get(key, ())) - self.n_revisions_behind)
 
     async def _wait_for_newer(self, key: str, after: int, timeout_ms: float) -> None:
-        n_silenced = self._n_silenced
+        n_silence_calls = self._n_silence_calls
         self.n_waiting += 1
         try:
             async with asyncio.timeout(timeout_ms / 1_000), self._changed:
-                await self._changed.wait_for(lambda: self._shown_revision(key) > after)
+                await self._changed.wait_for(lambda: self._served_revision(key) > after)
         except TimeoutError:
             pass
         finally:
             self.n_waiting -= 1
-        if n_silenced != self._n_silenced:
+        if n_silence_calls != self._n_silence_calls:
             await asyncio.Event().wait()
 
     async def _refuse_write(self, request: web.Request) -> web.Response:
         self.n_calls += 1
-        return web.Response(status=405, text="this service can only be read")
+        return web.Response(status=405, text="the configuration service is read-only")
 
     async def _follow_file(self) -> None:
         path = self._settings.bundle_file
--- a/src/quetzaldeck/standin/connection_faults.py
+++ b/src/quetzaldeck/standin/connection_faults.py
@@ -1,4 +1,4 @@
-"""Pauses and silent connections of a stand-in."""
+"""Connection faults of a stand-in: pauses and silenced connections."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 
 
 class ConnectionFaults:
-    """Holds back what a stand-in would send.
+    """Delays or withholds what a stand-in sends.
 
-    A connection that was silenced behaves as if something between the two ends
-    had lost track of it: nothing arrives on it any more, new ones work.
+    A silenced connection behaves as if a middlebox had dropped its state: it stays
+    open, but nothing arrives on it any more, while new connections work.
     """
 
     def __init__(self) -> None:
-        self._is_awake = asyncio.Event()
-        self._is_awake.set()
+        self._is_running = asyncio.Event()
+        self._is_running.set()
         self._silenced: set[RequestHandler] = set()
 
     async def pause(self, duration_ms: float) -> None:
-        """Hold back everything for a time, as a stopped process would."""
-        self._is_awake.clear()
+        """Send nothing for ``duration_ms``, like a stopped process."""
+        self._is_running.clear()
         try:
             await asyncio.sleep(duration_ms / 1_000)
         finally:
-            self._is_awake.set()
+            self._is_running.set()
 
     def silence(self, connections: Iterable[RequestHandler]) -> None:
-        """Let these connections go silent for good."""
+        """Send nothing more on these connections."""
         self._silenced = set(connections)
 
     def is_silenced(self, request: web.BaseRequest) -> bool:
-        """:returns: whether the connection of ``request`` went silent"""
+        """:returns: whether the connection of ``request`` is silenced"""
         return request.protocol in self._silenced
 
-    async def wait_awake(self) -> None:
-        """Wait while the stand-in is paused."""
-        await self._is_awake.wait()
+    async def wait_until_running(self) -> None:
+        """Wait until the stand-in is not paused."""
+        await self._is_running.wait()
 
-    async def hold_back(self, request: web.BaseRequest) -> None:
-        """Wait until something may be sent in answer to ``request``.
+    async def wait_until_sendable(self, request: web.BaseRequest) -> None:
+        """Wait until data may be sent on the connection of ``request``.
 
-        On a silenced connection that is never: the handler is cancelled when
-        the other end gives up.
+        This never returns on a silenced connection; the handler is cancelled when
+        the client disconnects.
         """
-        await self._is_awake.wait()
+        await self._is_running.wait()
         if self.is_silenced(request):
             await asyncio.get_running_loop().create_future()
 
--- a/src/quetzaldeck/standin/engine.py
+++ b/src/quetzaldeck/standin/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in engine: the engine protocol in front of the cost model."""
+"""Stand-in engine: serves the engine protocol on top of the cost model."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from quetzaldeck.standin.chunk_faults import ChunkFaults
 from quetzaldeck.standin.engine_commands import EngineCommands
 from quetzaldeck.standin.engine_request import build_sequence, split_delivered
-from quetzaldeck.standin.engine_task import EngineTask, Holding
+from quetzaldeck.standin.engine_task import EngineTask, HeldSequence
 from quetzaldeck.standin.faults import EngineFaults
 from quetzaldeck.standin.group_routes import GroupRoutes, ImportFailedError
 from quetzaldeck.upstreams.attempt import Owner
@@ -28,7 +28,7 @@
 from quetzaldeck.upstreams.sse import DONE, KEEP_ALIVE, encode_event
 
 if TYPE_CHECKING:
-    from quetzaldeck.standin.sequence_watcher import SequenceWatcher
+    from quetzaldeck.standin.sequence_observer import SequenceObserver
     from quetzaldeck.standin.settings import EngineSettings
     from quetzaldeck.standin.weight_store import WeightStoreStandin
 
@@ -36,14 +36,14 @@
 
 
 class EngineStandin(StandinBase):
-    """One engine; see docs/UPSTREAM.md for what it speaks."""
+    """A stand-in engine; docs/UPSTREAM.md describes its protocol."""
 
     def __init__(
         self,
         settings: EngineSettings,
         *,
         clock: Clock | None = None,
-        watcher: SequenceWatcher | None = None,
+        observer: SequenceObserver | None = None,
         weight_store: WeightStoreStandin | None = None,
         **kwargs: Any,
     ) -> None:
@@ -56,7 +56,7 @@
         )
         self._settings = settings
         self._clock = clock or Clock()
-        self._watcher = watcher
+        self._observer = observer
         self._faults = settings.faults
         self._start_incarnation()
         self._groups = GroupRoutes(
@@ -74,32 +74,32 @@
 
     @property
     def n_submitted(self) -> int:
-        """:returns: sequences taken since the engine's start"""
+        """:returns: sequences accepted in the current incarnation"""
         return self._engine.n_submitted
 
     @property
     def n_reservations(self) -> int:
-        """:returns: reservations granted since the engine's start"""
-        return self._engine.group.n_granted
+        """:returns: reservations granted in the current incarnation"""
+        return self._engine.group_allocations.n_granted
 
     @property
     def n_exports(self) -> int:
-        """:returns: exports that are not released"""
-        return len(self._engine.group.exports)
+        """:returns: number of exports that are not released"""
+        return len(self._engine.group_allocations.exports)
 
     @property
     def settings(self) -> EngineSettings:
-        """:returns: its settings"""
+        """:returns: settings of the engine"""
         return self._settings
 
     @property
     def incarnation(self) -> str:
-        """:returns: id of the engine's current start"""
+        """:returns: id of the current incarnation of the engine"""
         return self._incarnation
 
     @property
     def faults(self) -> EngineFaults:
-        """:returns: its lasting faults"""
+        """:returns: persistent faults of the engine"""
         return self._faults
 
     @faults.setter
@@ -107,11 +107,11 @@
         self._faults = faults
 
     async def set_faults(self, data: Any) -> None:
-        """Replace the lasting faults; see :meth:`StandinBase.set_faults`."""
+        """Replace the persistent faults; see :meth:`StandinBase.set_faults`."""
         self._faults = load_data(data, EngineFaults, "faults")
 
-    async def lose_memory(self) -> None:
-        """Forget every sequence and the cache; come back as a new incarnation."""
+    async def reset_state(self) -> None:
+        """Drop all sequences and the cache, and start a new incarnation."""
         await self._end_task()
         self._engine.cancel_all()
         self.commands.restart()
@@ -119,7 +119,7 @@
         self._task = asyncio.create_task(self._engine.run())
 
     async def open(self) -> web.Application:
-        """Start the engine's task."""
+        """Build the application and start the task of the engine."""
         self._task = asyncio.create_task(self._engine.run())
         return self.build_application(
             [
@@ -135,7 +135,7 @@
         )
 
     async def close(self) -> None:
-        """End the engine's task."""
+        """Stop the task of the engine."""
         await super().close()
         await self._end_task()
 
@@ -144,8 +144,8 @@
         self._engine = EngineTask(
             self._settings.profile,
             self._clock,
-            wait_awake=self._connection_faults.wait_awake,
-            watcher=self._watcher,
+            wait_until_running=self._connection_faults.wait_until_running,
+            observer=self._observer,
         )
         self._cache_reader = CacheEventReader(
             self._incarnation,
@@ -173,29 +173,32 @@
         sequence = build_sequence(body, prompt, delivered)
         owner = Owner(control["vm"], control["incarnation"])
         engine = self._engine
-        if not engine.has_room(sequence):
-            return json_response({"error": "no such room"}, status=413)
+        if not engine.has_capacity(sequence):
+            return json_response(
+                {"error": "sequence exceeds the available memory"}, status=413
+            )
         try:
             imported = await self._groups.read_imports(control.get("imports", []))
         except ImportFailedError as error:
             return json_response({"error": str(error)}, status=424)
         prompt = imported + prompt
-        self._crash_on_marker(prompt)
+        self._crash_if_marked(prompt)
         response = web.StreamResponse(headers=self._stream_headers())
         await response.prepare(request)
-        holding = engine.submit(sequence, owner)
+        held_sequence = engine.submit(sequence, owner)
         try:
             await self._stream(
-                request, response, holding, digest_prompt(prompt), control
+                request, response, held_sequence, digest_prompt(prompt), control
             )
         finally:
-            # On a silenced connection the end of the other side stays unseen:
-            # the sequence keeps its memory until it is cancelled or generated.
+            # On a silenced connection the engine cannot see that the client has
+            # disconnected: the sequence keeps its memory until it is cancelled
+            # or finished.
             if not self._connection_faults.is_silenced(request):
                 engine.cancel(sequence.sequence_id)
         return response
 
-    def _crash_on_marker(self, prompt: str) -> None:
+    def _crash_if_marked(self, prompt: str) -> None:
         marker = self._faults.crash_marker
         if marker and marker in prompt:
             self.start_fault(self._crash_later())
@@ -208,16 +211,16 @@
         self,
         request: web.Request,
         response: web.StreamResponse,
-        holding: Holding,
+        held_sequence: HeldSequence,
         digest: str,
         control: dict[str, Any],
     ) -> None:
-        sequence = holding.sequence
+        sequence = held_sequence.sequence
         first = control["n_delivered_tokens"]
         offset = control["offset"]
         chunk_faults = ChunkFaults(self._faults)
         for index in range(sequence.max_output_tokens):
-            await self._wait_for_token(request, response, holding)
+            await self._wait_for_token(request, response, held_sequence)
             text = token_text(digest, first + index)
             is_last = index + 1 == sequence.max_output_tokens
             chunk = build_chunk(
@@ -228,7 +231,7 @@
                 is_last=is_last,
             )
             if index == 0 and control.get("cache_cursor") is not None:
-                chunk["cache_events"] = self._cache_reader.read_last(
+                chunk["cache_events"] = self._cache_reader.read_newest(
                     control["cache_cursor"]
                 )
             offset += len(text)
@@ -237,17 +240,20 @@
         await response.write(encode_event(DONE))
 
     async def _wait_for_token(
-        self, request: web.Request, response: web.StreamResponse, holding: Holding
+        self,
+        request: web.Request,
+        response: web.StreamResponse,
+        held_sequence: HeldSequence,
     ) -> None:
         while True:
             try:
                 async with asyncio.timeout(KEEP_ALIVE_MS / 1_000):
-                    await holding.tokens.get()
+                    await held_sequence.tokens.get()
             except TimeoutError:
-                await self._connection_faults.hold_back(request)
+                await self._connection_faults.wait_until_sendable(request)
                 await response.write(KEEP_ALIVE)
             else:
-                await self._connection_faults.hold_back(request)
+                await self._connection_faults.wait_until_sendable(request)
                 return
 
     async def _cancel(self, request: web.Request) -> web.Response:
@@ -287,7 +293,7 @@
         )
 
     async def _sequences(self, request: web.Request) -> web.Response:
-        return json_response(self._engine.list_held())
+        return json_response(self._engine.list_allocations())
 
 
 __all__ = ("EngineStandin",)
--- a/src/quetzaldeck/standin/engine_commands.py
+++ b/src/quetzaldeck/standin/engine_commands.py
@@ -1,4 +1,4 @@
-"""Commands to a stand-in engine: what it has loaded, and whom it obeys."""
+"""Commands to a stand-in engine: loaded models, role and fencing tokens."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 class EngineCommands:
-    """Weights and role of one engine.
+    """Executes commands to one engine: its loaded models and its role.
 
-    :param models: loaded at the start, as in load reports
-    :param max_models: models with their versions that it has room for; 0: any number
-    :param start: runs a load beside what is being handled
+    :param models: models loaded at the start, named as in load reports
+    :param max_models: most model versions that the engine can hold; 0: no limit
+    :param start: runs a coroutine that loads weights in the background
     """
 
     def __init__(
@@ -42,12 +42,12 @@
         weight_store: WeightStoreStandin | None,
         start: Callable[[Coroutine[Any, Any, None]], None],
     ) -> None:
-        self._first_models = models
+        self._initial_models = models
         self._max_models = max_models
         self._store = weight_store or WeightStoreStandin(Clock())
         self._start = start
         self._loading: set[str] = set()
-        self._n_starts = 0
+        self._n_restarts = 0
         self.models = list(models)
         self.role = ""
         self.highest_token: list[int] = []
@@ -55,22 +55,25 @@
         self.accepted: list[CommandBody] = []
 
     def restart(self) -> None:
-        """Forget what was loaded later, as a crash does; the token is kept nowhere."""
-        self._n_starts += 1
+        """Reset to the initial models, as a crash does.
+
+        The highest fencing token is not stored, so it is lost as well.
+        """
+        self._n_restarts += 1
         self._loading.clear()
-        self.models = list(self._first_models)
+        self.models = list(self._initial_models)
         self.role = ""
         self.highest_token = []
 
     async def handle(
         self, request: web.Request, *, ignores_fencing: bool
     ) -> web.Response:
-        """Answer ``POST /v1/commands``."""
+        """Handle ``POST /v1/commands``."""
         body = _BODY_DECODER.decode(await request.read())
         token = body["fencing_token"]
         if token < self.highest_token and not ignores_fencing:
             self.n_fenced += 1
-            return json_response({"error": "old fencing token"}, status=HTTP_FENCED)
+            return json_response({"error": "stale fencing token"}, status=HTTP_FENCED)
         self.highest_token = max(self.highest_token, token)
         status = self._apply(body)
         if status == web.HTTPOk.status_code:
@@ -81,14 +84,14 @@
         name = f"{body['model']}:{body['version']}"
         match body["action"]:
             case "load_model":
-                return self._load(name, takes_room=True)
+                return self._load(name, counts_as_model=True)
             case "load_adapter":
-                return self._load(f"{name}:{body['adapter']}", takes_room=False)
+                return self._load(f"{name}:{body['adapter']}", counts_as_model=False)
             case "unload_model":
                 self.models = [
-                    held
-                    for held in self.models
-                    if held != name and not held.startswith(f"{name}:")
+                    loaded
+                    for loaded in self.models
+                    if loaded != name and not loaded.startswith(f"{name}:")
                 ]
             case "change_role":
                 self.role = body["role"]
@@ -96,23 +99,23 @@
                 return HTTP_BAD_REQUEST
         return web.HTTPOk.status_code
 
-    def _load(self, name: str, *, takes_room: bool) -> int:
+    def _load(self, name: str, *, counts_as_model: bool) -> int:
         if name in self.models or name in self._loading:
             return web.HTTPOk.status_code
-        n_models = sum(held.count(":") == 1 for held in self.models)
-        if takes_room and self._max_models and n_models >= self._max_models:
+        n_models = sum(loaded.count(":") == 1 for loaded in self.models)
+        if counts_as_model and self._max_models and n_models >= self._max_models:
             return HTTP_CONFLICT
         try:
             self._store.check_limit()
         except WeightStoreLimitError:
             return HTTP_TOO_MANY_REQUESTS
         self._loading.add(name)
-        self._start(self._finish_load(name, self._n_starts))
+        self._start(self._finish_load(name, self._n_restarts))
         return web.HTTPOk.status_code
 
-    async def _finish_load(self, name: str, n_starts: int) -> None:
+    async def _finish_load(self, name: str, n_restarts: int) -> None:
         await self._store.fetch()
-        if n_starts == self._n_starts:
+        if n_restarts == self._n_restarts:
             self._loading.discard(name)
             self.models.append(name)
 
--- a/src/quetzaldeck/standin/engine_request.py
+++ b/src/quetzaldeck/standin/engine_request.py
@@ -1,4 +1,4 @@
-"""Requests to a stand-in engine, as its model takes them."""
+"""Converts requests to a stand-in engine into input of the engine model."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def build_sequence(body: dict[str, Any], prompt: str, delivered: str) -> Sequence:
-    """:returns: the sequence that a completion request asks for
+    """:returns: the sequence for a completion request
 
-    :param delivered: text of the answer that the caller already has
+    :param delivered: part of the answer that the caller has already received
     """
     control = body["quetzaldeck"]
     imports = control.get("imports", [])
@@ -28,9 +28,10 @@
 
 
 def split_delivered(body: dict[str, Any], offset: int) -> tuple[str, str]:
-    """:returns: the prompt, and the text of the answer that goes with it
+    """:returns: the prompt, and the part of the answer that the request repeats
 
-    :param offset: characters of the answer that the caller already has
+    :param offset: number of characters of the answer that the caller has already
+        received
     """
     if "messages" not in body:
         prompt: str = body["prompt"]
--- a/src/quetzaldeck/standin/engine_task.py
+++ b/src/quetzaldeck/standin/engine_task.py
@@ -1,4 +1,4 @@
-"""The task that owns a stand-in engine's model and steps it."""
+"""Task that owns the model of a stand-in engine and runs its steps."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from quetzaldeck.engine_model import EngineModel, Sequence
 from quetzaldeck.standin.cache_events import CacheEventLog
-from quetzaldeck.standin.engine_group import EngineGroup
-from quetzaldeck.standin.sequence_watcher import SequenceWatcher
+from quetzaldeck.standin.group_allocations import GroupAllocations
+from quetzaldeck.standin.sequence_observer import SequenceObserver
 from quetzaldeck.upstreams.attempt import Owner
 
 if TYPE_CHECKING:
@@ -20,10 +20,14 @@
     from quetzaldeck.upstreams.wire import SequenceBody
 
 _MAX_BEHIND_MS = 50.0
+"""Limit of the delay that later steps catch up after the task ran late."""
 
 
 class Load(NamedTuple):
-    """Figures of one moment."""
+    """Load of the engine at one time.
+
+    :param sequence: number of this record, from 1
+    """
 
     at_ms: float
     sequence: int
@@ -33,10 +37,10 @@
     n_prefill_tokens: int
 
 
-class Holding(NamedTuple):
-    """What the engine holds for one attempt.
+class HeldSequence(NamedTuple):
+    """A sequence that the engine holds for an attempt.
 
-    :param tokens: receives the number of tokens generated so far
+    :param tokens: queue that gets the number of tokens generated so far, per token
     """
 
     sequence: Sequence
@@ -46,10 +50,10 @@
 
 
 class EngineTask:
-    """Steps the model in real time; owns every sequence.
+    """Runs the engine model in real time and owns all of its sequences.
 
-    :param wait_awake: returns when the engine is not paused
-    :param watcher: is told of each sequence taken and let go
+    :param wait_until_running: waits until the engine is not paused
+    :param observer: notified when a sequence starts or ends
     """
 
     def __init__(
@@ -57,16 +61,18 @@
         profile: EngineProfile,
         clock: Clock,
         *,
-        wait_awake: Callable[[], Awaitable[None]],
-        watcher: SequenceWatcher | None = None,
+        wait_until_running: Callable[[], Awaitable[None]],
+        observer: SequenceObserver | None = None,
     ) -> None:
         self._model = EngineModel(profile)
         self._clock = clock
-        self._wait_awake = wait_awake
+        self._wait_until_running = wait_until_running
         self.cache_events = CacheEventLog()
-        self._watcher = watcher or SequenceWatcher()
-        self._holdings: dict[str, Holding] = {}
-        self.group = EngineGroup(self._model, clock, self._drop_reserved)
+        self._observer = observer or SequenceObserver()
+        self._held_sequences: dict[str, HeldSequence] = {}
+        self.group_allocations = GroupAllocations(
+            self._model, clock, self._drop_reserved
+        )
         self._loads: deque[Load] = deque(maxlen=1_000)
         self._has_work = asyncio.Event()
         self._n_loads = 0
@@ -78,78 +84,82 @@
         return self._model.n_kv_tokens_used
 
     @property
-    def holdings(self) -> dict[str, Holding]:
-        """:returns: what is held, by attempt id"""
-        return self._holdings
-
-    def submit(self, sequence: Sequence, owner: Owner) -> Holding:
-        """:returns: the holding of a new sequence"""
-        holding = Holding(sequence, owner, self._clock.now_ms(), asyncio.Queue())
-        self._holdings[sequence.sequence_id] = holding
+    def held_sequences(self) -> dict[str, HeldSequence]:
+        """:returns: the held sequences, by attempt id"""
+        return self._held_sequences
+
+    def submit(self, sequence: Sequence, owner: Owner) -> HeldSequence:
+        """:returns: the new sequence as held by the engine"""
+        held_sequence = HeldSequence(
+            sequence, owner, self._clock.now_ms(), asyncio.Queue()
+        )
+        self._held_sequences[sequence.sequence_id] = held_sequence
         self.n_submitted += 1
-        self._watcher.note_started(sequence.sequence_id, owner)
+        self._observer.note_started(sequence.sequence_id, owner)
         self._model.submit(sequence)
         self._has_work.set()
-        return holding
+        return held_sequence
 
-    def has_room(self, sequence: Sequence) -> bool:
-        """:returns: whether a sequence fits, now or when others have ended"""
+    def has_capacity(self, sequence: Sequence) -> bool:
+        """:returns: whether a sequence fits now, or will fit when others have ended"""
         if sequence.reservation_id:
             n_left = self._model.n_reserved_left(sequence.reservation_id)
             return sequence.n_kv_tokens <= n_left
         return sequence.n_kv_tokens <= self._model.n_kv_tokens
 
     def cancel(self, attempt_id: str) -> None:
-        """Release what an id holds: a sequence, a reservation or an export."""
-        if self.group.release(attempt_id):
+        """Release the sequence, reservation or export with this id."""
+        if self.group_allocations.release(attempt_id):
             self._has_work.set()
             return
         self._model.cancel(attempt_id)
-        if self._holdings.pop(attempt_id, None) is not None:
-            self._watcher.note_ended(attempt_id)
+        if self._held_sequences.pop(attempt_id, None) is not None:
+            self._observer.note_ended(attempt_id)
 
     def _drop_reserved(self, reservation_id: str) -> None:
-        """Forget the sequences that ran under a reservation."""
-        for attempt_id, holding in list(self._holdings.items()):
-            if holding.sequence.reservation_id == reservation_id:
-                del self._holdings[attempt_id]
-                self._watcher.note_ended(attempt_id)
+        """Drop the sequences that use a reservation."""
+        for attempt_id, held_sequence in list(self._held_sequences.items()):
+            if held_sequence.sequence.reservation_id == reservation_id:
+                del self._held_sequences[attempt_id]
+                self._observer.note_ended(attempt_id)
 
     def cancel_all(self) -> None:
-        """Release everything."""
-        for lease in self.group.leases:
+        """Release all reservations, exports and sequences."""
+        for lease in self.group_allocations.leases:
             self.cancel(lease.reservation_id)
-        for attempt_id in list(self._holdings):
+        for attempt_id in list(self._held_sequences):
             self.cancel(attempt_id)
 
-    def list_held(self) -> list[SequenceBody]:
+    def list_allocations(self) -> list[SequenceBody]:
         """:returns: sequences, reservations and exports, with their owners"""
-        self.group.expire()
+        self.group_allocations.expire()
         now_ms = self._clock.now_ms()
-        held: list[SequenceBody] = []
-        for attempt_id, holding in self._holdings.items():
-            n_tokens = holding.sequence.n_kv_tokens
-            age_ms = now_ms - holding.started_ms
-            entry = _describe(attempt_id, holding.owner, n_tokens, age_ms, "sequence")
-            held.append(entry)
-        for lease in self.group.leases:
-            held_id = lease.reservation_id
+        allocations: list[SequenceBody] = []
+        for attempt_id, held_sequence in self._held_sequences.items():
+            n_tokens = held_sequence.sequence.n_kv_tokens
+            age_ms = now_ms - held_sequence.started_ms
+            entry = _describe(
+                attempt_id, held_sequence.owner, n_tokens, age_ms, "sequence"
+            )
+            allocations.append(entry)
+        for lease in self.group_allocations.leases:
+            allocation_id = lease.reservation_id
             age_ms = now_ms - lease.started_ms
             entry = _describe(
-                held_id, lease.owner, lease.n_tokens, age_ms, "reservation"
+                allocation_id, lease.owner, lease.n_tokens, age_ms, "reservation"
             )
-            held.append(entry)
-            held.extend(
+            allocations.append(entry)
+            allocations.extend(
                 _describe(export.export_id, lease.owner, 0, age_ms, "export")
-                for export in self.group.exports
-                if export.reservation_id == held_id
+                for export in self.group_allocations.exports
+                if export.reservation_id == allocation_id
             )
-        return held
+        return allocations
 
     def read_load(self, lag_ms: float) -> Load:
-        """:returns: the newest load that is at least ``lag_ms`` old"""
+        """:returns: the newest recorded load that is at least ``lag_ms`` old"""
         now_ms = self._clock.now_ms()
-        self.group.expire()
+        self.group_allocations.expire()
         self._record_load(now_ms)
         due_ms = now_ms - lag_ms
         while len(self._loads) > 1 and self._loads[1].at_ms <= due_ms:
@@ -157,23 +167,23 @@
         return self._loads[0]
 
     async def run(self) -> None:
-        """Step until cancelled; sleep while there is nothing to do."""
+        """Run steps until cancelled; wait while the engine is idle."""
         due_ms = self._clock.now_ms()
         while True:
             if self._model.is_idle:
                 self._has_work.clear()
                 await self._has_work.wait()
                 due_ms = self._clock.now_ms()
-            await self._wait_awake()
+            await self._wait_until_running()
             step = self._model.step()
             due_ms = max(
                 due_ms + step.duration_ms, self._clock.now_ms() - _MAX_BEHIND_MS
             )
             await asyncio.sleep(max(0.0, due_ms - self._clock.now_ms()) / 1_000)
             for attempt_id in step.emitted:
-                holding = self._holdings.get(attempt_id)
-                if holding is not None:
-                    holding.tokens.put_nowait(holding.sequence.n_generated)
+                held_sequence = self._held_sequences.get(attempt_id)
+                if held_sequence is not None:
+                    held_sequence.tokens.put_nowait(held_sequence.sequence.n_generated)
             for attempt_id in step.finished:
                 self.cancel(attempt_id)
             now_ms = self._clock.now_ms()
@@ -196,10 +206,10 @@
 
 
 def _describe(
-    held_id: str, owner: Owner, n_kv_tokens: int, age_ms: float, kind: str
+    allocation_id: str, owner: Owner, n_kv_tokens: int, age_ms: float, kind: str
 ) -> SequenceBody:
     return {
-        "attempt_id": held_id,
+        "attempt_id": allocation_id,
         "vm": owner.vm,
         "incarnation": owner.incarnation,
         "n_kv_tokens": n_kv_tokens,
@@ -208,4 +218,4 @@
     }
 
 
-__all__ = ("EngineTask", "Holding", "Load")
+__all__ = ("EngineTask", "HeldSequence", "Load")
--- a/src/quetzaldeck/standin/faults.py
+++ b/src/quetzaldeck/standin/faults.py
@@ -1,4 +1,4 @@
-"""Faults that stand-ins can be told to have, in settings or while they run."""
+"""Persistent faults of stand-ins, set in their settings or at run time."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     """Faults of a stand-in engine."""
 
     crash_marker: Annotated[
-        str, Option("A prompt that contains it crashes the engine; empty: none.")
+        str, Option("A prompt that contains this text crashes the engine; empty: none.")
     ] = ""
     crash_after_ms: Annotated[
-        int, Option("From the arrival of such a prompt to the crash.", unit="ms")
+        int, Option("Time from the arrival of such a prompt to the crash.", unit="ms")
     ] = 50
     restart_ms: Annotated[
         int, Option("How long the engine is down after a crash.", unit="ms")
@@ -25,19 +25,19 @@
     ] = False
     swaps_chunks: Annotated[bool, Option("Sends chunks pairwise swapped.")] = False
     sends_foreign_chunks: Annotated[
-        bool, Option("Sends chunks of another attempt in between.")
+        bool, Option("Sends chunks of another attempt in addition.")
     ] = False
     extra_load_lag_ms: Annotated[
         int, Option("Added to the age of load reports.", unit="ms", minimum=0)
     ] = 0
     cache_event_gap: Annotated[
-        int, Option("Loses each n-th cache event; 0: none.", minimum=0)
+        int, Option("Drops every n-th cache event; 0: none.", minimum=0)
     ] = 0
     cache_event_lag_ms: Annotated[
-        int, Option("Age at which cache events are shown.", unit="ms", minimum=0)
+        int, Option("Delay after which cache events are served.", unit="ms", minimum=0)
     ] = 0
     ignores_fencing: Annotated[
-        bool, Option("Takes commands with an old fencing token.")
+        bool, Option("Accepts commands with an old fencing token.")
     ] = False
 
 
@@ -45,13 +45,13 @@
     """Faults of a stand-in replica of a plain service."""
 
     extra_duration_ms: Annotated[
-        int, Option("Added to the time of a call.", unit="ms", minimum=0)
+        int, Option("Added to the duration of a call.", unit="ms", minimum=0)
     ] = 0
     n_crashes_before: Annotated[
-        int, Option("Next calls that break before they are run.", minimum=0)
+        int, Option("Number of next calls that are aborted before they run.", minimum=0)
     ] = 0
     n_crashes_after: Annotated[
-        int, Option("Next calls that break after they were run.", minimum=0)
+        int, Option("Number of next calls that are aborted after they ran.", minimum=0)
     ] = 0
 
 
@@ -60,13 +60,13 @@
 
     is_down: Annotated[bool, Option("Answers every call with status 503.")] = False
     n_revisions_behind: Annotated[
-        int, Option("Shows a value this many revisions old.", minimum=0)
+        int, Option("Serves a value this many revisions old.", minimum=0)
     ] = 0
     hangs_watch: Annotated[bool, Option("Never answers a watch.")] = False
 
 
 class VmListFaults(NamedTuple):
-    """Faults of the stand-in list of VMs."""
+    """Faults of the stand-in VM list."""
 
     is_down: Annotated[bool, Option("Answers every call with status 503.")] = False
 
--- a/src/quetzaldeck/standin/group_routes.py
+++ b/src/quetzaldeck/standin/group_routes.py
@@ -1,4 +1,4 @@
-"""The part of the engine protocol that groups of engines use."""
+"""Routes of the engine protocol for engine groups."""
 
 from __future__ import annotations
 
@@ -17,10 +17,12 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from quetzaldeck.standin.engine_task import EngineTask, Holding
+    from quetzaldeck.standin.engine_task import EngineTask, HeldSequence
     from quetzaldeck.upstreams.wire import ExportBody, PrefillBody, ReservationBody
 
-    WaitForToken = Callable[[web.Request, web.StreamResponse, Holding], Awaitable[None]]
+    WaitForToken = Callable[
+        [web.Request, web.StreamResponse, HeldSequence], Awaitable[None]
+    ]
 
 IMPORT_TIMEOUT_MS = 5_000.0
 HTTP_TOO_LARGE = 413
@@ -28,16 +30,16 @@
 
 
 class ImportFailedError(Exception):
-    """A part that another engine should hold cannot be had."""
+    """A prompt part could not be imported from another engine."""
 
 
 class GroupRoutes:
-    """Reservations, prefill of parts, and exports of one stand-in engine.
+    """Handles reservations, prefills of prompt parts and exports of a stand-in engine.
 
     :param engine: returns the task of the engine's current incarnation
     :param address: returns the engine's base URL
-    :param headers: returns the headers of streamed answers
-    :param wait_for_token: waits for a sequence's next token, with heartbeats
+    :param headers: returns the headers of streamed responses
+    :param wait_for_token: waits for the next token of a sequence and sends keep-alives
     """
 
     def __init__(
@@ -54,7 +56,7 @@
         self._wait_for_token = wait_for_token
 
     def list_routes(self) -> list[web.RouteDef]:
-        """:returns: routes to add to the engine's application"""
+        """:returns: the routes to add to the application of the engine"""
         return [
             web.post("/v1/reservations", self._reserve),
             web.post("/v1/prefill", self._prefill),
@@ -62,10 +64,10 @@
         ]
 
     async def read_imports(self, imports: list[ExportBody]) -> str:
-        """Import parts from the engines that hold them.
+        """Import prompt parts from the engines that hold them.
 
-        :returns: their text, which stands for the KV cache
-        :raises ImportFailedError: if an engine does not give its part
+        :returns: their text, which stands for their KV cache
+        :raises ImportFailedError: if an engine does not return its part
         """
         if not imports:
             return ""
@@ -79,10 +81,13 @@
 
     async def _reserve(self, request: web.Request) -> web.Response:
         body: ReservationBody = msgspec.json.decode(await request.read())
-        group = self._engine().group
-        if body["n_tokens"] > group.max_tokens:
-            return json_response({"error": "never so much room"}, status=HTTP_TOO_LARGE)
-        is_granted = group.ask(
+        group_allocations = self._engine().group_allocations
+        if body["n_tokens"] > group_allocations.max_tokens:
+            return json_response(
+                {"error": "reservation exceeds the reservable memory"},
+                status=HTTP_TOO_LARGE,
+            )
+        is_granted = group_allocations.reserve(
             body["reservation_id"],
             Owner(body["vm"], body["incarnation"]),
             body["n_tokens"],
@@ -101,17 +106,20 @@
             reservation_id=body["reservation_id"],
             n_context_tokens=sum(part["n_tokens"] for part in body["imports"]),
         )
-        if not engine.has_room(sequence):
-            return json_response({"error": "no such room"}, status=HTTP_TOO_LARGE)
+        if not engine.has_capacity(sequence):
+            return json_response(
+                {"error": "sequence exceeds the available memory"},
+                status=HTTP_TOO_LARGE,
+            )
         try:
             await self.read_imports(body["imports"])
         except ImportFailedError as error:
             return json_response({"error": str(error)}, status=HTTP_FAILED_DEPENDENCY)
         response = web.StreamResponse(headers=self._headers())
         await response.prepare(request)
-        holding = engine.submit(sequence, Owner(body["vm"], body["incarnation"]))
+        held_sequence = engine.submit(sequence, Owner(body["vm"], body["incarnation"]))
         try:
-            await self._wait_for_token(request, response, holding)
+            await self._wait_for_token(request, response, held_sequence)
         finally:
             engine.cancel(sequence.sequence_id)
         await self._write_export(response, engine, body, sequence.n_prompt_tokens)
@@ -124,7 +132,9 @@
         body: PrefillBody,
         n_tokens: int,
     ) -> None:
-        export = engine.group.add_export(body["reservation_id"], body["text"], n_tokens)
+        export = engine.group_allocations.add_export(
+            body["reservation_id"], body["text"], n_tokens
+        )
         answer: ExportBody = {
             "export_id": export.export_id,
             "address": self._address(),
@@ -134,9 +144,11 @@
         await response.write(encode_event(DONE))
 
     async def _read_export(self, request: web.Request) -> web.Response:
-        export = self._engine().group.get_export(request.match_info["export_id"])
+        export = self._engine().group_allocations.get_export(
+            request.match_info["export_id"]
+        )
         if export is None:
-            return json_response({"error": "no such export"}, status=404)
+            return json_response({"error": "unknown export"}, status=404)
         return json_response({"text": export.text})
 
 
--- a/src/quetzaldeck/standin/plain_service.py
+++ b/src/quetzaldeck/standin/plain_service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: counts executions by idempotency key."""
+"""Stand-in for a plain service, which counts executions by idempotency key."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 
 
 class PlainServiceStandin(StandinBase):
-    """Answers every path and counts what it ran.
+    """Answers calls on all paths and counts its executions.
 
-    :param note_execution: is told key, digest of the body and request id of each
-        execution
+    :param on_execution: called with the idempotency key, the digest of the body and
+        the request id of each execution
     """
 
     def __init__(
         self,
         settings: ServiceSettings,
         *,
-        note_execution: Callable[[str, str, str], None] | None = None,
+        on_execution: Callable[[str, str, str], None] | None = None,
         **kwargs: Any,
     ) -> None:
         super().__init__(settings.listen, **kwargs)
         self._settings = settings
-        self._note_execution = note_execution
+        self._on_execution = on_execution
         self._executions: Counter[str] = Counter()
         self.faults = settings.faults
 
     @property
     def executions(self) -> dict[str, int]:
-        """:returns: how often each idempotency key ran"""
+        """:returns: number of executions of each idempotency key"""
         return dict(self._executions)
 
     async def open(self) -> web.Application:
@@ -55,7 +55,7 @@
         )
 
     async def set_faults(self, data: Any) -> None:
-        """Replace the lasting faults; see :meth:`StandinBase.set_faults`."""
+        """Replace the persistent faults; see :meth:`StandinBase.set_faults`."""
         self.faults = load_data(data, ServiceFaults, "faults")
 
     async def _run(self, request: web.Request) -> web.Response:
@@ -63,22 +63,22 @@
         faults = self.faults
         if faults.n_crashes_before:
             self.faults = faults._replace(n_crashes_before=faults.n_crashes_before - 1)
-            return await self._break(request)
+            return await self._abort(request)
         key = request.headers.get("Idempotency-Key", "")
         digest = xxhash.xxh3_64_hexdigest(body)
         self._executions[key] += 1
-        if self._note_execution is not None:
+        if self._on_execution is not None:
             request_id = request.headers.get("X-Request-Id", "")
-            self._note_execution(key, digest, request_id)
+            self._on_execution(key, digest, request_id)
         duration_ms = self._settings.duration_ms + faults.extra_duration_ms
         await asyncio.sleep(duration_ms / 1_000)
         if faults.n_crashes_after:
             self.faults = faults._replace(n_crashes_after=faults.n_crashes_after - 1)
-            return await self._break(request)
+            return await self._abort(request)
         return json_response({"key": key, "path": request.path, "digest": digest})
 
-    async def _break(self, request: web.Request) -> web.Response:
-        """Break the connection of a call, as a process that dies does."""
+    async def _abort(self, request: web.Request) -> web.Response:
+        """Abort the connection of a call, like a process that crashes."""
         assert request.transport is not None
         request.transport.abort()
         return json_response({})
--- a/src/quetzaldeck/standin/settings.py
+++ b/src/quetzaldeck/standin/settings.py
@@ -22,13 +22,15 @@
 
     name: Annotated[str, Option("Name of the engine.")]
     listen: Annotated[ListenAddress, Option("Where it listens.")]
-    models: Annotated[tuple[str, ...], Option("Models it has loaded.")] = ()
-    profile: Annotated[EngineProfile, Option("What it costs.")] = EngineProfile()
+    models: Annotated[
+        tuple[str, ...], Option("Models it has loaded at the start.")
+    ] = ()
+    profile: Annotated[EngineProfile, Option("Its speed and size.")] = EngineProfile()
     load_lag_ms: Annotated[
         int, Option("Age of its load reports.", unit="ms", minimum=0)
     ] = 200
     max_models: Annotated[
-        int, Option("Models it has room for; 0: any number.", minimum=0)
+        int, Option("Most models that it can hold; 0: no limit.", minimum=0)
     ] = 0
     faults: Annotated[EngineFaults, Option("Its faults.")] = EngineFaults()
 
@@ -49,7 +51,8 @@
 
     listen: Annotated[ListenAddress, Option("Where it listens.")]
     bundle_file: Annotated[
-        Path | None, Option("Signed bundle to publish; re-read when it changes.")
+        Path | None,
+        Option("Signed bundle to publish; published again when it changes."),
     ] = None
     faults: Annotated[ConfigurationFaults, Option("Its faults.")] = (
         ConfigurationFaults()
@@ -57,16 +60,18 @@
 
 
 class VmListSettings(NamedTuple):
-    """The stand-in list of VMs."""
+    """The stand-in VM list."""
 
     listen: Annotated[ListenAddress, Option("Where it listens.")]
-    lag_ms: Annotated[int, Option("How late it is.", unit="ms", minimum=0)] = 1_000
+    lag_ms: Annotated[int, Option("Delay of its changes.", unit="ms", minimum=0)] = (
+        1_000
+    )
     vms: Annotated[tuple[VmEntry, ...], Option("The VMs listed.")] = ()
     faults: Annotated[VmListFaults, Option("Its faults.")] = VmListFaults()
 
 
 class StandinSettings(NamedTuple):
-    """All stand-ins of one process."""
+    """Settings of all stand-ins in one process."""
 
     configuration_service: Annotated[
         ConfigurationServiceSettings | None, Option("Configuration service.")
--- a/src/quetzaldeck/standin/vm_list.py
+++ b/src/quetzaldeck/standin/vm_list.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of VMs: it lags behind what is set."""
+"""Stand-in for the platform's list of VMs, whose changes appear with a delay."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class VmListStandin(StandinBase):
-    """Shows each change only after its lag."""
+    """Serves a list of VMs; changes take effect after the configured lag."""
 
     def __init__(
         self, settings: VmListSettings, *, clock: Clock | None = None, **kwargs: Any
@@ -34,13 +34,13 @@
         super().__init__(settings.listen, **kwargs)
         self._settings = settings
         self._clock = clock or Clock()
-        self._shown = settings.vms
+        self._served = settings.vms
         self._pending: deque[tuple[float, tuple[VmEntry, ...]]] = deque()
         self.n_calls = 0
         self.is_down = settings.faults.is_down
 
     def set_vms(self, vms: tuple[VmEntry, ...]) -> None:
-        """Change the list; readers see it after the lag."""
+        """Change the list; readers see the change after the lag."""
         due_ms = self._clock.now_ms() + self._settings.lag_ms
         self._pending.append((due_ms, vms))
 
@@ -54,11 +54,11 @@
         )
 
     async def set_faults(self, data: Any) -> None:
-        """Replace the lasting faults; see :meth:`StandinBase.set_faults`."""
+        """Replace the persistent faults; see :meth:`StandinBase.set_faults`."""
         self.is_down = load_data(data, VmListFaults, "faults").is_down
 
     async def _replace_vms(self, request: web.Request) -> web.Response:
-        """Take a new list from a test that drives the stand-in from outside."""
+        """Replace the list on behalf of a test that runs in another process."""
         try:
             data = msgspec.json.decode(await request.read())
             listed = load_data({"vms": data}, _ListedVms, "vms")
@@ -73,8 +73,8 @@
             return web.Response(status=503)
         now_ms = self._clock.now_ms()
         while self._pending and self._pending[0][0] <= now_ms:
-            self._shown = self._pending.popleft()[1]
-        return json_response(self._shown)
+            self._served = self._pending.popleft()[1]
+        return json_response(self._served)
 
 
 __all__ = ("VmListStandin",)
--- a/src/quetzaldeck/standin/weight_store.py
+++ b/src/quetzaldeck/standin/weight_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the rate-limited store of model weights."""
+"""Stand-in for the store of model weights, which limits the rate of loads."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class WeightStoreLimitError(Exception):
-    """The store refuses a load: there were too many within the last minute."""
+    """The store refused a load: the limit for the last minute is reached."""
 
 
 class WeightStoreStandin:
-    """Shared by the engines of a fleet; counts what it allows and refuses.
+    """A weight store shared by the engines of a fleet; counts its loads and refusals.
 
-    :param loads_per_minute: loads allowed within any minute
-    :param load_ms: how long the weights of one load take
+    :param loads_per_minute: loads allowed within any period of one minute
+    :param load_ms: time to fetch the weights of one load
     """
 
     def __init__(
@@ -29,27 +29,29 @@
         self._clock = clock
         self._loads_per_minute = loads_per_minute
         self._load_ms = load_ms
-        self._started_ms: deque[float] = deque()
+        self._load_times_ms: deque[float] = deque()
         self.n_loads = 0
         self.n_refused = 0
 
     def check_limit(self) -> None:
-        """Count a load that begins now.
+        """Count a load that starts now against the limit.
 
-        :raises WeightStoreLimitError: if it is one too many
+        :raises WeightStoreLimitError: if the limit is reached
         """
         now_ms = self._clock.now_ms()
-        while self._started_ms and now_ms - self._started_ms[0] >= MS_PER_MINUTE:
-            self._started_ms.popleft()
-        if len(self._started_ms) >= self._loads_per_minute:
+        while self._load_times_ms and now_ms - self._load_times_ms[0] >= MS_PER_MINUTE:
+            self._load_times_ms.popleft()
+        if len(self._load_times_ms) >= self._loads_per_minute:
             self.n_refused += 1
-            msg = f"at most {self._loads_per_minute:g} loads a minute; try later"
+            msg = (
+                f"limit of {self._loads_per_minute:g} loads a minute reached; try later"
+            )
             raise WeightStoreLimitError(msg)
-        self._started_ms.append(now_ms)
+        self._load_times_ms.append(now_ms)
         self.n_loads += 1
 
     async def fetch(self) -> None:
-        """Wait until the weights are there."""
+        """Wait until the weights are fetched."""
         await asyncio.sleep(self._load_ms / 1_000)
 
 
--- a/tests/soak/own/world.py
+++ b/tests/soak/own/world.py
@@ -36,7 +36,7 @@
     PlainServiceStandin,
     VmListStandin,
 )
-from quetzaldeck.standin.sequence_watcher import SequenceWatcher
+from quetzaldeck.standin.sequence_observer import SequenceObserver
 from quetzaldeck.standin.settings import (
     ConfigurationServiceSettings,
     EngineSettings,
@@ -70,7 +70,7 @@
     vm_list_lag_ms: int = 500
 
 
-class _RecordingWatcher(SequenceWatcher):
+class _RecordingObserver(SequenceObserver):
     """Records the sequences of one engine."""
 
     def __init__(self, upstream: str, recorder: Recorder) -> None:
@@ -237,8 +237,8 @@
         settings = EngineSettings(
             name, FREE_PORT, (f"{MODEL}:1",), self._settings.profile
         )
-        watcher = _RecordingWatcher(name, self._recorder)
-        engine = EngineStandin(settings, watcher=watcher)
+        observer = _RecordingObserver(name, self._recorder)
+        engine = EngineStandin(settings, observer=observer)
         await self._stack.enter_async_context(start_service(engine))
         self.engines[name] = engine
         await self._open_upstream_link(name, engine.port)
@@ -249,7 +249,7 @@
             self._recorder.record(Executed(now_ms, name, key, digest, request_id))
 
         service = PlainServiceStandin(
-            ServiceSettings(name, FREE_PORT, BOOKING_MS), note_execution=note
+            ServiceSettings(name, FREE_PORT, BOOKING_MS), on_execution=note
         )
         await self._stack.enter_async_context(start_service(service))
         self.services[name] = service
--- a/tests/standin/test_engine_groups.py
+++ b/tests/standin/test_engine_groups.py
@@ -1,4 +1,4 @@
-"""The engine protocol for groups and caches, as an adapter sees it."""
+"""Tests of the engine protocol for engine groups and cache events."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 def test_reservation_and_export_are_listed_with_their_owner() -> None:
-    """A VM dies while it holds a group; another VM must find what it held."""
+    """A VM crashes while it holds an engine group; another VM must find the memory."""
 
     async def check(engine: OpenAiEngine, standin: EngineStandin) -> None:
         assert await engine.reserve(make_reservation())
@@ -92,8 +92,8 @@
     run_engine(check)
 
 
-def test_reservation_ends_by_itself() -> None:
-    """Its owner is gone for good and nobody looks for what it held."""
+def test_reservation_ends_with_its_lease() -> None:
+    """The owner crashed and no other VM reclaims the memory."""
     clock = ManualClock(1_000.0)
 
     async def check(engine: OpenAiEngine, standin: EngineStandin) -> None:
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("n_tokens", [751, 10_000])
-def test_reserve_refuses_what_it_can_never_grant(n_tokens: int) -> None:
+def test_reserve_refuses_more_than_can_ever_be_granted(n_tokens: int) -> None:
     async def check(engine: OpenAiEngine, standin: EngineStandin) -> None:
         with pytest.raises(UpstreamError, match="413") as caught:
             await engine.reserve(make_reservation(n_tokens=n_tokens))
@@ -140,7 +140,7 @@
     run_engine(check)
 
 
-def test_complete_fails_when_an_import_is_gone() -> None:
+def test_complete_fails_if_an_import_was_released() -> None:
     async def check(engine: OpenAiEngine, standin: EngineStandin) -> None:
         assert await engine.reserve(make_reservation())
         export = await engine.prefill(make_part("word " * 100))
@@ -156,7 +156,7 @@
     run_engine(check)
 
 
-def test_complete_refuses_what_the_engine_can_never_hold() -> None:
+def test_complete_refuses_a_prompt_that_exceeds_the_memory() -> None:
     async def check(engine: OpenAiEngine, standin: EngineStandin) -> None:
         with pytest.raises(UpstreamError, match="413"):
             await read_chunks(engine, make_attempt("word " * 2_000))
@@ -164,7 +164,7 @@
     run_engine(check)
 
 
-def test_first_chunk_carries_the_cache_events_after_the_cursor() -> None:
+def test_first_chunk_contains_the_cache_events_after_the_cursor() -> None:
     async def check(engine: OpenAiEngine, standin: EngineStandin) -> None:
         prompt = "abc " * 300
         first, second = await read_chunks(engine, make_attempt(prompt))
@@ -175,8 +175,8 @@
         again = await read_chunks(engine, make_attempt(prompt, cursor))
         assert again[0].cache_events is not None
         assert again[0].cache_events.events == ()
-        other_life = CacheCursor("gone", cursor.sequence)
-        anew = await read_chunks(engine, make_attempt(prompt, other_life))
-        assert anew[0].cache_events == first.cache_events
+        other_incarnation = CacheCursor("gone", cursor.sequence)
+        restarted = await read_chunks(engine, make_attempt(prompt, other_incarnation))
+        assert restarted[0].cache_events == first.cache_events
 
     run_engine(check)
--- a/tests/standin/test_faults.py
+++ b/tests/standin/test_faults.py
@@ -1,4 +1,4 @@
-"""Tests of the faults that stand-ins can be told to have."""
+"""Tests of the fault injection of the stand-ins."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
         return await response.json(content_type=None)
 
 
-def test_crash_breaks_streams_and_forgets_everything() -> None:
+def test_crash_aborts_streams_and_discards_all_state() -> None:
     async def check(client: aiohttp.ClientSession) -> None:
         async with start_engine() as engine:
             before = await read_json(client, engine.address + "/v1/load")
@@ -89,7 +89,7 @@
     run(check)
 
 
-def test_crash_marker_crashes_the_engine_that_runs_it() -> None:
+def test_prompt_with_the_crash_marker_crashes_the_engine() -> None:
     async def check(client: aiohttp.ClientSession) -> None:
         faults = EngineFaults("boom", crash_after_ms=0, restart_ms=0)
         async with start_engine(faults) as engine:
@@ -103,10 +103,10 @@
     run(check)
 
 
-def test_silenced_connection_never_answers_and_a_new_one_does() -> None:
-    """A flow goes half-open: its reader waits for ever, new connections work.
+def test_silenced_connection_stays_silent_and_a_new_one_works() -> None:
+    """A half-open connection: its reader waits forever, new connections work.
 
-    The engine does not see that the other end gave up; the sequence keeps its
+    The engine does not notice that the client disconnected, so the sequence keeps its
     memory until it is cancelled.
     """
 
@@ -130,7 +130,7 @@
     run(check)
 
 
-def test_pause_holds_answers_back_until_it_is_over() -> None:
+def test_pause_delays_responses_until_it_ends() -> None:
     async def check(client: aiohttp.ClientSession) -> None:
         async with start_engine() as engine:
             pause = asyncio.create_task(engine.pause(300))
@@ -143,7 +143,7 @@
     run(check)
 
 
-def test_cache_events_are_numbered_and_lose_some() -> None:
+def test_cache_events_are_numbered_and_can_have_gaps() -> None:
     async def check(client: aiohttp.ClientSession) -> None:
         async with start_engine() as engine:
             body = build_body("word " * 5_000)
@@ -164,18 +164,18 @@
     run(check)
 
 
-def test_post_faults_reports_every_fault_of_the_order() -> None:
+def test_post_faults_reports_every_error_in_the_request() -> None:
     async def check(client: aiohttp.ClientSession) -> None:
         async with start_engine() as engine:
             url = engine.address + "/standin/faults"
-            order = {"faults": {"doubles_chunk": True, "restart_ms": "1s"}}
-            async with client.post(url, json=order) as response:
+            fault_request = {"faults": {"doubles_chunk": True, "restart_ms": "1s"}}
+            async with client.post(url, json=fault_request) as response:
                 assert response.status == 400
                 findings = (await response.json())["findings"]
             assert any("did you mean 'doubles_chunks'?" in text for text in findings)
             assert any("write 1000" in text for text in findings)
-            order = {"faults": {"crash_marker": "boom"}}
-            async with client.post(url, json=order) as response:
+            fault_request = {"faults": {"crash_marker": "boom"}}
+            async with client.post(url, json=fault_request) as response:
                 assert response.status == 200
             assert engine.faults.crash_marker == "boom"
 
@@ -186,7 +186,7 @@
     ("faults", "n_runs"),
     [(ServiceFaults(n_crashes_before=1), 0), (ServiceFaults(n_crashes_after=1), 1)],
 )
-def test_plain_service_crashes_before_or_after_it_ran(
+def test_plain_service_aborts_a_call_before_or_after_it_ran(
     faults: ServiceFaults, n_runs: int
 ) -> None:
     async def check(client: aiohttp.ClientSession) -> None:
@@ -201,7 +201,7 @@
     run(check)
 
 
-def test_configuration_service_can_be_stale_and_catch_up() -> None:
+def test_configuration_service_serves_old_revisions_and_catches_up() -> None:
     async def check(client: aiohttp.ClientSession) -> None:
         service = ConfigurationServiceStandin(ConfigurationServiceSettings(FREE_PORT))
         async with start_service(service):
--- a/tests/system/probes.py
+++ b/tests/system/probes.py
@@ -29,7 +29,7 @@
 
 
 async def order_faults(process: ProgramProcess, **order: Any) -> None:
-    """Let a stand-in suffer faults; see ``quetzaldeck.standin.fault_order``."""
+    """Let a stand-in suffer faults; see ``quetzaldeck.standin.fault_request``."""
     await post_json(process.address + "/standin/faults", order)
 
 
