--- a/src/quetzaldeck/history/checks/calls_end.py
+++ b/src/quetzaldeck/history/checks/calls_end.py
@@ -27,7 +27,7 @@
     """Finds calls that never ended or ended after their deadline.
 
     A caller that timed out counts as a violation as well, because the VM should
-    have ended the call by itself, unless the VM was paused during the call.
+    have ended the call, unless the VM was paused during the call.
     """
 
     def find(self, events: Sequence[Event]) -> Iterator[tuple[int, str]]:
