--- a/tests/agent/test_bundles_in_fleet.py
+++ b/tests/agent/test_bundles_in_fleet.py
@@ -48,7 +48,7 @@
 async def run_stale_service() -> None:
     async with Fleet(SMALL) as fleet:
         await roll(fleet, 5)
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         await fleet.publish(fleet.build_bundle(4))
         await fleet.start_vm("entry-9")
         async with asyncio.timeout(20):
@@ -70,7 +70,7 @@
 async def run_replacement() -> None:
     async with Fleet(SMALL) as fleet:
         await roll(fleet, 2)
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         fleet.configuration.is_down = True
         for index in (1, 2, 3):
             await fleet.start_vm(f"entry-{index + 10}")
@@ -110,7 +110,7 @@
     new_private, new_public = generate_key()
     async with Fleet(SMALL) as fleet:
         await roll(fleet, 2)
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         settings = fleet.build_agent_settings("entry-9")
         agent = fleet.build_agent(settings._replace(bundle_keys={"new": new_public}))
         await agent.start()
@@ -185,7 +185,7 @@
     membership = FAST_MEMBERSHIP._replace(probe_timeout_ms=10_000)
     settings = SMALL._replace(n_vms=5, max_watchers=1, membership=membership)
     async with Fleet(settings) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         await roll(fleet, 2)
         await wait_for(lambda: fleet.configuration.n_waiting == 1)
         n_calls = fleet.configuration.n_calls
@@ -201,7 +201,7 @@
 async def run_alone() -> None:
     settings = SMALL._replace(join_timeout_ms=600)
     async with Fleet(settings) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         fleet.partition.cut({"entry-9"}, set(fleet.vms))
         await fleet.start_vm("entry-9")
         fresh = fleet.vms["entry-9"].agent.session
--- a/tests/agent/test_commands_in_fleet.py
+++ b/tests/agent/test_commands_in_fleet.py
@@ -19,7 +19,7 @@
 async def roll_under_load() -> LoadReport:
     settings = FleetSettings(n_vms=3, n_engines=4, n_services=0)
     async with Fleet(settings) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         kinds = (KindSettings("plan", API_KEY, model=MODEL, max_prompt_tokens=4_000),)
         load = LoadSettings(
             gateways=fleet.gateway_addresses,
@@ -56,7 +56,7 @@
 async def roll_with_one_vm_lost() -> None:
     settings = FleetSettings(n_vms=3, n_engines=4, n_services=0)
     async with Fleet(settings) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         bundle = fleet.build_bundle(2)
         await fleet.publish(bundle._replace(models=(ModelSpec(MODEL, "2"),)))
         await wait_for(lambda: fleet.weight_store.n_loads > 0)
@@ -74,7 +74,7 @@
 async def roll_without_room() -> None:
     settings = FleetSettings(n_vms=3, n_engines=3, n_services=0, max_models=1)
     async with Fleet(settings) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         bundle = fleet.build_bundle(2)
         await fleet.publish(bundle._replace(models=(ModelSpec(MODEL, "2"),)))
         engines = list(fleet.engines.values())
--- a/tests/agent/test_peers_in_fleet.py
+++ b/tests/agent/test_peers_in_fleet.py
@@ -30,14 +30,14 @@
 
 async def run_member_changes() -> None:
     async with Fleet(FleetSettings(n_vms=4, n_engines=1)) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         await fleet.leave_vm("entry-1")
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         before = fleet.vms["entry-3"].agent.session.membership.find("entry-2")
         await fleet.stop_vm("entry-2")
         await wait_for(lambda: all_believe(fleet, "entry-2", MemberState.DEAD))
         await fleet.start_vm("entry-2")
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         after = fleet.vms["entry-3"].agent.session.membership.find("entry-2")
         assert before is not None
         assert after is not None
@@ -50,7 +50,7 @@
 
 async def run_forgeries() -> None:
     async with Fleet(FleetSettings(n_vms=2, n_engines=1)) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         target = fleet.vms["entry-1"].agent
         before = target.session.membership.find("entry-2")
         url = target.address + PEER_PATH + "gossip"
@@ -76,7 +76,7 @@
 
 async def run_record() -> None:
     async with Fleet(FleetSettings(n_vms=4, n_engines=1)) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         first, *others = sessions_of(fleet)
         first.records.put(RecordDraft("crash", "f00d", value=2, ttl_ms=60_000))
         await wait_for(
@@ -90,7 +90,7 @@
 
 async def run_partition() -> None:
     async with Fleet(FleetSettings(n_vms=5, n_engines=1)) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         sides = ({"entry-1", "entry-2", "entry-3"}, {"entry-4", "entry-5"})
         fleet.partition.cut(*sides)
         for side in sides:
@@ -102,7 +102,7 @@
                 states = {m.state for m in view.members if m.vm in other}
                 assert states == {MemberState.SUSPECTED}
         fleet.partition.heal()
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
 
 
 def live(fleet: Fleet, vm: str) -> set[str]:
@@ -122,11 +122,11 @@
 async def run_restart() -> None:
     """A restarted agent refuses nothing authentic: it tells peers its epoch."""
     async with Fleet(FleetSettings(n_vms=2, n_engines=1)) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         for _ in range(3):
             await fleet.stop_vm("entry-1")
             await fleet.start_vm("entry-1")
-            await fleet.meet()
+            await fleet.wait_until_members_agree()
 
 
 def test_peers_meet_again_after_each_restart() -> None:
@@ -135,7 +135,7 @@
 
 async def run_leaving_upstream() -> None:
     async with Fleet(FleetSettings(n_vms=3, n_engines=2)) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         first, *others = sessions_of(fleet)
         entry = VmEntry("engine-2", VmRole.UPSTREAM, state=VmState.LEAVING)
         first.apply_list((entry,))
@@ -152,7 +152,7 @@
 
 async def run_shared_loads() -> None:
     async with Fleet(FleetSettings(n_vms=3, n_engines=4)) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         engines = set(fleet.engines)
         await wait_for(
             lambda: all(
--- a/tests/agent/test_reclaim_in_fleet.py
+++ b/tests/agent/test_reclaim_in_fleet.py
@@ -47,7 +47,7 @@
 
 async def run_restarted_gateway() -> None:
     async with Fleet(FleetSettings(n_vms=3, n_engines=1)) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         engine = fleet.engines["engine-1"]
         vm = fleet.vms["entry-1"]
         await leave_behind(engine, "left.1", vm.gateway.session.state.owner)
@@ -77,7 +77,7 @@
 
 async def run_lost_vm() -> None:
     async with Fleet(FleetSettings(n_vms=3, n_engines=1)) as fleet:
-        await fleet.meet()
+        await fleet.wait_until_members_agree()
         engine = fleet.engines["engine-1"]
         owner = Owner("entry-lost", "gateway.lost")
         wall_ms = fleet.vms["entry-1"].agent.session.clock.wall_ms()
--- a/tests/decisions/retries/test_silence.py
+++ b/tests/decisions/retries/test_silence.py
@@ -112,7 +112,7 @@
 def test_attempt_goes_on_if_the_budget_is_spent(clock: ManualClock) -> None:
     """If it were abandoned, its caller would get an error instead of a retry."""
     resend_budget = ResendBudget(ratio=0.2, window_ms=10_000, min_resends=1)
-    scheduler = make_entry_scheduler(clock, NAMES, arrivals=resend_budget)
+    scheduler = make_entry_scheduler(clock, NAMES, resend_budget=resend_budget)
     first = dispatch_request(scheduler, clock, "r1")
     second = dispatch_request(scheduler, clock, "r2")
     clock.advance(SILENT_MS)
--- a/tests/entry/test_at_most_once.py
+++ b/tests/entry/test_at_most_once.py
@@ -25,7 +25,7 @@
 
 async def refuse(arrival: Arrival, connection: Connection) -> None:
     """Respond that the request was not run."""
-    await connection.not_run(arrival)
+    await connection.answer_not_executed(arrival)
 
 
 def test_booking_whose_response_is_lost_is_not_retried() -> None:
@@ -91,7 +91,7 @@
     """
 
     async def respond_misdirected(arrival: Arrival, connection: Connection) -> None:
-        await connection.not_run(arrival, status=421)
+        await connection.answer_not_executed(arrival, status=421)
 
     async def test(site: Site) -> None:
         answer = await site.call(BOOK_PATH)
--- a/tests/entry/test_sharing.py
+++ b/tests/entry/test_sharing.py
@@ -156,7 +156,7 @@
         vm = next(iter(fleet.vms.values()))
         async with (
             aiohttp.ClientSession() as client,
-            client.get(f"{vm.teller.address}/belief{query}") as response,
+            client.get(f"{vm.belief_service.address}/belief{query}") as response,
         ):
             assert response.status == 400
             assert "/belief" in await response.text()
--- a/tests/soak/entry/replicas.py
+++ b/tests/soak/entry/replicas.py
@@ -68,7 +68,9 @@
             return
         is_other = arrival.headers["quetzaldeck-expect-instance"] != self.replica_id
         if is_other or self._happens(self.p_refused):
-            await connection.not_run(arrival, status=421 if is_other else 503)
+            await connection.answer_not_executed(
+                arrival, status=421 if is_other else 503
+            )
             return
         after = arrival.headers.get("last-event-id", "")
         owner = arrival.headers.get("quetzaldeck-tenant", "")
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -91,14 +91,14 @@
     names: Iterable[str],
     *,
     figures: EngineFigures = FEW_SLOTS,
-    arrivals: ResendBudget | None = None,
+    resend_budget: ResendBudget | None = None,
 ) -> Scheduler:
     """:returns: the scheduler of an entry VM before engines with stated figures"""
     scheduler = build_scheduler(
         ENTRY_POLICIES,
         clock=clock,
         random_state=random.Random(3),
-        resend_budget=arrivals,
+        resend_budget=resend_budget,
     )
     specs = tuple(
         UpstreamSpec(
--- a/tests/support/fleet/fleet.py
+++ b/tests/support/fleet/fleet.py
@@ -109,7 +109,7 @@
         """:returns: base URLs of the gateways that run"""
         return tuple(vm.gateway.address for vm in self.vms.values())
 
-    async def meet(self) -> None:
+    async def wait_until_members_agree(self) -> None:
         """Wait until every agent believes that exactly these VMs are live."""
         expected = set(self.vms)
         await wait_for(
--- a/tests/support/platform/fleet.py
+++ b/tests/support/platform/fleet.py
@@ -39,7 +39,7 @@
         self.host = host
         self.entry = EntryService(settings)
         listen = ListenAddress(host, settings.peer_port)
-        self.teller = BeliefService(listen, lambda: self.entry.session.feed)
+        self.belief_service = BeliefService(listen, lambda: self.entry.session.feed)
 
     @property
     def state(self) -> EntryState:
@@ -60,11 +60,11 @@
     async def start(self) -> None:
         """Start both sides."""
         await self.entry.start()
-        await self.teller.start()
+        await self.belief_service.start()
 
     async def stop(self) -> None:
         """Stop both sides."""
-        await self.teller.stop()
+        await self.belief_service.stop()
         await self.entry.stop()
 
 
@@ -87,7 +87,7 @@
         for host in self._hosts:
             await self.start(host)
         await self.wait(lambda: all(vm.version == 1 for vm in self.vms.values()))
-        await self.wait(self._has_met)
+        await self.wait(self._members_agree)
         return self
 
     async def __aexit__(self, *exc: object) -> None:
@@ -137,7 +137,7 @@
             while not is_met():
                 await asyncio.sleep(0.01)
 
-    def _has_met(self) -> bool:
+    def _members_agree(self) -> bool:
         return all(
             len(vm.sources.list_neighbours()) == len(self.vms) - 1
             for vm in self.vms.values()
--- a/tests/support/platform/replica.py
+++ b/tests/support/platform/replica.py
@@ -54,7 +54,7 @@
             + body
         )
 
-    async def not_run(self, arrival: Arrival, status: int = 503) -> None:
+    async def answer_not_executed(self, arrival: Arrival, status: int = 503) -> None:
         """Say that the request was not run."""
         fields = ("Content-Length: 0", "Quetzaldeck-Not-Executed: 1")
         await self.send(build_head(arrival, status, *fields))
