--- a/tests/entry/test_memory_reservation.py
+++ b/tests/entry/test_memory_reservation.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     import pytest
     from tests.support.platform.replica import Arrival, Connection, StandInReplica
-    from tests.support.platform.site import Behave, Site
+    from tests.support.platform.site import Handler, Site
 
 HUGE = (500_000, 100)
 N_ENGINES = 6
@@ -186,7 +186,7 @@
         assert "memory_not_renewed" in events
         assert events.count("memory_reserved") > N_ENGINES
 
-    def build_flaky() -> Behave:
+    def build_flaky() -> Handler:
         behave = build_engine(memory, hold_s=0.8)
 
         async def flaky(arrival: Arrival, connection: Connection) -> None:
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What test modules share."""
+"""Code shared by test modules."""
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Builders that the tests of decision modules share."""
+"""Builders shared by the tests of the decision modules."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 
 
 FEW_SLOTS = EngineFigures(n_slots=4, kv_tokens=120_000, tokens_per_ms=90.0)
-"""Engines that are full sooner than those of the users' sites."""
+"""Engines with fewer slots than production ones, so that tests fill them quickly."""
 
 
 def make_entry_scheduler(
@@ -93,7 +93,7 @@
     figures: EngineFigures = FEW_SLOTS,
     resend_budget: ResendBudget | None = None,
 ) -> Scheduler:
-    """:returns: the scheduler of an entry VM before engines with stated figures"""
+    """:returns: scheduler of an entry VM whose engines all have the given figures"""
     scheduler = build_scheduler(
         ENTRY_POLICIES,
         clock=clock,
--- a/tests/support/example_bundle.py
+++ b/tests/support/example_bundle.py
@@ -1,4 +1,4 @@
-"""The bundle that fleets of stand-ins are served by."""
+"""The bundle used by test fleets: one customer, one model and one service."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
     :param engines: base URL by name
     :param services: base URL of each replica by name
-    :param zones: zones that names ending in 1, 2, 3 ... are spread over
-    :param kv_tokens: memory of each engine
+    :param zones: zones, assigned in turn to names ending in 1, 2, 3 ...
+    :param kv_tokens: KV-cache capacity of each engine
     """
 
     engines: Mapping[str, str]
@@ -43,7 +43,7 @@
 
 
 def zone_of(name: str, zones: Sequence[str]) -> str:
-    """:returns: zone of a VM or upstream, by the number in its name"""
+    """:returns: zone of a VM or upstream, chosen by the number in its name"""
     index = int(name.rpartition("-")[2]) - 1
     return zones[index % len(zones)]
 
@@ -51,9 +51,9 @@
 def build_fleet_bundle(
     upstreams: FleetUpstreams, version: int = 1, *, weight_loads_per_minute: float = 0
 ) -> Bundle:
-    """:returns: a bundle that serves all stand-ins to one customer
+    """:returns: a bundle that gives one customer access to all stand-ins
 
-    :param weight_loads_per_minute: rate of the weight store; 0 keeps the default
+    :param weight_loads_per_minute: rate limit of the weight store; 0 keeps the default
     """
     customer = CustomerSpec(
         CUSTOMER, (hash_key(API_KEY),), models=(MODEL,), services=(SERVICE,)
--- a/tests/support/fleet/agent_capacity.py
+++ b/tests/support/fleet/agent_capacity.py
@@ -1,10 +1,11 @@
-"""Measures what an agent costs as the fleet grows: ``make capacity-agents``.
-
-Agents of one fleet run in this process, with the times of service, before twice as
-many upstreams (the ratio expected at 410 VMs), all served by one stand-in. Bytes
-are those of peer messages and load reads with their HTTP headers. Processor time is
-the process's, stand-ins included, divided by the agents. What 410 agents would
-cost is a straight line through the sizes measured from 14 agents on.
+"""Measures the cost of an agent as the fleet grows: ``make capacity-agents``.
+
+All agents of a fleet run in this process with production intervals. The bundle lists
+twice as many upstreams as agents (the ratio expected at 410 VMs), all served by one
+stand-in. Bytes are those of peer messages and load reads, including their HTTP headers.
+Processor time is that of the process, stand-ins included, divided by the number of
+agents. The cost at 410 agents is extrapolated by a linear fit to the measurements of
+14 agents and more.
 """
 
 from __future__ import annotations
@@ -34,24 +35,25 @@
 N_TARGET_VMS = 410
 N_TARGET_UPSTREAMS = 780
 UPSTREAMS_PER_VM = 2
-N_ROLLS = 5
+N_ROLLOUTS = 5
 SIZES = (3, 7, 14, 28, 56, 84)
 N_FITTED_FROM = 14
-# News of the start is passed on for a while: each agent tells of each member some
-# 3 log2(n) times, at most 8 members in a message.
+# Gossip about the joins continues for a while: each agent forwards the update of each
+# member about 3 log2(n) times, with at most 8 members in a message.
 WARM_UP_S = 5.0
 WARM_UP_S_PER_VM = 1.5
-# Request and answer of one load read with their headers, counted on the stand-in.
+# Request and response of one load read with their headers, counted at the stand-in.
 LOAD_READ_BYTES = 450
 
 
 class Cost(NamedTuple):
-    """What one agent costs in a fleet of a size.
+    """Cost of one agent in a fleet of ``n_vms``.
 
-    :param core_share: of one core, in percent
+    :param core_share: processor time, in percent of one core
     :param n_calls_per_s: calls of the whole fleet to the configuration service
-    :param roll_ms: until a bundle was in force everywhere, median and longest
-    :param n_restart_calls: calls while all agents started
+    :param rollout_ms: time until a new bundle was in force on all agents, median and
+        maximum
+    :param n_restart_calls: calls to the configuration service while all agents started
     """
 
     n_vms: int
@@ -60,7 +62,7 @@
     core_share: float
     rss_mb: float
     n_calls_per_s: float
-    roll_ms: tuple[float, float]
+    rollout_ms: tuple[float, float]
     n_restart_calls: int
 
 
@@ -75,7 +77,7 @@
         reclaim=ReclaimSettings(),
     )
     async with Fleet(settings) as fleet, AsyncExitStack() as stack:
-        await fleet.publish(widen(fleet.build_bundle(2), n_vms))
+        await fleet.publish(add_upstreams(fleet.build_bundle(2), n_vms))
         agents = [await start_agent(fleet, n, stack) for n in range(n_vms)]
         await wait_for(lambda: all_have(agents, 2))
         await wait_for(
@@ -92,7 +94,9 @@
         peer_bytes = count_peer_bytes(agents) - peer_bytes
         read_bytes = count_read_bytes(agents) - read_bytes
         n_calls = fleet.configuration.n_calls - n_calls
-        rolls = [await roll(fleet, agents, 3 + n) for n in range(N_ROLLS)]
+        rollouts = [
+            await measure_rollout(fleet, agents, 3 + n) for n in range(N_ROLLOUTS)
+        ]
         return Cost(
             n_vms,
             peer_bytes / duration_s / n_vms,
@@ -100,13 +104,13 @@
             100 * cpu_s / duration_s / n_vms,
             resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1_024,
             n_calls / duration_s,
-            (statistics.median(rolls), max(rolls)),
+            (statistics.median(rollouts), max(rollouts)),
             n_restart_calls,
         )
 
 
-def widen(bundle: Bundle, n_vms: int) -> Bundle:
-    """:returns: the bundle with upstreams for ``n_vms``, all at one address"""
+def add_upstreams(bundle: Bundle, n_vms: int) -> Bundle:
+    """:returns: the bundle with upstreams for ``n_vms``, all at the same address"""
     spec = bundle.upstreams[0]
     upstreams = tuple(
         spec._replace(name=f"engine-{index + 1}")
@@ -131,9 +135,11 @@
     return all(agent.session.store.version == version for agent in agents)
 
 
-async def roll(fleet: Fleet, agents: list[AgentService], version: int) -> float:
-    """:returns: ms until a new bundle was in force on all agents"""
-    bundle = widen(fleet.build_bundle(version), len(agents))
+async def measure_rollout(
+    fleet: Fleet, agents: list[AgentService], version: int
+) -> float:
+    """:returns: milliseconds until a new bundle was in force on all agents"""
+    bundle = add_upstreams(fleet.build_bundle(version), len(agents))
     started_s = time.monotonic()
     await fleet.publish(bundle)
     await wait_for(lambda: all_have(agents, version))
@@ -154,7 +160,7 @@
 
 
 def extrapolate(sizes: list[int], values: list[float]) -> float:
-    """:returns: the value at 410 VMs on a straight line through the measured ones"""
+    """:returns: the value at 410 VMs by a linear fit to the measured ones"""
     line = statistics.linear_regression(sizes, values)
     return line.intercept + line.slope * N_TARGET_VMS
 
@@ -163,7 +169,7 @@
 @click.option("--seconds", default=20.0, help="Length of each measurement.")
 @click.option("--sizes", default=",".join(map(str, SIZES)), help="Fleet sizes.")
 def main(*, seconds: float, sizes: str) -> None:
-    """Print what an agent costs at several fleet sizes, and at 410 by a line."""
+    """Print the cost of an agent at several fleet sizes, and the estimate for 410."""
     costs = []
     for size in (int(text) for text in sizes.split(",")):
         cost = uvloop.run(measure(size, seconds))
@@ -173,7 +179,8 @@
             f"read_bytes_per_s={cost.read_bytes_per_s:.0f} "
             f"core_percent={cost.core_share:.2f} process_rss_mb={cost.rss_mb:.0f} "
             f"service_calls_per_s={cost.n_calls_per_s:.2f} "
-            f"roll_ms_median={cost.roll_ms[0]:.0f} roll_ms_max={cost.roll_ms[1]:.0f} "
+            f"roll_ms_median={cost.rollout_ms[0]:.0f} "
+            f"roll_ms_max={cost.rollout_ms[1]:.0f} "
             f"restart_calls={cost.n_restart_calls}"
         )
     fitted = [cost for cost in costs if cost.n_vms >= N_FITTED_FROM]
--- a/tests/support/fleet/fleet.py
+++ b/tests/support/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in one process, on free loopback ports, for tests and the bench."""
+"""A small fleet in one process, on free loopback ports, for tests and measurements."""
 
 from __future__ import annotations
 
@@ -55,9 +55,9 @@
 
 
 class Fleet:
-    """Stand-ins and entry VMs; VMs can be started and stopped one by one.
+    """Stand-ins and entry VMs; VMs can be started and stopped individually.
 
-    :param settings: size and figures
+    :param settings: size and parameters of the fleet
     """
 
     def __init__(self, settings: FleetSettings | None = None) -> None:
@@ -106,11 +106,11 @@
 
     @property
     def gateway_addresses(self) -> tuple[str, ...]:
-        """:returns: base URLs of the gateways that run"""
+        """:returns: base URLs of the running gateways"""
         return tuple(vm.gateway.address for vm in self.vms.values())
 
     async def wait_until_members_agree(self) -> None:
-        """Wait until every agent believes that exactly these VMs are live."""
+        """Wait until every agent's membership view lists exactly the running VMs."""
         expected = set(self.vms)
         await wait_for(
             lambda: all(
@@ -120,11 +120,11 @@
         )
 
     def zone_of(self, name: str) -> str:
-        """:returns: zone of a VM or upstream, by the number in its name"""
+        """:returns: zone of a VM or upstream, chosen by the number in its name"""
         return zone_of(name, self._settings.zones)
 
     def build_bundle(self, version: int = 1) -> Bundle:
-        """:returns: a bundle that serves all stand-ins to one customer"""
+        """:returns: a bundle that gives one customer access to all stand-ins"""
         upstreams = FleetUpstreams(
             {name: engine.address for name, engine in self.engines.items()},
             {name: service.address for name, service in self.services.items()},
@@ -136,7 +136,7 @@
         )
 
     def sign(self, bundle: Bundle) -> bytes:
-        """:returns: the signed bundle as the configuration service holds it"""
+        """:returns: the signed bundle in the format of the configuration service"""
         return encode_envelope(sign_bundle(bundle, KEY_ID, self._private_key))
 
     async def publish(self, bundle: Bundle) -> None:
@@ -168,12 +168,12 @@
         )
 
     def build_agent(self, settings: AgentSettings) -> AgentService:
-        """:returns: an agent that the fleet's partition applies to, not started"""
+        """:returns: an agent, not started, to which the fleet's partition applies"""
         drop = self.partition.build_middleware(settings.vm)
         return AgentService(settings, middlewares=(drop,))
 
     async def start_vm(self, name: str) -> FleetVm:
-        """Start an entry VM; a name used before gets new incarnations."""
+        """Start an entry VM; if the name was used before, with new incarnations."""
         agent = self.build_agent(self.build_agent_settings(name))
         await agent.start()
         settings = GatewaySettings(
@@ -192,14 +192,14 @@
         return self.vms[name]
 
     async def stop_vm(self, name: str) -> None:
-        """Stop an entry VM at once; neither list nor peers are told."""
+        """Stop an entry VM at once, without notice to its peers and the list."""
         vm = self.vms.pop(name)
         vm.agent.leaves_on_stop = False
         await vm.gateway.stop()
         await vm.agent.stop()
 
     async def leave_vm(self, name: str) -> None:
-        """Stop an entry VM that tells its peers and the list that it leaves."""
+        """Stop an entry VM that announces its leave to its peers and in the list."""
         vm = self.vms.pop(name)
         self.set_state(name, VmState.LEAVING)
         await vm.gateway.stop()
@@ -208,7 +208,7 @@
     async def drain_vm(self, name: str) -> int:
         """Stop an entry VM as a SIGTERM to both its programs does.
 
-        :returns: number of requests that were cut off
+        :returns: number of aborted requests
         """
         vm = self.vms[name]
         self.set_state(name, VmState.LEAVING)
@@ -220,10 +220,10 @@
     def set_state(
         self, name: str, state: VmState | None, address: str | None = None
     ) -> None:
-        """Change the platform's list; readers see it after its lag.
+        """Change the platform's list; readers see the change after the list's lag.
 
-        :param state: new state; ``None`` takes the VM off the list
-        :param address: base URL of the agent; ``None`` keeps the old one
+        :param state: new state; ``None`` removes the VM from the list
+        :param address: base URL of the agent; ``None`` keeps the previous one
         """
         if address is not None:
             self._addresses[name] = address
--- a/tests/support/fleet/partition.py
+++ b/tests/support/fleet/partition.py
@@ -1,4 +1,4 @@
-"""Cuts between the agents of an in-process fleet."""
+"""Network partitions between the agents of an in-process fleet."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 class Partition:
-    """Messages over a cut are not answered, as if packets were dropped."""
+    """Leaves messages between partitioned VMs unanswered, as if packets were lost."""
 
     def __init__(self) -> None:
         self._cut: set[tuple[str, str]] = set()
 
     def cut(self, one: Iterable[str], other: Iterable[str]) -> None:
-        """Cut each VM of ``one`` off from each of ``other``, both ways."""
+        """Block messages between each VM of ``one`` and of ``other``, both ways."""
         others = tuple(other)
         for vm in one:
             for peer in others:
                 self._cut |= {(vm, peer), (peer, vm)}
 
     def heal(self) -> None:
-        """Let all messages through again."""
+        """End the partition: deliver all messages again."""
         self._cut.clear()
 
     def build_middleware(self, vm: str) -> Middleware:
-        """:returns: what drops the requests of VMs cut off from ``vm``"""
+        """:returns: a middleware that drops requests of VMs partitioned from ``vm``"""
 
         @web.middleware
         async def drop(
--- a/tests/support/fleet/settings.py
+++ b/tests/support/fleet/settings.py
@@ -1,4 +1,4 @@
-"""Size and figures of an in-process fleet."""
+"""Size and parameters of an in-process fleet."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     forget_ms=10_000,
 )
 
-# All VMs and callers of a fleet in one process share one clock.
+# All VMs and callers of a fleet in one process share one clock, so there is no skew.
 FAST_CLAIMS = ClaimSettings(max_clock_skew_ms=0, sync_interval_ms=50)
 
 FAST_COMMANDS = CommandSettings(interval_ms=50, takeover_ms=1_000, retry_ms=500)
@@ -31,24 +31,24 @@
 
 
 class FleetSettings(NamedTuple):
-    """What an in-process fleet consists of.
+    """Size and parameters of an in-process fleet.
 
-    :param zones: zones that VMs and upstreams are spread over
-    :param service_duration_ms: how long a call of a plain service takes
-    :param claims: figures of claims, shorter than in service
-    :param max_models: models that an engine has room for; 0: any number
-    :param vm_list_lag_ms: how late the platform's list is
-    :param membership: times of membership, shorter than in service
-    :param commands: times of commands to engines, shorter than in service
-    :param reclaim: times of reclaim, shorter than in service
-    :param join_timeout_ms: how long a fresh agent waits for peers
+    :param zones: zones to which VMs and upstreams are assigned in turn
+    :param service_duration_ms: duration of a call of a plain service
+    :param claims: parameters of claims, with shorter times than in production
+    :param max_models: models that an engine has capacity for; 0: any number
+    :param vm_list_lag_ms: time until readers see a change of the platform's list
+    :param membership: times of membership, shorter than in production
+    :param commands: times of commands to engines, shorter than in production
+    :param reclaim: times of reclaim, shorter than in production
+    :param join_timeout_ms: how long a starting agent waits for peers
     :param watch_timeout_ms: length of a watch of the configuration service
     :param read_interval_ms: time between reads of a VM that does not watch
-    :param max_watchers: VMs that watch at a time
+    :param max_watchers: number of VMs that watch at a time
     :param vm_list_interval_ms: time between reads of the platform's list
     :param exchange_interval_ms: time between exchanges of a gateway with its agent
-    :param callers: bounds of every gateway on its callers
-    :param shutdown: times of a graceful stop, shorter than in service
+    :param callers: limits that every gateway sets for its callers
+    :param shutdown: times of a graceful shutdown, shorter than in production
     """
 
     n_vms: int = 2
--- a/tests/support/fleet/vm.py
+++ b/tests/support/fleet/vm.py
@@ -9,7 +9,7 @@
 
 
 class FleetVm(NamedTuple):
-    """The two programs of an entry VM."""
+    """The two services of an entry VM."""
 
     agent: AgentService
     gateway: GatewayService
--- a/tests/support/fleet/waiting.py
+++ b/tests/support/fleet/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for what a fleet is expected to reach."""
+"""Waiting for conditions on a fleet."""
 
 from __future__ import annotations
 
--- a/tests/support/platform/__init__.py
+++ b/tests/support/platform/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins of the users' platform, and an entry VM before them."""
+"""Stand-ins for the users' platform, and entry VMs that use them."""
 
 from __future__ import annotations
--- a/tests/support/platform/fleet.py
+++ b/tests/support/platform/fleet.py
@@ -1,4 +1,4 @@
-"""Several entry VMs of one zone before one store, in this process."""
+"""Several entry VMs of one zone that share one store, in this process."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class EntryVm:
-    """One entry VM on a loopback address of its own."""
+    """One entry VM on its own loopback address."""
 
     def __init__(self, host: str, settings: EntrySettings) -> None:
         self.host = host
@@ -43,33 +43,33 @@
 
     @property
     def state(self) -> EntryState:
-        """:returns: what the VM believes and decides"""
+        """:returns: the VM's state: its view of the fleet and its decisions"""
         return self.entry.session.state
 
     @property
     def sources(self) -> BeliefSources:
-        """:returns: whom the VM asks for news"""
+        """:returns: the sources from which the VM gets updates"""
         return self.entry.session.sources
 
     @property
     def version(self) -> int:
-        """:returns: version in force; 0: none"""
+        """:returns: version of the configuration in force; 0: none"""
         view = self.state.view
         return 0 if view is None else view.version
 
     async def start(self) -> None:
-        """Start both sides."""
+        """Start the service for callers and the one for peers."""
         await self.entry.start()
         await self.belief_service.start()
 
     async def stop(self) -> None:
-        """Stop both sides."""
+        """Stop the service for peers and the one for callers."""
         await self.belief_service.stop()
         await self.entry.stop()
 
 
 class EntryFleet:
-    """VMs and the store; a context manager."""
+    """Entry VMs and the store; a context manager."""
 
     def __init__(self, n_vms: int = 3, *, zone: str = "a") -> None:
         self._zone = zone
@@ -96,12 +96,12 @@
         await self._stack.aclose()
 
     def put_replica(self, name: str, service: str, *, state: str = "ready") -> None:
-        """Write a replica's entry."""
+        """Write a replica's entry to the store."""
         entry = build_entry(service, "127.0.0.1:9", state=state)
         self.store.put(f"servers/{name}", entry)
 
     async def start(self, host: str) -> EntryVm:
-        """Start a VM, for the first time or again."""
+        """Start a VM that was never started or has been stopped."""
         port = choose_port()
         listen = EntryListen(f"{host}:{port}", f"{host}:{choose_port()}")
         settings = EntrySettings(
@@ -132,7 +132,10 @@
     async def wait(
         self, is_met: Callable[[], bool], *, timeout_ms: float = 10_000
     ) -> None:
-        """Wait for something that takes a moment."""
+        """Wait until ``is_met`` returns true.
+
+        :raises TimeoutError: if it does not in time
+        """
         async with asyncio.timeout(timeout_ms / 1_000):
             while not is_met():
                 await asyncio.sleep(0.01)
@@ -147,7 +150,7 @@
 def run_fleet(
     test: Callable[[EntryFleet], Coroutine[Any, Any, None]], n_vms: int = 3
 ) -> None:
-    """Run a test against a fleet of its own."""
+    """Run a test against its own fleet."""
 
     async def bounded() -> None:
         async with asyncio.timeout(40), EntryFleet(n_vms) as fleet:
--- a/tests/support/platform/replica.py
+++ b/tests/support/platform/replica.py
@@ -1,4 +1,4 @@
-"""A small stand-in for a replica: each test says byte by byte what it answers."""
+"""A small stand-in for a replica: each test defines the exact bytes of its response."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Connection:
-    """One connection on which a replica answers."""
+    """One connection on which a replica responds."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
@@ -48,19 +48,19 @@
         body: bytes = b"ok",
         head: str = "",
     ) -> None:
-        """Write a whole sealed answer."""
+        """Write a complete response with a seal header."""
         await self.send(
             build_head(arrival, status, f"Content-Length: {len(body)}", SEAL, head)
             + body
         )
 
     async def answer_not_executed(self, arrival: Arrival, status: int = 503) -> None:
-        """Say that the request was not run."""
+        """Write a response which says that the request was not executed."""
         fields = ("Content-Length: 0", "Quetzaldeck-Not-Executed: 1")
         await self.send(build_head(arrival, status, *fields))
 
     async def begin_stream(self, arrival: Arrival) -> None:
-        """Write the head of a stream in chunks."""
+        """Write the head of an event stream with chunked transfer encoding."""
         fields = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked", SEAL)
         await self.send(build_head(arrival, 200, *fields))
 
@@ -69,23 +69,23 @@
         await self.send(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
     async def end_stream(self) -> None:
-        """End the chunks as a whole body."""
+        """Write the last chunk, which ends the body."""
         await self.send(b"0\r\n\r\n")
 
     def reset(self) -> None:
-        """Reset the connection."""
+        """Close the connection with a TCP reset."""
         sock = self._writer.get_extra_info("socket")
         linger = struct.pack("ii", 1, 0)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self._writer.transport.abort()
 
     def close(self) -> None:
-        """Close the connection in order."""
+        """Close the connection gracefully."""
         self._writer.close()
 
 
 def build_head(arrival: Arrival, status: int, *fields: str) -> bytes:
-    """:returns: status line and headers, the caller's id among them"""
+    """:returns: status line and headers, including the caller's id"""
     lines = [f"HTTP/1.1 {status} Status", f"Quetzaldeck-Attempt-Id: {arrival.call_id}"]
     lines.extend(field for field in fields if field)
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
@@ -97,15 +97,15 @@
 
 
 class StandInReplica:
-    """Takes connections and hands each request to ``behave``; a context manager."""
+    """Accepts connections and passes each request to ``handler``; a context manager."""
 
     def __init__(
         self,
         replica_id: str,
-        behave: Callable[[Arrival, Connection], Awaitable[None]] | None = None,
+        handler: Callable[[Arrival, Connection], Awaitable[None]] | None = None,
     ) -> None:
         self.replica_id = replica_id
-        self.behave = behave or answer_ok
+        self.handler = handler or answer_ok
         self.arrivals: list[Arrival] = []
         self.n_connections = 0
         self.n_closed = 0
@@ -132,7 +132,7 @@
 
     @property
     def calls(self) -> list[Arrival]:
-        """:returns: the arrivals that are no orders"""
+        """:returns: the received requests except reserve and release orders"""
         return [arrival for arrival in self.arrivals if arrival.target != "/order"]
 
     async def _serve(
@@ -150,17 +150,17 @@
                     await self._report(arrival, connection)
                     continue
                 self.arrivals.append(arrival)
-                await self.behave(arrival, connection)
+                await self.handler(arrival, connection)
         except (asyncio.IncompleteReadError, ConnectionError):
             self.n_closed += 1
         except asyncio.CancelledError:
-            # The end of a test that left this request open; asyncio would print it.
+            # The test ended with this request open; asyncio would log the exception.
             return
         finally:
             writer.close()
 
     async def _report(self, arrival: Arrival, connection: Connection) -> None:
-        """Say how fast it is; it needs no slot, so ``behave`` has no part in it."""
+        """Answer a pace query; it takes no slot and is not passed to ``handler``."""
         self.n_reports += 1
         if self.is_silent_on_reports:
             await asyncio.sleep(3_600)
@@ -184,7 +184,7 @@
 
 
 async def answer_ok(arrival: Arrival, connection: Connection) -> None:
-    """Answer everything."""
+    """Answer every request with status 200."""
     await connection.answer(arrival)
 
 
--- a/tests/support/platform/sharing_cost.py
+++ b/tests/support/platform/sharing_cost.py
@@ -1,4 +1,4 @@
-"""What sharing the store's news costs as a zone grows.
+"""Measures the cost of sharing the store's updates between VMs as a zone grows.
 
 Prints a row for each size: ``python -m tests.support.platform.sharing_cost``.
 """
@@ -27,44 +27,46 @@
 
 
 class Cost(NamedTuple):
-    """Rates over the measured time.
+    """Mean rates over the measured time.
 
-    :param store_calls: of all VMs together, a second
-    :param told: answers to other VMs, a second and watcher
-    :param told_bytes: bytes of their bodies, a second and watcher
+    :param store_calls: calls of all VMs to the store per second
+    :param updates: updates sent to other VMs, per second and watcher
+    :param update_bytes: bytes of their bodies, per second and watcher
     """
 
     n_vms: int
     n_watchers: int
     store_calls: float
-    told: float
-    told_bytes: float
+    updates: float
+    update_bytes: float
 
 
-class Counter:
-    """Counts what one VM tells others."""
+class UpdateCounter:
+    """Counts the updates that one VM sends to others."""
 
     def __init__(self, feed: BeliefFeed) -> None:
-        self.n_told = 0
+        self.n_updates = 0
         self.n_bytes = 0
-        self._ask: Callable[..., Awaitable[BeliefUpdate | None]] = feed.wait_for_update
+        self._wait_for_update: Callable[..., Awaitable[BeliefUpdate | None]] = (
+            feed.wait_for_update
+        )
         feed.wait_for_update = self._count  # type: ignore[method-assign, assignment]
 
     async def _count(self, *arguments: object) -> BeliefUpdate | None:
-        news = await self._ask(*arguments)
-        self.n_told += 1
-        self.n_bytes += len(msgspec.json.encode(news))
-        return news
+        update = await self._wait_for_update(*arguments)
+        self.n_updates += 1
+        self.n_bytes += len(msgspec.json.encode(update))
+        return update
 
 
 async def measure(n_vms: int) -> Cost:
-    """:returns: what a zone of ``n_vms`` costs while an entry changes each second"""
+    """:returns: rates in a zone of ``n_vms`` while one entry changes each second"""
     async with EntryFleet(n_vms) as fleet:
         for number in range(N_REPLICAS):
             fleet.put_replica(f"more{number}", ENGINES)
         await asyncio.sleep(2.0)
         watchers = fleet.list_watchers()
-        counters = [Counter(fleet.vms[host].sources.feed) for host in watchers]
+        counters = [UpdateCounter(fleet.vms[host].sources.feed) for host in watchers]
         n_before = fleet.store.n_calls
         for number in range(int(MEASURED_S / CHANGE_S)):
             state = ("draining", "ready")[number % 2]
@@ -75,20 +77,20 @@
             n_vms,
             len(watchers),
             (fleet.store.n_calls - n_before) / MEASURED_S,
-            sum(counter.n_told for counter in counters) / scale,
+            sum(counter.n_updates for counter in counters) / scale,
             sum(counter.n_bytes for counter in counters) / scale,
         )
 
 
 @click.command()
 def main() -> None:
-    """Measure all sizes."""
-    click.echo("vms  watchers  store calls/s  told/s  told bytes/s")
+    """Measure zones of all sizes."""
+    click.echo("vms  watchers  store calls/s  updates/s  update bytes/s")
     for n_vms in SIZES:
         cost = uvloop.run(measure(n_vms))
         click.echo(
             f"{cost.n_vms:3}  {cost.n_watchers:8}  {cost.store_calls:13.1f}  "
-            f"{cost.told:6.1f}  {cost.told_bytes:12.0f}"
+            f"{cost.updates:9.1f}  {cost.update_bytes:14.0f}"
         )
 
 
--- a/tests/support/platform/site.py
+++ b/tests/support/platform/site.py
@@ -1,4 +1,4 @@
-"""A platform with one entry VM, for tests of the whole path without a network."""
+"""A platform with one entry VM on loopback, for end-to-end tests."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
     from quetzaldeck.clock import Clock
 
-    Behave = Callable[[Arrival, Connection], Awaitable[None]]
+    Handler = Callable[[Arrival, Connection], Awaitable[None]]
 
 HOST = "gym.example"
 KEY = "key-of-gym"
@@ -49,7 +49,7 @@
 
 
 def build_configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """:returns: a configuration with a stream, a booking and a look-up"""
+    """:returns: a configuration with a streaming, a booking and a look-up route"""
     route = {"host": HOST, "timeoutMs": 5_000, "targetLatencyMs": 300, "priority": 1}
     stream = {"sticky": True, "resumable": True, "targetGapMs": 250}
     return {
@@ -96,7 +96,7 @@
 
 
 def build_entry(service: str, address: str, **changes: Any) -> dict[str, Any]:
-    """:returns: what a replica writes of itself"""
+    """:returns: the entry that a replica writes to the store"""
     return {
         "service": service,
         "address": address,
@@ -111,9 +111,9 @@
 
 
 class Answer(NamedTuple):
-    """What a caller received.
+    """The response that a caller received.
 
-    :param is_whole: whether the body ended as a whole one
+    :param is_whole: whether the body was received completely
     """
 
     status: int
@@ -123,17 +123,17 @@
 
 
 class Site:
-    """One entry VM, the store, and replicas by service; a context manager.
+    """One entry VM, the store, and the replicas of each service; a context manager.
 
-    :param publishes: whether the operator has published a configuration; without one
-        the VM starts and is not waited for
+    :param publishes: whether a configuration is published; without one the VM is
+        started, but does not become ready and is not waited for
     """
 
     def __init__(
         self,
         *,
-        engines: tuple[Behave | None, ...] = (None,),
-        desks: tuple[Behave | None, ...] = (None,),
+        engines: tuple[Handler | None, ...] = (None,),
+        desks: tuple[Handler | None, ...] = (None,),
         bounds: EntryBounds | None = None,
         clock: Clock | None = None,
         publishes: bool = True,
@@ -144,10 +144,11 @@
         self._bounds = bounds or EntryBounds()
         self.store = StandInStore()
         self.engines = [
-            StandInReplica(f"e{index}", behave) for index, behave in enumerate(engines)
+            StandInReplica(f"e{index}", handler)
+            for index, handler in enumerate(engines)
         ]
         self.desks = [
-            StandInReplica(f"d{index}", behave) for index, behave in enumerate(desks)
+            StandInReplica(f"d{index}", handler) for index, handler in enumerate(desks)
         ]
         self._n_calls = 0
 
@@ -185,7 +186,7 @@
     def register(
         self, replica: StandInReplica, service: str, *, state: str = "ready"
     ) -> None:
-        """Write a replica's entry."""
+        """Write a replica's entry to the store."""
         entry = build_entry(service, replica.address, state=state)
         self.store.put(f"servers/{replica.replica_id}", entry)
 
@@ -200,7 +201,7 @@
         prompt: tuple[int, int] | None = None,
         **headers: str,
     ) -> Answer:
-        """Send one request as a caller does, and read its answer to the end."""
+        """Send one request as a caller does, and read the whole response."""
         self._n_calls += 1
         sent = {
             "Host": HOST,
@@ -230,7 +231,10 @@
     async def wait(
         self, is_met: Callable[[], bool], *, timeout_ms: float = 5_000
     ) -> None:
-        """Wait for something that takes a moment."""
+        """Wait until ``is_met`` returns true.
+
+        :raises TimeoutError: if it does not in time
+        """
         async with asyncio.timeout(timeout_ms / 1_000):
             while not is_met():
                 await asyncio.sleep(0.01)
@@ -239,7 +243,7 @@
 def run_site(
     test: Callable[[Site], Coroutine[Any, Any, None]], **arguments: Any
 ) -> None:
-    """Run a test against a site of its own."""
+    """Run a test against its own site."""
 
     async def bounded() -> None:
         async with asyncio.timeout(30), Site(**arguments) as site:
--- a/tests/support/platform/store.py
+++ b/tests/support/platform/store.py
@@ -1,4 +1,4 @@
-"""A small stand-in for the platform's store."""
+"""A small stand-in for the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Item(NamedTuple):
-    """One item, or the news that it was deleted (``value`` is ``None``)."""
+    """One item, or the record of its deletion (``value`` is ``None``)."""
 
     key: str
     value: bytes | None
@@ -21,9 +21,9 @@
 
 
 class StandInStore:
-    """Serves ranges and watches; a context manager that owns its socket.
+    """Serves range reads and watches; a context manager that owns its socket.
 
-    ``status`` other than 200 is what every call gets; a silent store answers nothing.
+    Every call gets ``status`` if that is not 200; a silent store never responds.
     """
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         await self._runner.cleanup()
 
     def put(self, key: str, value: Any) -> None:
-        """Write a value as the platform does: JSON."""
+        """Write a value as JSON, as the platform does; bytes are written unchanged."""
         data = value if isinstance(value, bytes) else msgspec.json.encode(value)
         self._note(Item(key, data, self._revision + 1))
 
@@ -65,7 +65,7 @@
         self._note(Item(key, None, self._revision + 1))
 
     def forget_history(self) -> None:
-        """Drop what watches would need."""
+        """Compact the history: watches from an earlier revision get status 410."""
         self.first_known_revision = self._revision + 1
         self._wake()
 
@@ -125,7 +125,7 @@
 
 
 def encode(item: Item) -> dict[str, Any]:
-    """:returns: an item as the store writes it"""
+    """:returns: an item in the JSON format of the store"""
     if item.value is None:
         return {"key": item.key, "revision": item.revision, "deleted": True}
     value = base64.b64encode(item.value).decode()
