--- a/tests/system/balancer.py
+++ b/tests/system/balancer.py
@@ -1,4 +1,4 @@
-"""The platform's balancer as callers see it: it follows readiness with a lag."""
+"""A stand-in for the platform's load balancer, which sees readiness with a delay."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class Balancer:
-    """Sends calls to gateways that were ready when it looked last.
+    """Sends calls to gateways that were ready at the last probe.
 
-    As the users' platform does, it uses all of them if fewer than half are ready: on a
-    machine whose loop stands still for a second, a round of questions has no answer at
-    all, which says nothing of the gateways.
+    Like the users' platform, it uses all gateways if fewer than half are ready: when
+    the event loop blocks for a second on a busy machine, all probes of a round time
+    out, which says nothing about the gateways.
 
-    :param list_addresses: base URLs of the gateways that may exist now
+    :param list_addresses: returns the base URLs of the gateways that may exist now
     """
 
     def __init__(self, list_addresses: Callable[[], tuple[str, ...]]) -> None:
@@ -42,7 +42,7 @@
         connector = aiohttp.TCPConnector(limit=0)
         self._client = aiohttp.ClientSession(connector=connector)
         await self._probe_all()
-        self._task = asyncio.create_task(self._follow())
+        self._task = asyncio.create_task(self._poll())
         return self
 
     async def __aexit__(
@@ -57,7 +57,7 @@
         await self._client.close()
 
     async def call(self, kind: KindSettings) -> Result:
-        """:returns: what one call to some ready gateway received"""
+        """:returns: the result of one call to a random ready gateway"""
         address = self._random_state.choice(self._ready)
         caller = Caller(self._client, Clock())
         return await caller.run(address, kind, kind.min_prompt_tokens)
@@ -70,15 +70,17 @@
         rate_per_s: float,
         max_in_flight: int,
     ) -> list[Result]:
-        """Call until ``stop`` is set.
+        """Send calls at random intervals until ``stop`` is set.
 
-        Callers, gateways and engines share one loop. Sent at a rate whatever becomes of
-        them, calls pile up once the loop is late on a busy machine, and the later it is
-        the more there are: the test then measures the machine. A caller that waits for
-        an answer asks nothing meanwhile.
+        Callers, gateways and engines share one event loop. If calls were sent at a
+        fixed rate regardless of their progress, they would accumulate as soon as the
+        loop falls behind on a busy machine and delay it further: the test would then
+        measure the machine. So the number of concurrent calls is limited.
 
-        :param max_in_flight: callers; several times those that the rate keeps busy
-        :returns: results
+        :param rate_per_s: mean rate of calls
+        :param max_in_flight: limit of concurrent calls; several times the number that
+            the rate keeps in flight
+        :returns: results of all calls
         """
         callers = asyncio.Semaphore(max_in_flight)
         tasks = []
@@ -95,7 +97,7 @@
             await asyncio.sleep(self._random_state.expovariate(rate_per_s))
         return await asyncio.gather(*tasks)
 
-    async def _follow(self) -> None:
+    async def _poll(self) -> None:
         while True:
             await asyncio.sleep(POLL_S)
             await self._probe_all()
--- a/tests/system/probes.py
+++ b/tests/system/probes.py
@@ -1,4 +1,4 @@
-"""Requests by which tests watch programs and drive stand-ins from outside."""
+"""HTTP requests with which tests probe programs and control stand-ins."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 async def post_json(url: str, body: Any) -> None:
-    """Post to an endpoint of a stand-in.
+    """Post a JSON body to an endpoint of a stand-in.
 
-    :raises aiohttp.ClientError: if it is refused
+    :raises aiohttp.ClientError: if the request is refused
     """
     async with (
         aiohttp.ClientSession() as client,
@@ -28,18 +28,18 @@
         response.raise_for_status()
 
 
-async def order_faults(process: ProgramProcess, **order: Any) -> None:
-    """Let a stand-in suffer faults; see ``quetzaldeck.standin.fault_request``."""
-    await post_json(process.address + "/standin/faults", order)
+async def inject_faults(process: ProgramProcess, **request: Any) -> None:
+    """Inject faults into a stand-in; see ``quetzaldeck.standin.fault_request``."""
+    await post_json(process.address + "/standin/faults", request)
 
 
 async def wait_listening(address: str) -> None:
-    """Wait until something answers at ``address``, whatever it answers."""
+    """Wait until the program at ``address`` responds, with any status."""
     await _wait_status(address + "/healthz", None)
 
 
 async def wait_ready(address: str) -> None:
-    """Wait until the program at ``address`` says that it is ready."""
+    """Wait until the program at ``address`` reports that it is ready."""
     await _wait_status(address + "/readyz", 200)
 
 
@@ -53,4 +53,4 @@
             await asyncio.sleep(POLL_S)
 
 
-__all__ = ("order_faults", "post_json", "wait_listening", "wait_ready")
+__all__ = ("inject_faults", "post_json", "wait_listening", "wait_ready")
--- a/tests/system/processes.py
+++ b/tests/system/processes.py
@@ -1,6 +1,7 @@
-"""The programs as real processes on free ports, from generated settings.
+"""Runs the programs as real processes on free ports, with generated settings.
 
-Each process is ended by its own id and by nothing else.
+Each process is killed by its own id only, never by name, so that other runs on the
+machine are not affected.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
     build_fleet_bundle,
     zone_of,
 )
-from tests.system.probes import order_faults, post_json, wait_listening, wait_ready
+from tests.system.probes import inject_faults, post_json, wait_listening, wait_ready
 from tests.system.program_process import ProgramProcess
 
 from quetzaldeck.agent import AgentSettings
@@ -50,7 +51,7 @@
 
 
 class ProcessFleetSettings(NamedTuple):
-    """What a fleet of processes consists of."""
+    """Size and parameters of a fleet of processes."""
 
     n_vms: int = 2
     n_engines: int = 2
@@ -69,9 +70,9 @@
 
 
 class ProcessFleet:
-    """Stand-ins and entry VMs as processes: a context manager.
+    """Stand-ins and entry VMs as processes; a context manager.
 
-    :param directory: receives settings, bundle and logs
+    :param directory: where settings, bundle and logs are written
     """
 
     def __init__(
@@ -106,15 +107,15 @@
 
     @property
     def gateway_addresses(self) -> tuple[str, ...]:
-        """:returns: base URLs of all gateways, also of those that ended"""
+        """:returns: base URLs of all gateways, including those that have exited"""
         return tuple(vm.gateway.address for vm in self.vms.values())
 
     def zone_of(self, name: str) -> str:
-        """:returns: zone of a VM or upstream, by the number in its name"""
+        """:returns: zone of a VM or upstream, chosen by the number in its name"""
         return zone_of(name, self._settings.zones)
 
     def build_bundle(self, version: int = 1) -> Bundle:
-        """:returns: a bundle that serves all stand-ins to one customer"""
+        """:returns: a bundle that gives one customer access to all stand-ins"""
         upstreams = FleetUpstreams(
             {name: engine.address for name, engine in self.engines.items()},
             {name: service.address for name, service in self.services.items()},
@@ -124,7 +125,10 @@
         return build_fleet_bundle(upstreams, version)
 
     def publish(self, bundle: Bundle) -> None:
-        """Sign a bundle; the configuration service re-reads the file."""
+        """Sign a bundle and write it to the file that the configuration service reads.
+
+        The file is replaced atomically, so the service never reads a part of it.
+        """
         envelope = sign_bundle(bundle, KEY_ID, self._private_key)
         path = self._directory / "bundle.signed"
         partial = path.with_suffix(".partial")
@@ -132,7 +136,7 @@
         partial.replace(path)
 
     async def start_vm(self, name: str) -> VmProcesses:
-        """Start an entry VM, also again after its end; wait until it is ready."""
+        """Start or restart an entry VM, and wait until it is ready."""
         vm = self.vms.get(name) or self._build_vm(name)
         self.vms[name] = vm
         vm.agent.start()
@@ -142,7 +146,7 @@
         return vm
 
     async def set_vms(self, vms: tuple[VmEntry, ...] | None = None) -> None:
-        """Change the platform's list; by default it names every VM as live."""
+        """Set the platform's list; by default it contains all VMs as live."""
         if vms is None:
             vms = tuple(
                 VmEntry(name, VmRole.ENTRY, vm.agent.address, self.zone_of(name))
@@ -241,7 +245,7 @@
 
 
 def to_yaml(value: Any) -> Any:
-    """:returns: plain data in types that the YAML writer knows"""
+    """:returns: plain data converted to types that the YAML writer supports"""
     if isinstance(value, dict):
         return {str(key): to_yaml(item) for key, item in value.items()}
     if isinstance(value, list):
@@ -256,7 +260,7 @@
     "ProcessFleetSettings",
     "ProgramProcess",
     "VmProcesses",
-    "order_faults",
+    "inject_faults",
     "post_json",
     "to_yaml",
     "wait_listening",
--- a/tests/system/program_process.py
+++ b/tests/system/program_process.py
@@ -1,4 +1,4 @@
-"""One program as a process that a test owns and ends by its id."""
+"""Runs one program as a child process that is killed by its own id only."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class ProgramProcess:
-    """One program as a process that the test owns.
+    """One program as a child process of the test.
 
     :param program: module name below ``quetzaldeck.cli``
-    :param address: base URL it listens on
+    :param address: base URL on which the program listens
     """
 
     def __init__(self, program: str, settings_path: Path, address: str) -> None:
@@ -33,7 +33,7 @@
 
     @property
     def process_id(self) -> int:
-        """:returns: id of the process that was started last"""
+        """:returns: id of the most recently started process"""
         assert self._process is not None
         return self._process.pid
 
@@ -44,11 +44,11 @@
 
     @property
     def log(self) -> str:
-        """:returns: what all its starts logged"""
+        """:returns: the log of all processes started so far"""
         return self.log_path.read_text(encoding="utf-8")
 
     def start(self) -> None:
-        """Start the program, also again after its end."""
+        """Start the program, or restart it after its process has exited."""
         module = f"quetzaldeck.cli.{self._program}"
         with self.log_path.open("ab") as log:
             self._process = subprocess.Popen(
@@ -59,14 +59,15 @@
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it still runs."""
+        """Send a signal to the process if it is still running."""
         if self.is_running:
             os.kill(self.process_id, number)
 
     async def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """:returns: the exit code, once the process has ended
+        """Wait until the process exits.
 
-        :raises TimeoutError: if it takes too long
+        :returns: the exit code
+        :raises TimeoutError: if the process does not exit in time
         """
         assert self._process is not None
         async with asyncio.timeout(timeout_s):
@@ -75,7 +76,7 @@
         return int(self._process.returncode)
 
     def end(self) -> None:
-        """End the process whatever it is doing, and wait for it."""
+        """Kill the process if it is running, and wait until it has exited."""
         if self._process is None or self._process.poll() is not None:
             return
         self._process.kill()
--- a/tests/system/test_demo.py
+++ b/tests/system/test_demo.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback, as the demo runs it."""
+"""The demo, end to end on loopback."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def copy_with_free_ports(directory: Path) -> None:
-    """Copy the example files; other runs on the machine may hold their ports."""
+    """Copy the example files with free ports: other processes may use the originals."""
     ports: dict[str, str] = {}
 
     def choose(match: re.Match[str]) -> str:
--- a/tests/system/test_fleet_faults.py
+++ b/tests/system/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""Faulty upstreams behind real gateways, judged by what callers receive."""
+"""Faulty upstreams behind real gateways: what callers receive."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class Reply(NamedTuple):
-    """What a caller received."""
+    """The response that a caller received."""
 
     status: int
     body: dict[str, Any]
 
     @property
     def reason(self) -> str:
-        """:returns: reason of the refusal, ``""`` if there is an answer"""
+        """:returns: reason of the refusal; ``""`` if the request was answered"""
         reason: str = self.body.get("error", {}).get("reason", "")
         return reason
 
@@ -88,10 +88,10 @@
 
 
 def test_silent_connections_are_replaced_as_a_pool() -> None:
-    """Something between gateway and engine forgets all flows; new ones work.
+    """A device between gateway and engine drops all existing flows; new ones work.
 
-    The connections in the gateway's pool still look usable. Without replacing the
-    pool, each request that takes one of them waits out the idle bound.
+    The connections in the gateway's pool still appear usable. If the pool were not
+    replaced, each request on one of them would wait for the idle timeout.
     """
 
     async def check(fleet: Fleet, caller: Caller) -> None:
@@ -112,11 +112,10 @@
 
 
 def test_poison_is_refused_by_every_vm() -> None:
-    """A prompt crashes each engine that runs it; the balancer sends the caller's
-    resend to another VM.
+    """A prompt that crashes engines is resent by its caller through another VM.
 
-    That VM has not seen one of the crashes itself. Without the first one's news it
-    would let the prompt kill as many engines again.
+    That VM has seen none of the crashes itself. Without the updates of the first VM it
+    would let the prompt crash as many engines again.
     """
 
     async def check(fleet: Fleet, caller: Caller) -> None:
--- a/tests/system/test_groups.py
+++ b/tests/system/test_groups.py
@@ -1,4 +1,7 @@
-"""Prompts above one engine's memory, through real gateways and stand-in engines."""
+"""Prompts too large for one engine's memory, with real gateways and stand-in engines.
+
+A group of engines reserves memory for such a prompt and prefills it together.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 
 def make_prompt(n_tokens: int, name: str) -> str:
-    """:returns: a prompt of words of three letters, one token each"""
+    """:returns: a prompt of three-letter words, one token each"""
     return " ".join((name[:3].ljust(3, "x"), *(["abc"] * (n_tokens - 1))))
 
 
@@ -47,8 +50,8 @@
     n_engines: int,
 ) -> None:
     async def run() -> None:
-        shape = FleetSettings(n_vms, n_engines, zones=("ktm-a",), profile=PROFILE)
-        async with Fleet(shape) as fleet, aiohttp.ClientSession() as client:
+        settings = FleetSettings(n_vms, n_engines, zones=("ktm-a",), profile=PROFILE)
+        async with Fleet(settings) as fleet, aiohttp.ClientSession() as client:
             await check(fleet, client)
             async with asyncio.timeout(WAIT_S):
                 while not is_empty(fleet):
@@ -58,7 +61,7 @@
 
 
 def is_empty(fleet: Fleet) -> bool:
-    """:returns: whether no engine holds memory for anybody"""
+    """:returns: whether no engine has allocated memory"""
     return all(engine.n_kv_tokens_used == 0 for engine in fleet.engines.values())
 
 
@@ -75,10 +78,10 @@
 
 
 def test_two_such_prompts_from_two_vms_both_finish() -> None:
-    """Two season reviews arrive at two VMs at once; each needs most of the fleet.
+    """Two prompts that each need most of the fleet arrive at two VMs at once.
 
-    If each held half of it and waited for the other half, both would wait until
-    their deadlines and every engine would stand idle.
+    If each reserved half of the engines and waited for the other half, they would
+    deadlock until their deadlines while every engine is idle.
     """
 
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
@@ -115,9 +118,9 @@
 
 
 def test_member_that_dies_leaves_nothing_behind() -> None:
-    """A member crashes while another prefills; its part of the prompt is gone.
+    """A group member crashes after it prefilled its part of the prompt.
 
-    The request runs again, and what the other members held is given back.
+    The request must run again, and the memory of the other members must be released.
     """
 
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
@@ -140,9 +143,10 @@
 
 
 def test_prompt_of_more_tokens_than_estimated_is_answered() -> None:
-    """A log of two-letter words has twice the tokens that its length suggests.
+    """A prompt of very short words has twice the tokens estimated from its length.
 
-    One engine seems to hold it and does not; nor does the first group.
+    By the estimate it fits one engine, but it does not, nor does it fit the first
+    group.
     """
 
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
--- a/tests/system/test_observability.py
+++ b/tests/system/test_observability.py
@@ -1,4 +1,4 @@
-"""What operators see: metrics of both daemons, and logs without secrets."""
+"""Metrics of gateway and agent, and logs without secrets."""
 
 from __future__ import annotations
 
@@ -54,9 +54,9 @@
 
 
 def test_metrics_and_logs_tell_all_but_secrets() -> None:
-    """An operator ships logs and metrics to a place that others read.
+    """Logs and metrics are shipped to systems that others can read.
 
-    Keys and prompts of customers must not be in them.
+    They must not contain API keys and prompts of customers.
     """
     stream = io.StringIO()
     configure_logging(stream, level="TRACE")
--- a/tests/system/test_rolling.py
+++ b/tests/system/test_rolling.py
@@ -1,4 +1,4 @@
-"""Every VM of a fleet is replaced, one after the other, under load."""
+"""Rolling replacement of all VMs of a fleet under load."""
 
 from __future__ import annotations
 
@@ -18,25 +18,28 @@
 
 N_VMS = 7
 BALANCER_LAG_MS = 2_000
-"""Longer than the balancer takes to notice, also on a machine that is busy."""
+"""Longer than the load balancer takes to notice a change, even on a busy machine."""
 PROBE_INTERVAL_MS = 200
-"""All VMs share one loop here. Probes each 50 ms of every VM, 137 a second for seven,
-kept it busy for 40 % of the time before the first call, and a loop that is late by a
-vote's timeout has calls refused. In service a VM probes once a second."""
+"""All VMs share one event loop here. With an interval of 50 ms, seven VMs sent 137
+probes per second, which kept the loop busy for 40 % of the time before the first call;
+if the loop falls behind by a vote's timeout, calls are refused. In production a VM
+probes once a second."""
 SYNC_INTERVAL_MS = 150
-"""Rounds of seven voters each 50 ms are 840 messages a second: with the calls they took
-the whole of a core on a busy machine, and the loop fell behind."""
+"""With an interval of 50 ms, seven voters send 840 messages per second: together with
+the calls these used a whole core on a busy machine, and the loop fell behind."""
 VOTE_TIMEOUT_MS = 2_000
-"""Seven gateways, seven agents, engines and callers share one loop. Beside other
-programs it stands still for longer than the 400 ms that a vote may take in service, and
-calls are refused as no majority answered in time."""
+"""Seven gateways, seven agents, engines and callers share one event loop. On a machine
+that also runs other programs, the loop may block for longer than the vote timeout of
+400 ms used in production, and calls are refused because no majority answers in time."""
 EXCHANGE_INTERVAL_MS = 200
 VM_LIST_INTERVAL_MS = 400
-"""Several times within the balancer's lag; 160 requests a second less on the loop."""
+"""With this and the exchange interval the loop handles 160 requests per second less
+than with the defaults of test fleets. Several reads still fit into the load balancer's
+lag."""
 STEP_MS = 10.0
-"""Answers last as long as with five times the tokens at 2 ms each, a tenth of a second
-and one second; what seven VMs, engines and callers do for 1,900 tokens a second on one
-loop was half of a core by itself."""
+"""Answers take a tenth of a second and one second, as they would with five times the
+tokens at 2 ms each. Those would be 1,900 tokens per second, which alone took seven VMs,
+engines and callers on one loop half of a core."""
 SETTINGS = FleetSettings(
     n_vms=N_VMS,
     n_services=2,
@@ -55,13 +58,13 @@
 
 
 async def replace_all(fleet: Fleet) -> int:
-    """:returns: number of requests cut off while every VM was replaced"""
-    n_cut_off = 0
+    """:returns: number of requests aborted while every VM was replaced"""
+    n_aborted = 0
     for index, old in enumerate(list(fleet.vms)):
         new = await fleet.start_vm(f"entry-{N_VMS + index + 1}")
         await wait_until_ready(new.gateway)
-        n_cut_off += await fleet.drain_vm(old)
-    return n_cut_off
+        n_aborted += await fleet.drain_vm(old)
+    return n_aborted
 
 
 async def run_replacement() -> tuple[int, list[Result], dict[str, int]]:
@@ -70,11 +73,11 @@
             lambda: all(vm.agent.session.is_ready for vm in fleet.vms.values())
         )
         async with Balancer(lambda: fleet.gateway_addresses) as balancer:
-            n_cut_off, results = await replace_under_load(fleet, balancer)
+            n_aborted, results = await replace_under_load(fleet, balancer)
         executions: Counter[str] = Counter()
         for service in fleet.services.values():
             executions.update(service.executions)
-        return n_cut_off, results, dict(executions)
+        return n_aborted, results, dict(executions)
 
 
 async def replace_under_load(
@@ -86,19 +89,19 @@
         balancer.call_until(REVIEW, stop, rate_per_s=2, max_in_flight=8),
         balancer.call_until(BOOKING, stop, rate_per_s=15, max_in_flight=4),
     )
-    n_cut_off = await replace_all(fleet)
+    n_aborted = await replace_all(fleet)
     stop.set()
-    return n_cut_off, [result for load in await loads for result in load]
+    return n_aborted, [result for load in await loads for result in load]
 
 
 def test_rolling_replacement_of_all_vms_loses_nothing() -> None:
-    """All seven entry VMs are replaced while callers stream, review and book.
+    """All seven entry VMs are replaced while callers use models and a service.
 
-    A VM that is stopped has answers half way and callers who do not know yet. None
-    may be cut off, refused or run twice.
+    A stopping VM has answers in progress, and gets new calls until the load balancer
+    notices the stop. No call may be aborted, refused or run twice.
     """
-    n_cut_off, results, executions = uvloop.run(run_replacement())
-    assert n_cut_off == 0
+    n_aborted, results, executions = uvloop.run(run_replacement())
+    assert n_aborted == 0
     assert len(results) > 100
     wrong = [result for result in results if result.verdict is not Verdict.ANSWERED]
     assert wrong == []
--- a/tests/system/test_shutdown.py
+++ b/tests/system/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Stops of real processes: nothing is cut off unless a stop insists."""
+"""Shutdown of real processes: only a second signal aborts requests."""
 
 from __future__ import annotations
 
@@ -45,11 +45,10 @@
 
 
 def test_sigterm_under_load_loses_nothing(tmp_path: Path) -> None:
-    """An operator stops a VM while callers use it.
+    """An operator stops a VM that is in use: both programs get SIGTERM at once.
 
-    Both programs get SIGTERM at once. Callers whose answers are half way must get
-    the rest, and the balancer, which learns of the stop late, must not be turned
-    away meanwhile.
+    Answers in progress must be completed, and calls that the load balancer sends
+    before it learns of the stop must not be refused.
     """
 
     async def check() -> None:
@@ -77,11 +76,12 @@
     uvloop.run(check())
 
 
-def test_second_signal_cuts_off_and_tells_the_caller(tmp_path: Path) -> None:
-    """An operator insists: the VM must end now, a long answer is half way.
+def test_second_signal_aborts_and_notifies_the_caller(tmp_path: Path) -> None:
+    """An operator sends a second SIGTERM while a long answer is in progress.
 
-    The caller must not take the half for the whole: its stream ends with an error
-    event that says the request ran, and the exit code says that work was lost.
+    The caller must not take the partial answer for a complete one: its stream ends
+    with an error event that says the request ran, and the exit code says that requests
+    were aborted.
     """
 
     async def check() -> None:
@@ -103,10 +103,10 @@
 
 
 def test_gateway_serves_on_while_its_agent_is_dead(tmp_path: Path) -> None:
-    """The agent of a VM dies alone and comes back later.
+    """The agent of a VM is killed and restarted later, while the gateway keeps running.
 
-    The gateway has the last bundle and its connections to the engines: callers
-    who ask for answers need not notice.
+    The gateway still has the last bundle and its connections to the engines, so model
+    calls must succeed throughout.
     """
 
     async def check() -> None:
--- a/tests/system/test_streaming.py
+++ b/tests/system/test_streaming.py
@@ -1,4 +1,4 @@
-"""Streamed answers while engines misbehave: compared byte for byte."""
+"""Streamed answers of faulty engines, compared with the expected text."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 
 
 class Streamed(NamedTuple):
-    """What a caller read until the stream ended."""
+    """What a caller received until the stream ended."""
 
     text: str
     error: dict[str, Any] | None
     is_done: bool
 
 
-class EngineOfAnswer(NamedTuple):
-    """Fleet and the name of the engine that is answering."""
+class AnsweringEngine(NamedTuple):
+    """A fleet and the name of the engine that is answering the call."""
 
     fleet: Fleet
     name: str
@@ -55,11 +55,11 @@
 
 async def stream(
     fleet: Fleet,
-    during: Callable[[EngineOfAnswer], Awaitable[None]] | None = None,
+    on_first_text: Callable[[AnsweringEngine], Awaitable[None]] | None = None,
     *,
     deadline_ms: int = 20_000,
 ) -> Streamed:
-    """Read a streamed answer; after its first text, await ``during`` once."""
+    """Read a streamed answer; await ``on_first_text`` once after the first text."""
     body = {"model": MODEL, "prompt": PROMPT, "max_tokens": N_TOKENS, "stream": True}
     headers = {
         "Authorization": f"Bearer {API_KEY}",
@@ -81,9 +81,9 @@
             if "error" in event:
                 return Streamed("".join(parts), event["error"], is_done=False)
             parts.append(event["choices"][0]["text"])
-            if during is not None:
-                effect, during = during, None
-                await effect(EngineOfAnswer(fleet, find_busy_engine(fleet)))
+            if on_first_text is not None:
+                callback, on_first_text = on_first_text, None
+                await callback(AnsweringEngine(fleet, find_busy_engine(fleet)))
     return Streamed("".join(parts), None, is_done=False)
 
 
@@ -114,10 +114,10 @@
 def test_stream_is_whole_whatever_order_chunks_come_in(
     faults: EngineFaults, drop: str
 ) -> None:
-    """An engine sends chunks twice, late, swapped, or of another request.
+    """An engine sends chunks twice, late, swapped, or those of another request.
 
-    The caller would read a word twice, two words in the wrong order, or a part of
-    somebody else's answer.
+    Without the check of chunk offsets and ids the caller would read a word twice, words
+    in the wrong order, or a part of another caller's answer.
     """
 
     async def check(fleet: Fleet) -> None:
@@ -133,14 +133,14 @@
     run(check)
 
 
-def test_stream_goes_on_when_its_engine_dies() -> None:
-    """An engine dies when the caller has read the first words.
+def test_stream_continues_when_its_engine_crashes() -> None:
+    """An engine crashes after the caller has received the first words.
 
-    Its connections break and its memory is gone. The answer goes on at another
-    engine from the last character delivered: the caller sees one text.
+    Its connections break and its memory is lost. Another engine must continue the
+    answer after the last character delivered, so that the caller sees one text.
     """
 
-    async def kill(answering: EngineOfAnswer) -> None:
+    async def kill(answering: AnsweringEngine) -> None:
         await answering.fleet.engines[answering.name].crash()
 
     async def check(fleet: Fleet) -> None:
@@ -154,14 +154,14 @@
     run(check)
 
 
-def test_stream_goes_on_when_its_connection_goes_silent() -> None:
-    """The connection to the engine goes half-open in the middle of an answer.
+def test_stream_continues_when_its_connection_goes_silent() -> None:
+    """The connection to the engine becomes half-open in the middle of an answer.
 
-    No error ever comes. The gateway stops waiting after the idle bound and takes
-    the answer on elsewhere; the engine keeps nothing for it.
+    No error is ever reported. The gateway must give up after the idle timeout and
+    continue the answer on another engine; the first must release its memory.
     """
 
-    async def silence(answering: EngineOfAnswer) -> None:
+    async def silence(answering: AnsweringEngine) -> None:
         answering.fleet.engines[answering.name].silence_connections()
 
     async def check(fleet: Fleet) -> None:
@@ -177,13 +177,13 @@
 
 
 def test_stream_that_cannot_be_finished_ends_with_an_error() -> None:
-    """Every engine dies in the middle of an answer and none comes back.
+    """Every engine fails in the middle of an answer and none recovers.
 
-    Half an answer followed by a plain end of the stream would look like a short
-    whole one. The caller is told, and the failure is counted as one.
+    A partial answer followed by a normal end of the stream would look like a short
+    complete one. The caller must get an error event, and the failure must be counted.
     """
 
-    async def kill_all(answering: EngineOfAnswer) -> None:
+    async def kill_all(answering: AnsweringEngine) -> None:
         for engine in answering.fleet.engines.values():
             await engine.stop_listening()
             engine.break_connections()
