--- a/src/quetzaldeck/capacity/__init__.py
+++ b/src/quetzaldeck/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""Measured slopes, the grounds of docs/CAPACITY.md."""
+"""Measurements of how costs grow with load; docs/CAPACITY.md is computed from them."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/capacity/__main__.py
+++ b/src/quetzaldeck/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m quetzaldeck.capacity``."""
+"""Entry point of ``python -m quetzaldeck.capacity``."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/capacity/api.py
+++ b/src/quetzaldeck/capacity/api.py
@@ -1,4 +1,4 @@
-"""The family of measurements that docs/CAPACITY.md is derived from."""
+"""Interface and registry of the measurements behind docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class MeasurementInfo(NamedTuple):
-    """What a measurement varies and what it measures.
+    """Units and sizes of a measurement.
 
-    :param size_unit: unit of what is varied
-    :param value_unit: unit of what is measured
-    :param sizes: at least three sizes
+    :param size_unit: unit of the independent variable
+    :param value_unit: unit of the measured value
+    :param sizes: values of the independent variable; at least three
     """
 
     size_unit: str
@@ -28,7 +28,7 @@
     @property
     @abstractmethod
     def info(self) -> MeasurementInfo:
-        """:returns: what is varied and measured"""
+        """:returns: units and sizes of the measurement"""
 
     @abstractmethod
     def measure(self, size: int) -> float:
@@ -36,7 +36,7 @@
 
 
 class Slope(NamedTuple):
-    """The result of one measurement."""
+    """Measured points of one measurement and the line fitted to them."""
 
     name: str
     info: MeasurementInfo
@@ -48,7 +48,7 @@
 
 
 def run_measurement(name: str) -> Slope:
-    """:returns: the points and the line of the measurement ``name``"""
+    """:returns: measured points and fitted line of the measurement ``name``"""
     measurement = measurements.get(name)()
     info = measurement.info
     points = tuple(Point(size, measurement.measure(size)) for size in info.sizes)
--- a/src/quetzaldeck/capacity/bundle_size.py
+++ b/src/quetzaldeck/capacity/bundle_size.py
@@ -1,4 +1,4 @@
-"""Bytes and decoding time of a bundle against the number of customers."""
+"""Measures the size and decoding time of a bundle by its number of customers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def build_large_bundle(n_customers: int) -> Bundle:
-    """:returns: a bundle of the size designed for, with ``n_customers``"""
+    """:returns: a bundle with ``n_customers`` and the largest supported fleet"""
     models = tuple(ModelSpec(f"model-{i}", "2027-01") for i in range(N_MODELS))
     names = tuple(model.name for model in models)
     customers = tuple(
@@ -53,15 +53,15 @@
 
 @measurements.register("bundle_bytes")
 class BundleBytes(Measurement):
-    """Bytes of the signed bundle as the configuration service holds it."""
+    """Size of the signed bundle as the configuration service stores it."""
 
     @property
     def info(self) -> MeasurementInfo:
-        """:returns: what is varied and measured"""
+        """:returns: units and sizes of the measurement"""
         return MeasurementInfo("customers", "bytes", SIZES)
 
     def measure(self, size: int) -> float:
-        """:returns: bytes of a bundle with ``size`` customers"""
+        """:returns: size in bytes of a bundle with ``size`` customers"""
         private_key, _ = generate_key()
         envelope = sign_bundle(build_large_bundle(size), "key", private_key)
         return len(encode_envelope(envelope))
@@ -69,15 +69,15 @@
 
 @measurements.register("bundle_decode")
 class BundleDecode(Measurement):
-    """CPU time to decode and check a payload."""
+    """CPU time to decode and validate a payload."""
 
     @property
     def info(self) -> MeasurementInfo:
-        """:returns: what is varied and measured"""
+        """:returns: units and sizes of the measurement"""
         return MeasurementInfo("customers", "CPU ms", SIZES)
 
     def measure(self, size: int) -> float:
-        """:returns: least time of a few rounds"""
+        """:returns: shortest time of ``N_ROUNDS`` rounds"""
         payload = encode_bundle(build_large_bundle(size))
         times = []
         for _ in range(N_ROUNDS):
--- a/src/quetzaldeck/capacity/gateway_bench.py
+++ b/src/quetzaldeck/capacity/gateway_bench.py
@@ -1,4 +1,4 @@
-"""A gateway between a token source and callers, each in a thread of its own."""
+"""Runs callers, a gateway and a token source, each in a separate thread."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 
 
 class CallTimes(NamedTuple):
-    """What one caller saw, in milliseconds."""
+    """Latencies of one call as its caller measured them, in milliseconds."""
 
     ttft_ms: float
     total_ms: float
 
 
 class GatewayBench:
-    """Runs calls through a gateway or straight to the token source.
+    """Runs calls through a gateway, or directly to the token source.
 
-    :param source: the engine
+    :param source: the engine that the gateway forwards to
     """
 
     def __init__(self, source: TokenSource) -> None:
@@ -57,7 +57,7 @@
         )
         gateway = GatewayService(settings)
         self._gateway = self._stack.enter_context(ServiceThread(gateway))
-        self._gateway.run(self._apply(gateway))
+        self._gateway.run(self._apply_bundle(gateway))
         self._stack.enter_context(self._callers)
         return self
 
@@ -79,30 +79,31 @@
         self,
         *,
         n_calls: int,
-        n_at_a_time: int = 1,
+        concurrency: int = 1,
         n_output_tokens: int = 16,
         n_prompt_tokens: int = 1_000,
         is_direct: bool = False,
         sample: Callable[[], None] | None = None,
     ) -> list[CallTimes]:
-        """:returns: times of each call
+        """:returns: latencies of each call
 
-        :param is_direct: go straight to the token source
-        :param sample: called again and again while the calls run
+        :param concurrency: calls that run at the same time
+        :param is_direct: call the token source without the gateway
+        :param sample: called every ``SAMPLE_INTERVAL_S`` while the calls run
         """
         target = self._source if is_direct else self._gateway
         assert target is not None
         body = build_body(n_prompt_tokens, n_output_tokens)
         url = target.service.address + "/v1/completions"
-        calls = run_calls(url, body, n_calls, n_at_a_time)
+        calls = run_calls(url, body, n_calls, concurrency)
         return self._callers.run(_sample_during(calls, sample))
 
-    async def _apply(self, gateway: GatewayService) -> None:
+    async def _apply_bundle(self, gateway: GatewayService) -> None:
         gateway.session.state.apply_bundle(build_bundle(self._source.service.address))
 
 
 def build_body(n_prompt_tokens: int, n_output_tokens: int) -> bytes:
-    """:returns: body of a streamed call"""
+    """:returns: request body of a streamed call"""
     return msgspec.json.encode(
         {
             "model": MODEL,
@@ -122,17 +123,17 @@
 
 
 async def run_calls(
-    url: str, body: bytes, n_calls: int, n_at_a_time: int
+    url: str, body: bytes, n_calls: int, concurrency: int
 ) -> list[CallTimes]:
-    """:returns: times of each call to ``url``"""
+    """:returns: latencies of each call to ``url``"""
     headers = {
         "Authorization": f"Bearer {API_KEY}",
         "Content-Type": "application/json",
     }
-    permits = asyncio.Semaphore(n_at_a_time)
+    semaphore = asyncio.Semaphore(concurrency)
 
     async def call(client: aiohttp.ClientSession) -> CallTimes:
-        async with permits:
+        async with semaphore:
             return await _time_call(client, url, body)
 
     async with aiohttp.ClientSession(headers=headers) as client:
--- a/src/quetzaldeck/capacity/gateway_cpu.py
+++ b/src/quetzaldeck/capacity/gateway_cpu.py
@@ -1,4 +1,4 @@
-"""Processor time of the gateway per chunk, per request and per prompt token."""
+"""Measures the gateway's CPU time per chunk, per request and per prompt token."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from quetzaldeck.capacity.token_source import TokenSource
 
 N_CALLS = 24
-N_AT_A_TIME = 4
-N_WARM_CALLS = 8
+CONCURRENCY = 4
+N_WARMUP_CALLS = 8
 
 
 def _measure_cpu(*, n_output_tokens: int, n_prompt_tokens: int) -> float:
     """:returns: gateway CPU time of one call in milliseconds"""
     with GatewayBench(TokenSource()) as bench:
-        bench.call(n_calls=N_WARM_CALLS, n_output_tokens=16)
+        bench.call(n_calls=N_WARMUP_CALLS, n_output_tokens=16)
         before_ms = bench.gateway_cpu_ms
         bench.call(
             n_calls=N_CALLS,
-            n_at_a_time=N_AT_A_TIME,
+            concurrency=CONCURRENCY,
             n_output_tokens=n_output_tokens,
             n_prompt_tokens=n_prompt_tokens,
         )
@@ -27,11 +27,11 @@
 
 @measurements.register("gateway_cpu_per_chunk")
 class GatewayCpuPerChunk(Measurement):
-    """CPU time of a call against the length of its answer."""
+    """CPU time of a call by the length of its answer."""
 
     @property
     def info(self) -> MeasurementInfo:
-        """:returns: what is varied and measured"""
+        """:returns: units and sizes of the measurement"""
         return MeasurementInfo("chunks", "CPU ms per call", (64, 256, 512, 1_024))
 
     def measure(self, size: int) -> float:
@@ -41,11 +41,11 @@
 
 @measurements.register("gateway_cpu_per_prompt_token")
 class GatewayCpuPerPromptToken(Measurement):
-    """CPU time of a call against the length of its prompt."""
+    """CPU time of a call by the length of its prompt."""
 
     @property
     def info(self) -> MeasurementInfo:
-        """:returns: what is varied and measured"""
+        """:returns: units and sizes of the measurement"""
         sizes = (1_000, 50_000, 200_000, 800_000)
         return MeasurementInfo("prompt tokens", "CPU ms per call", sizes)
 
--- a/src/quetzaldeck/capacity/relay_cost.py
+++ b/src/quetzaldeck/capacity/relay_cost.py
@@ -1,4 +1,4 @@
-"""Added TTFT of the gateway against a direct connection, side by side."""
+"""Measures the TTFT that the gateway adds compared with a direct connection."""
 
 from __future__ import annotations
 
@@ -15,38 +15,40 @@
 
 N_CALLS = 300
 N_ROUNDS = 3
-FIRST_TOKEN_MS = 5.0
-TOKEN_MS = 2.0
+FIRST_TOKEN_DELAY_MS = 5.0
+TOKEN_INTERVAL_MS = 2.0
 N_PROMPT_TOKENS = 1_000
 N_OUTPUT_TOKENS = 16
 
 
 class RelayCost(NamedTuple):
-    """TTFT in milliseconds, direct and through the gateway."""
+    """TTFT in milliseconds of direct calls and of calls through the gateway."""
 
     direct: Tails
-    through: Tails
+    through_gateway: Tails
 
     @property
     def added_p50_ms(self) -> float:
-        """:returns: TTFT that the gateway adds at the median"""
-        return self.through.p50 - self.direct.p50
+        """:returns: difference of the median TTFTs"""
+        return self.through_gateway.p50 - self.direct.p50
 
 
-def measure_relay_cost(n_at_a_time: int) -> RelayCost:
-    """Measure both ways in turns.
+def measure_relay_cost(concurrency: int) -> RelayCost:
+    """Measure direct calls and calls through the gateway in alternating rounds.
 
-    Callers, gateway and engine share one loop: the processor time of each is
-    part of the figures, the switching between threads is not.
+    Callers, gateway and engine share one event loop: the figures include the CPU time
+    of each, but no thread switches.
 
-    :param n_at_a_time: calls that run at the same time
+    :param concurrency: calls that run at the same time
     :returns: TTFT of short calls
     """
-    return uvloop.run(_measure(n_at_a_time))
+    return uvloop.run(_measure(concurrency))
 
 
-async def _measure(n_at_a_time: int) -> RelayCost:
-    source = TokenSource(delay_ms=FIRST_TOKEN_MS, pace_ms=TOKEN_MS)
+async def _measure(concurrency: int) -> RelayCost:
+    source = TokenSource(
+        delay_ms=FIRST_TOKEN_DELAY_MS, token_interval_ms=TOKEN_INTERVAL_MS
+    )
     settings = GatewaySettings("vm-1", "zone-1", ListenAddress(), "http://127.0.0.1:1")
     gateway = GatewayService(settings)
     await source.start()
@@ -55,19 +57,19 @@
         gateway.session.state.apply_bundle(build_bundle(source.address))
         body = build_body(N_PROMPT_TOKENS, N_OUTPUT_TOKENS)
         direct: list[float] = []
-        through: list[float] = []
+        through_gateway: list[float] = []
         for _ in range(N_ROUNDS):
             for address, times in (
                 (source.address, direct),
-                (gateway.address, through),
+                (gateway.address, through_gateway),
             ):
                 url = address + "/v1/completions"
-                calls = await run_calls(url, body, N_CALLS, n_at_a_time)
+                calls = await run_calls(url, body, N_CALLS, concurrency)
                 times.extend(call.ttft_ms for call in calls)
     finally:
         await gateway.stop()
         await source.stop()
-    return RelayCost(compute_tails(direct), compute_tails(through))
+    return RelayCost(compute_tails(direct), compute_tails(through_gateway))
 
 
 __all__ = ("RelayCost", "measure_relay_cost")
--- a/src/quetzaldeck/capacity/run.py
+++ b/src/quetzaldeck/capacity/run.py
@@ -1,4 +1,4 @@
-"""Runs all measurements and prints their slopes."""
+"""Command line of ``python -m quetzaldeck.capacity``: runs and prints measurements."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def render_slope(slope: Slope) -> str:
-    """:returns: points and line of one measurement as text"""
+    """:returns: points and fitted line of one measurement as text"""
     points = ", ".join(f"{p.size:g}: {p.value:.4g}" for p in slope.points)
     line = slope.line
     return (
@@ -49,11 +49,11 @@
 
 
 def print_relay_cost() -> None:
-    """Measure and print the TTFT that the gateway adds."""
-    for n_at_a_time in RELAY_CONCURRENCY:
-        cost = measure_relay_cost(n_at_a_time)
-        click.echo(f"relay_cost, {n_at_a_time} at a time:")
-        for name, tails in (("direct", cost.direct), ("through", cost.through)):
+    """Measure and print the TTFT that the gateway adds at several concurrencies."""
+    for concurrency in RELAY_CONCURRENCY:
+        cost = measure_relay_cost(concurrency)
+        click.echo(f"relay_cost, {concurrency} at a time:")
+        for name, tails in (("direct", cost.direct), ("through", cost.through_gateway)):
             click.echo(
                 f"  {name}: n {tails.n}, TTFT ms p50 {tails.p50:.2f}, "
                 f"p95 {tails.p95:.2f}, p99 {tails.p99:.2f}"
--- a/src/quetzaldeck/capacity/thread.py
+++ b/src/quetzaldeck/capacity/thread.py
@@ -1,4 +1,4 @@
-"""Services in threads of their own, so that each one's CPU time can be read."""
+"""Runs services in separate threads, so that the CPU time of each can be measured."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class LoopThread:
-    """A thread with an event loop of its own.
+    """A thread that runs its own event loop.
 
-    The CPU time of the thread is that of the service alone: waiting for another
-    thread does not count.
+    Its CPU time is that of the service alone; time spent waiting for other threads
+    does not count.
     """
 
     def __init__(self) -> None:
@@ -44,18 +44,18 @@
         self._thread.join()
 
     def run(self, coroutine: Coroutine[Any, Any, T]) -> T:
-        """:returns: what ``coroutine`` returns on this thread's loop"""
+        """:returns: the result of ``coroutine``, run on this thread's event loop"""
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result()
 
     def cpu_ms(self) -> float:
-        """:returns: CPU time that the thread has used, in milliseconds"""
+        """:returns: CPU time used by the thread, in milliseconds"""
         assert self._thread.ident is not None
         clock_id = time.pthread_getcpuclockid(self._thread.ident)
         return time.clock_gettime(clock_id) * 1_000
 
 
 class ServiceThread(LoopThread):
-    """A thread that serves one service while the context is open."""
+    """A thread that runs a service while the context is open."""
 
     def __init__(self, service: HttpServiceBase) -> None:
         super().__init__()
--- a/src/quetzaldeck/capacity/token_source.py
+++ b/src/quetzaldeck/capacity/token_source.py
@@ -1,4 +1,4 @@
-"""An engine that streams a stated number of tokens at once, for measurements."""
+"""An engine stub for measurements that streams as many tokens as a request asks for."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
 
 
 class TokenSource(HttpServiceBase):
-    """Speaks the engine protocol; costs next to nothing itself.
+    """Implements the engine protocol at negligible cost of its own.
 
-    :param delay_ms: pause before the first token
-    :param pace_ms: pause between tokens; 0 sends them back to back
+    :param delay_ms: delay of the first token
+    :param token_interval_ms: delay between tokens; 0 sends them back to back
     """
 
-    def __init__(self, *, delay_ms: float = 0.0, pace_ms: float = 0.0) -> None:
+    def __init__(
+        self, *, delay_ms: float = 0.0, token_interval_ms: float = 0.0
+    ) -> None:
         super().__init__(ListenAddress())
         self._delay_ms = delay_ms
-        self._pace_ms = pace_ms
+        self._token_interval_ms = token_interval_ms
 
     async def open(self) -> web.Application:
-        """Build the application."""
+        """:returns: the application with the engine's routes"""
         application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.add_routes(
             [
@@ -41,7 +43,7 @@
         return application
 
     async def close(self) -> None:
-        """Nothing is left to end."""
+        """Do nothing: there is no state to clean up."""
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         body = msgspec.json.decode(await request.read())
@@ -54,8 +56,8 @@
         for index in range(n_tokens):
             is_last = index + 1 == n_tokens
             await response.write(_encode_token(attempt_id, index, is_last=is_last))
-            if self._pace_ms:
-                await asyncio.sleep(self._pace_ms / 1_000)
+            if self._token_interval_ms:
+                await asyncio.sleep(self._token_interval_ms / 1_000)
         await response.write(encode_event(DONE))
         return response
 
--- a/tests/upstreams/test_connection_reuse.py
+++ b/tests/upstreams/test_connection_reuse.py
@@ -25,7 +25,7 @@
     """Counts the connections that its calls came over."""
 
     def __init__(self) -> None:
-        super().__init__(pace_ms=END_MARK_MS)
+        super().__init__(token_interval_ms=END_MARK_MS)
         self.ports: set[int] = set()
 
     async def open(self) -> web.Application:
