--- a/src/quetzaldeck/bench/__init__.py
+++ b/src/quetzaldeck/bench/__init__.py
@@ -1,14 +1,16 @@
-"""Bench: the real decision modules under a load, judged by what callers receive.
+"""Discrete-event simulation of a fleet that runs the real decision modules.
 
-A scenario is data: calls, a fleet and faults. :func:`run_scenario` plays it over one
-real scheduler for each VM, with lagging load reports, and the engine cost model::
+A scenario is data: calls, a fleet and faults. :func:`run_scenario` simulates it with
+one real scheduler per VM, delayed load reports and the engine cost model, and returns
+what each caller received::
 
     calls = tuple(Call(f"c{i}", i * 10.0, "gym", model=MODEL) for i in range(100))
     faults = (Fault(FaultKind.CRASH, at_ms=500, target="engine-0"),)
     result = run_scenario(Scenario("crash", calls, faults=faults))
     answered = [c for c in result.calls if c.outcome is Outcome.ANSWERED]
 
-Another policy is a :class:`quetzaldeck.decisions.policies.Policies` with its names.
+To run other policies, pass their names as
+:class:`quetzaldeck.decisions.policies.Policies`.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/bench/__main__.py
+++ b/src/quetzaldeck/bench/__main__.py
@@ -18,7 +18,7 @@
     type=click.Path(path_type=Path),
     default=Path("bench/report.json"),
     show_default=True,
-    help="Where the figures are written as JSON.",
+    help="File for the results as JSON.",
 )
 @click.option(
     "--table",
@@ -26,14 +26,14 @@
     type=click.Path(path_type=Path),
     default=Path("bench/report.md"),
     show_default=True,
-    help="Where the tables are written.",
+    help="File for the results as Markdown tables.",
 )
 @click.option("--duration-ms", default=DURATION_MS, show_default=True)
 @click.option("--seeds", default=N_SEEDS, show_default=True)
 def main(
     *, report_path: Path, table_path: Path, duration_ms: float, seeds: int
 ) -> None:
-    """Run the mixture under both profiles and both baselines."""
+    """Simulate the call mixture under both profiles and both baselines."""
     report = run_suite(duration_ms=duration_ms, n_seeds=seeds)
     for path in (report_path, table_path):
         path.parent.mkdir(parents=True, exist_ok=True)
--- a/src/quetzaldeck/bench/attempt_launcher.py
+++ b/src/quetzaldeck/bench/attempt_launcher.py
@@ -1,4 +1,4 @@
-"""Carries a VM's attempts to the upstreams of the bench, and calls them off."""
+"""Starts a VM's attempts at the simulated upstreams and cancels them."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
 
 
 class AttemptLauncher:
-    """What lies between a VM and the upstreams.
+    """Simulates the network between a VM and the upstreams.
 
-    :param latency_ms: one way
-    :param groups: how memory is set aside for prompts above one engine's
-    :param watches_silence: whether silent attempts are left as an entry VM leaves them
+    :param latency_ms: one-way latency
+    :param groups: limits of group reservations, for prompts larger than one engine's
+        memory
+    :param abandons_silent: whether silent attempts are abandoned as by an entry VM
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         self._watches_silence = watches_silence
 
     def launch(self, attempt: BenchAttempt) -> None:
-        """Send an attempt on its way."""
+        """Start an attempt; it reaches its upstream one latency later."""
         if self._watches_silence:
             attempt.watch = AttemptWatch(attempt, self._events)
             attempt.watch.begin()
@@ -58,7 +59,7 @@
         self._events.after(self._latency_ms, partial(self._arrive, upstream, attempt))
 
     def cancel(self, attempt: BenchAttempt) -> None:
-        """Release what an attempt holds, wherever it is."""
+        """Release everything that an attempt holds at upstreams."""
         if attempt.group is not None:
             attempt.group.release()
         for name in attempt.dispatch.upstreams:
@@ -84,7 +85,7 @@
         )
 
     def _spread(self, attempt: BenchAttempt) -> SpreadRead | None:
-        """:returns: the parts of a prompt that engines read beside the one asked"""
+        """:returns: the division of the prompt among engines; ``None`` for one engine"""
         dispatch = attempt.dispatch
         names = (*reversed(dispatch.upstreams), *dispatch.helpers)
         engines = [self._upstreams[name] for name in names]
--- a/src/quetzaldeck/bench/attempt_watch.py
+++ b/src/quetzaldeck/bench/attempt_watch.py
@@ -1,4 +1,4 @@
-"""Looks at attempts that say nothing, as an entry VM does."""
+"""Detects silent attempts, as an entry VM does."""
 
 from __future__ import annotations
 
@@ -17,13 +17,16 @@
     from quetzaldeck.bench.event_queue import EventQueue
 
 MIN_LOOK_MS = 0.001
-"""What is due sooner is due: a rounding error would be waited for without an end."""
+"""Shortest wait before a recheck; a shorter one counts as elapsed.
+
+Rounding errors could otherwise schedule the same check again without end.
+"""
 
 
 class AttemptWatch:
-    """Asks the scheduler whether a silent attempt is left for another upstream.
+    """Asks the scheduler whether to abandon a silent attempt for another upstream.
 
-    :param attempt: the attempt, sent now
+    :param attempt: the attempt, sent at the current time
     """
 
     def __init__(self, attempt: BenchAttempt, events: EventQueue) -> None:
@@ -33,11 +36,11 @@
         self._has_begun = False
 
     def begin(self) -> None:
-        """Look for the first time when the first token is overdue."""
+        """Schedule the first check for when the first token becomes overdue."""
         self._events.after(self._bound_ms(), self._look)
 
     def note_heard(self) -> None:
-        """Take that a token came."""
+        """Restart the silence interval: a token arrived."""
         self._has_begun = True
         self._heard_ms = self._events.now_ms
 
--- a/src/quetzaldeck/bench/bench_attempt.py
+++ b/src/quetzaldeck/bench/bench_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt on its way through the bench."""
+"""State of one simulated attempt."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class BenchAttempt:
-    """What an upstream is asked to run, and who asked.
+    """A request sent to an upstream, and the VM that sent it.
 
-    :param n_delivered: tokens that the caller has from earlier attempts
+    :param n_delivered: tokens that the caller received from earlier attempts
     """
 
-    # has_begun: an event was written, so that the request runs; group: the engines that
-    # set memory aside; spread: the engines that read a part each.
+    # has_begun: an event was written, so the request counts as running; group: the
+    # engines that reserve memory; split: the engines that prefill a part each.
 
     def __init__(
         self, vm: BenchVm, call: Call, dispatch: Dispatch, n_delivered: int = 0
--- a/src/quetzaldeck/bench/bench_engine.py
+++ b/src/quetzaldeck/bench/bench_engine.py
@@ -1,4 +1,4 @@
-"""An engine of the bench: the engine cost model on the bench's clock."""
+"""A simulated engine: the cost model of continuous batching on the event queue."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class BenchEngine(ModelEngine):
-    """Steps the model while it has work and passes tokens to the VMs."""
+    """Runs steps of the model while it has work and sends the tokens to the VMs."""
 
     def __init__(
         self, spec: UpstreamSpec, shape: FleetShape, events: EventQueue
@@ -36,11 +36,11 @@
 
     @property
     def n_kv_tokens_used(self) -> int:
-        """:returns: memory held now"""
+        """:returns: KV cache tokens in use"""
         return self._model.n_kv_tokens_used
 
     def list_cache_events(self, cursor: CacheCursor) -> CacheEvents:
-        """:returns: what an answer says of the prefix cache, after ``cursor``"""
+        """:returns: prefix cache events after ``cursor``, as an answer carries them"""
         after = cursor.sequence if cursor.incarnation == self.incarnation else 0
         events = self._cache_log.read(after, until_ms=self._events.now_ms)
         return CacheEvents(
@@ -57,13 +57,13 @@
         )
 
     def prefill(self, part: Sequence, on_done: Callable[[], None]) -> None:
-        """Prefill a part of a group's prompt."""
+        """Prefill a part of a group's prompt and call ``on_done`` at its end."""
         self._parts[part.sequence_id] = on_done
         self._model.submit(part)
         self._step()
 
     def report(self) -> LoadReport:
-        """:returns: the load at this moment"""
+        """:returns: the current load"""
         self._n_reports += 1
         return LoadReport(
             self.spec.name,
@@ -112,7 +112,7 @@
         self._step()
 
     def _step(self) -> None:
-        """Start a step unless one runs; its tokens appear when it ends."""
+        """Start a step unless one is running; its tokens are emitted at its end."""
         if self._is_stepping or self._model.is_idle:
             return
         self._is_stepping = True
--- a/src/quetzaldeck/bench/bench_group.py
+++ b/src/quetzaldeck/bench/bench_group.py
@@ -1,4 +1,4 @@
-"""A group of engines in the bench: reserved, run, released."""
+"""A simulated group of engines that together hold the prompt of one attempt."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class BenchGroup(ABC):
-    """Sets memory aside on all engines that hold one prompt, or on none.
+    """Reserves memory for one prompt on all members, or on none.
 
     :param engines: members in canonical order
-    :param latency_ms: one way between the VM and an engine
-    :param bounds: how long it waits for a member
+    :param latency_ms: one-way latency between the VM and an engine
+    :param bounds: how long to wait for a member's reservation
     """
 
     def __init__(
@@ -48,20 +48,20 @@
 
     @property
     def reservation_id(self) -> str:
-        """:returns: reservation that the members' sequences run under"""
+        """:returns: id of the reservation that the members' sequences use"""
         return self._reservation_id
 
     @property
     def n_context_tokens(self) -> int:
-        """:returns: prompt tokens that are prefilled before the last member's"""
+        """:returns: prompt tokens that are prefilled on members before the last"""
         return 0
 
     def begin(self) -> None:
-        """Reserve the first member, then the others, then prefill."""
+        """Reserve memory on one member after the other, then run the prompt."""
         self._reserve(0)
 
     def release(self) -> None:
-        """Give everything back; what is still on its way has no effect."""
+        """Release all reservations; messages still in transit have no effect."""
         if self._is_over:
             return
         self._is_over = True
@@ -69,7 +69,7 @@
             self._send(partial(engine.release, self._reservation_id))
 
     def note_broken(self, engine: ModelEngine) -> None:
-        """Take the loss of a member."""
+        """Fail the attempt: a member crashed."""
         if not self._is_over:
             self._fail(engine, AttemptFault.BROKEN, has_reached=True)
 
@@ -101,7 +101,7 @@
 
     @abstractmethod
     def _run(self) -> None:
-        """Run the prompt: all members have set their memory aside."""
+        """Run the prompt; all members have reserved their memory."""
 
     def _fail(
         self, engine: ModelEngine, fault: AttemptFault, *, has_reached: bool
--- a/src/quetzaldeck/bench/bench_service.py
+++ b/src/quetzaldeck/bench/bench_service.py
@@ -1,4 +1,4 @@
-"""A replica of a plain service in the bench."""
+"""A simulated replica of a plain service."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class BenchService(BenchUpstream):
-    """A few workers and a queue, first in, first out."""
+    """Runs calls on a fixed number of workers, with a FIFO queue."""
 
     def __init__(
         self, spec: UpstreamSpec, shape: FleetShape, events: EventQueue
@@ -27,7 +27,7 @@
         self._running: set[str] = set()
 
     def report(self) -> LoadReport:
-        """:returns: the load at this moment"""
+        """:returns: the current load"""
         self._n_reports += 1
         return LoadReport(
             self.spec.name,
--- a/src/quetzaldeck/bench/bench_upstream.py
+++ b/src/quetzaldeck/bench/bench_upstream.py
@@ -1,4 +1,4 @@
-"""What engines and plain services of the bench have in common."""
+"""Base class of the simulated engines and plain services."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class BenchUpstream(ABC):
-    """An upstream that may be down, slow or behind silent connections."""
+    """An upstream that can crash, slow down or lose open connections silently."""
 
     def __init__(
         self, spec: UpstreamSpec, shape: FleetShape, events: EventQueue
@@ -32,11 +32,11 @@
 
     @property
     def incarnation(self) -> str:
-        """:returns: id of the current start"""
+        """:returns: id of the current incarnation"""
         return f"{self.spec.name}#{self._n_incarnation}"
 
     def arrive(self, attempt: BenchAttempt) -> None:
-        """Take an attempt whose bytes arrive now."""
+        """Start an attempt that arrives at the current time."""
         if self.is_down:
             attempt.vm.fail(attempt, AttemptFault.CONNECT, has_reached=False)
             return
@@ -45,12 +45,12 @@
         self._begin(attempt)
 
     def cancel(self, attempt_id: str) -> None:
-        """Release what an attempt holds, if anything."""
+        """Stop an attempt and release what it holds; ignored if it is unknown."""
         if self._attempts.pop(attempt_id, None) is not None:
             self._end(attempt_id)
 
     def crash(self) -> None:
-        """Lose everything that runs; every open connection breaks."""
+        """Go down: all running attempts are lost and their connections break."""
         self.is_down = True
         lost = list(self._attempts.values())
         self._attempts.clear()
@@ -60,32 +60,32 @@
                 attempt.vm.fail(attempt, AttemptFault.BROKEN)
 
     def restart(self) -> None:
-        """Come back empty, as a new incarnation."""
+        """Come up again without state, as a new incarnation."""
         self.is_down = False
         self._n_incarnation += 1
         self._n_reports = 0
 
     def silence(self) -> None:
-        """Stop all open connections; the VMs notice after their idle bound."""
+        """Stop delivery on all open connections; VMs notice at their idle timeout."""
         for attempt in self._attempts.values():
             attempt.is_silent = True
             attempt.vm.expect_silence(attempt, self._shape.idle_ms)
 
     @abstractmethod
     def report(self) -> LoadReport:
-        """:returns: the load at this moment"""
+        """:returns: the current load"""
 
     @abstractmethod
     def _begin(self, attempt: BenchAttempt) -> None:
-        """Start to run an attempt."""
+        """Start to run ``attempt``."""
 
     @abstractmethod
     def _end(self, attempt_id: str) -> None:
-        """Stop to run an attempt."""
+        """Stop the attempt ``attempt_id``."""
 
     @abstractmethod
     def _clear(self) -> None:
-        """Lose all state."""
+        """Drop all state, as in a crash."""
 
 
 __all__ = ("BenchUpstream",)
--- a/src/quetzaldeck/bench/bench_vm.py
+++ b/src/quetzaldeck/bench/bench_vm.py
@@ -1,4 +1,4 @@
-"""A VM of the bench: the real scheduler between callers and upstreams."""
+"""A simulated VM: the real scheduler between callers and upstreams."""
 
 from __future__ import annotations
 
@@ -30,11 +30,12 @@
 
 
 class BenchVm:
-    """Feeds a scheduler as the gateway's tasks do and carries out its decisions.
+    """Drives a scheduler as the gateway's tasks do and carries out its decisions.
 
-    :param on_end: told how each submission ended for its caller
-    :param groups: how memory is set aside for prompts above one engine's
-    :param watches_silence: whether silent attempts are left as an entry VM leaves them
+    :param on_end: called with the outcome of each submission
+    :param groups: limits of group reservations, for prompts larger than one engine's
+        memory
+    :param abandons_silent: whether silent attempts are abandoned as by an entry VM
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         self._is_polling = False
 
     def submit(self, state: CallState) -> None:
-        """Take a call that arrives now."""
+        """Submit a call that arrives at the current time."""
         call = state.call
         now_ms = self._events.now_ms
         state.submitted_ms.append(now_ms)
@@ -89,25 +90,25 @@
         self.poll()
 
     def list_shares(self) -> list[tuple[str, VmLoad]]:
-        """:returns: what of this VM is at each upstream"""
+        """:returns: the load that this VM puts on each upstream"""
         now_ms = self._events.now_ms
         return [(u.spec.name, u.own_load(now_ms)) for u in self.scheduler.upstreams]
 
     def observe_load(self, report: LoadReport) -> None:
-        """Let the load that an answer tells travel to the VM."""
+        """Deliver the load report of an answer to the VM after the network latency."""
         observe = self.scheduler.fleet.observe_load
         self._events.after(self._latency_ms, lambda: observe(report))
 
     def is_running(self, attempt: BenchAttempt) -> bool:
-        """:returns: whether the attempt is the one that its caller waits for"""
+        """:returns: whether this is the current attempt of an open submission"""
         return self._is_current(attempt) is not None
 
     def leave_attempt(self, attempt: BenchAttempt, fault: AttemptFault) -> None:
-        """Give an attempt up that may have run."""
+        """End an attempt that may have run, so that it can be retried."""
         self._take_fault(attempt, fault, has_reached=True)
 
     def poll(self) -> None:
-        """Carry out what the scheduler decides; come back while requests wait."""
+        """Carry out the scheduler's decisions; poll again while requests are queued."""
         if self.is_down:
             return
         for decision in self.scheduler.poll():
@@ -123,7 +124,7 @@
             self._events.after(POLL_INTERVAL_MS, self._poll_again)
 
     def receive(self, attempt: BenchAttempt, *, is_last: bool) -> None:
-        """Let a token, or a whole plain answer, travel to the VM."""
+        """Deliver a token, or a whole plain answer, after the network latency."""
         self._events.after(
             self._latency_ms, lambda: self._take_token(attempt, is_last=is_last)
         )
@@ -145,20 +146,20 @@
         )
 
     def expect_silence(self, attempt: BenchAttempt, idle_ms: float) -> None:
-        """Notice after ``idle_ms`` that nothing comes any more."""
+        """Fail the attempt as silent after ``idle_timeout_ms``."""
         self._events.after(
             idle_ms,
             lambda: self._take_fault(attempt, AttemptFault.SILENT, has_reached=True),
         )
 
     def note_execution(self, attempt: BenchAttempt) -> None:
-        """Count that an upstream began to run an attempt."""
+        """Count an execution: an upstream began to run the attempt."""
         submission = self._open.get(attempt.dispatch.request.request_id)
         if submission is not None:
             submission.state.n_executions += 1
 
     def crash(self) -> None:
-        """Lose every call; upstreams see their connections close."""
+        """Go down: all open calls are cut off and their attempts cancelled."""
         self.is_down = True
         lost = list(self._open.values())
         self._open.clear()
@@ -210,7 +211,7 @@
         self.poll()
 
     def _take_cache_events(self, attempt: BenchAttempt) -> None:
-        """Take the cache events that travel with an answer's first token."""
+        """Apply the cache events that arrive with an answer's first token."""
         name = attempt.dispatch.upstreams[-1]
         engine = self._upstreams[name]
         if not isinstance(engine, BenchEngine):
@@ -258,7 +259,7 @@
             self.poll()
 
     def _hang_up(self, submission: Submission) -> None:
-        """Let a caller leave that has heard nothing for longer than it bears."""
+        """Disconnect the caller if it received no token within its idle timeout."""
         state = submission.state
         heard_ms = max(state.heard_ms, submission.request.arrived_ms)
         left_ms = heard_ms + state.call.patience_ms - self._events.now_ms
--- a/src/quetzaldeck/bench/call.py
+++ b/src/quetzaldeck/bench/call.py
@@ -1,4 +1,4 @@
-"""One call of the bench's callers."""
+"""One simulated call."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
     """What a caller sends and how it behaves.
 
     :param at_ms: when it is first sent
-    :param model: model asked for; ``""`` for a plain service
-    :param n_prompt_tokens: what the engine counts
-    :param n_estimated_tokens: what the gateway estimates; 0: the same
-    :param max_output_tokens: bound of the answer that the caller names
-    :param n_output_tokens: length of the answer; 0: up to the bound
-    :param deadline_ms: time that the caller gives one submission
-    :param target_ms: time to the first token after which the answer is late; 0: none
-    :param max_gap_ms: pause between two tokens after which it is late; 0: none. A
-        caller that states one hangs up when it hears nothing for several times as long.
+    :param model: model requested; ``""`` for a plain service
+    :param n_prompt_tokens: prompt length as the engine counts it
+    :param n_estimated_tokens: prompt length as the gateway estimates it; 0: the same
+    :param max_output_tokens: limit of the answer's length in the request
+    :param n_output_tokens: length of the answer; 0: up to the limit
+    :param deadline_ms: time allowed for one submission
+    :param target_ms: time to first token after which the answer is late; 0: none
+    :param max_gap_ms: gap between two tokens after which the answer is late; 0: none.
+        A caller with this limit disconnects after a silence of several times as long.
     :param prefix_id: calls with the same id share their first ``n_prefix_tokens``
     :param vm: index of the VM that it is sent to; ``None``: any
-    :param max_resends: how often the caller comes back after a refusal that says
-        ``ran: no`` and names a time
-    :param gone_after_ms: the caller closes its connection after this time
-    :param fingerprint_id: calls with the same id are the same prompt sent again;
-        ``""``: the call's own
+    :param max_resends: how often the caller resends after a refusal with ``ran: no``
+        and a time to retry after, or after its VM was lost
+    :param disconnects_after_ms: time after which the caller closes its connection
+    :param fingerprint_id: calls with the same id repeat the same prompt; ``""``: the
+        prompt is unique to the call
     :param kills_engine: whether an engine crashes while it prefills this prompt
     """
 
@@ -56,12 +56,12 @@
 
     @property
     def n_answer_tokens(self) -> int:
-        """:returns: length of the whole answer"""
+        """:returns: length of the whole answer in tokens"""
         return self.n_output_tokens or self.max_output_tokens
 
     @property
     def patience_ms(self) -> float:
-        """:returns: silence after which the caller hangs up; 0: it does not"""
+        """:returns: silence after which the caller disconnects; 0: it does not"""
         return (
             infer_idle_timeout_ms(self.target_ms, self.max_gap_ms)
             if self.max_gap_ms
@@ -69,7 +69,7 @@
         )
 
     def hash_prefixes(self) -> tuple[int, ...]:
-        """:returns: one hash for each prefix length that the prompt has"""
+        """:returns: one hash for each tracked prefix length that the prompt reaches"""
         return tuple(
             hash((self._prefix_owner(length), length))
             for length in PREFIX_TOKENS
--- a/src/quetzaldeck/bench/call_result.py
+++ b/src/quetzaldeck/bench/call_result.py
@@ -1,4 +1,4 @@
-"""What one caller received."""
+"""Result of one call as its caller saw it."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 class CallResult(NamedTuple):
     """One caller's view of its call.
 
-    :param outcome: ``REFUSED`` was told before any attempt, ``FAILED`` after one,
-        ``CUT_OFF`` lost its VM, ``GONE`` left by itself, ``LOST`` heard nothing by
-        its deadline
+    :param outcome: ``REFUSED``: refused before any attempt; ``FAILED``: failed after
+        an attempt; ``CUT_OFF``: its VM was lost; ``GONE``: the caller disconnected;
+        ``LOST``: no outcome although its deadline passed
     :param ttft_ms: from the first submission to the first token
     :param total_ms: from the first submission to the end
-    :param longest_gap_ms: longest pause between two tokens
+    :param longest_gap_ms: longest gap between two tokens
     :param reason: reason of the last refusal or failure
-    :param ran: what the last refusal or failure said of its execution
+    :param ran: the ``ran`` value of the last refusal or failure
     :param n_executions: attempts that an upstream began to run
     :param n_submissions: first submission and resends
-    :param submitted_ms: when each of them was made
-    :param upstreams: where its attempts went, in order
+    :param submitted_ms: times of the submissions
+    :param upstreams: upstreams of its attempts, in order
     """
 
     call: Call
@@ -52,9 +52,9 @@
 
     @property
     def is_in_time(self) -> bool:
-        """:returns: whether the whole answer came, in the times that the caller wants
+        """:returns: whether the whole answer arrived within the call's time limits
 
-        A call that states no time is in time if it is answered.
+        A call without limits is in time if it is answered.
         """
         if self.outcome is not Outcome.ANSWERED or self.ttft_ms is None:
             return False
@@ -64,17 +64,17 @@
 
     @property
     def waited_ms(self) -> float:
-        """:returns: from the last submission to the end"""
+        """:returns: time from the last submission to the end"""
         return self.ended_ms - self.submitted_ms[-1] if self.submitted_ms else 0.0
 
     @property
     def is_false_refusal(self) -> bool:
-        """:returns: whether the caller was told ``ran: no`` of what did run"""
+        """:returns: whether the refusal said ``ran: no`` although the call had run"""
         return self.ran == "no" and self.n_executions > 0
 
     @property
     def is_doubled(self) -> bool:
-        """:returns: whether what may not be repeated ran more than once"""
+        """:returns: whether a call that is not repeatable ran more than once"""
         return not self.call.is_repeatable and self.n_executions > 1
 
 
--- a/src/quetzaldeck/bench/decision_cost.py
+++ b/src/quetzaldeck/bench/decision_cost.py
@@ -1,4 +1,4 @@
-"""What a decision costs, and how the cost grows."""
+"""Measures the CPU cost of a scheduling decision by fleet and queue size."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 class DecisionCost(NamedTuple):
     """Cost of a request from its arrival to its end, on one core.
 
-    :param n_queued: requests that wait and cannot be placed
-    :param decisions_per_s: requests submitted, placed and ended a second
+    :param n_queued: queued requests that cannot be placed
+    :param decisions_per_s: requests submitted, placed and ended per second
     """
 
     n_upstreams: int
@@ -44,7 +44,7 @@
 
 
 def measure_decision_costs() -> tuple[DecisionCost, ...]:
-    """:returns: the cost at several sizes; real time, so it varies a little"""
+    """:returns: the cost at several sizes; wall time, so it varies between runs"""
     return tuple(_measure(*size) for size in _SIZES)
 
 
@@ -53,7 +53,7 @@
     scheduler = build_scheduler(Policies(), clock=clock, random_state=random.Random(1))
     scheduler.apply_bundle(_build_bundle(n_upstreams, n_customers))
     for index in range(n_queued):
-        # Too many tokens for any engine now: one each keeps its place in the queue.
+        # Their engine has memory for one of them, so the others stay queued.
         scheduler.submit(_make_request(f"q{index}", index, n_customers, "stuck"))
     scheduler.poll()
     started = time.perf_counter()
--- a/src/quetzaldeck/bench/entry_loads.py
+++ b/src/quetzaldeck/bench/entry_loads.py
@@ -1,4 +1,4 @@
-"""The fleets and load patterns that entry VMs are measured on."""
+"""Fleets and load patterns of the entry VM simulation."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 DURATION_MS = 40_000.0
 BEGIN_MS = 12_000.0
 END_MS = 22_000.0
-"""Bursts and faults last from here to there."""
+"""Bursts and faults last from ``BEGIN_MS`` to ``END_MS``."""
 
 
 class EntryFleet(NamedTuple):
-    """Engines and VMs, and how much they are asked for.
+    """A fleet and the load offered to it.
 
-    :param scale: times the rates of the mixture
+    :param scale: factor on the arrival rates of the mixture
     """
 
     name: str
@@ -83,12 +83,13 @@
         1.6,
     ),
 )
-"""Two of the sizes that run today, about, and two of other speeds, memories and slots:
-what decides must follow from what engines state, not from one deployment."""
+"""Two fleets of about the size of real deployments, and two whose engines differ in
+speed, memory and slots. The others check that decisions follow the configured engine
+figures and are not tuned to one deployment."""
 
 
 def list_scenarios(fleet: EntryFleet, random_state: int) -> tuple[Scenario, ...]:
-    """:returns: the load patterns on one fleet"""
+    """:returns: a scenario for each load pattern on ``fleet``"""
     steady = EntryMixture(DURATION_MS, fleet.scale, random_state=random_state)
     n_engines = fleet.shape.n_engines
     slow = Fault(FaultKind.SLOW, BEGIN_MS, "engine-0", END_MS, factor=5.0)
--- a/src/quetzaldeck/bench/entry_main.py
+++ b/src/quetzaldeck/bench/entry_main.py
@@ -21,11 +21,11 @@
     type=click.Path(path_type=Path),
     default=Path("docs/design/bench-entry.md"),
     show_default=True,
-    help="Where the tables are written.",
+    help="File for the results as Markdown tables.",
 )
 @click.option("--random-state", default=1, show_default=True, help="Seed of the calls.")
 def main(*, table_path: Path, random_state: int) -> None:
-    """Run the load patterns of entry VMs on several fleets, and the baselines."""
+    """Simulate entry VMs and the baselines under each load pattern and fleet."""
     runs = run_entry_suite(random_state=random_state, report=_print)
     table_path.parent.mkdir(parents=True, exist_ok=True)
     table_path.write_text(render_entry_table(runs))
--- a/src/quetzaldeck/bench/entry_mixture.py
+++ b/src/quetzaldeck/bench/entry_mixture.py
@@ -1,10 +1,10 @@
-"""Calls as an entry VM's callers send them: by kind, with targets, in bursts.
+"""Random calls to entry VMs: several kinds with latency targets, and bursts.
 
-Grounds for the figures: three kinds of prompt, about 5,000, 45,000 and 130,000 tokens
-long, of which the first makes nine in ten of all, and look-ups and bookings at a desk.
-Lengths of one kind vary by a factor of two or more either way, so they are drawn from a
-log-normal distribution with a bound. Each kind states when its first token is wanted
-and which pauses its caller bears.
+There are three kinds of prompts, of about 5,000, 45,000 and 130,000 tokens, of which
+the first makes up nine in ten, and look-ups and bookings at a plain service. Lengths
+within a kind vary by a factor of two or more either way, so they are drawn from a
+log-normal distribution with an upper bound. Each kind has a target for the time to
+first token and a limit on the gap between tokens.
 """
 
 from __future__ import annotations
@@ -22,9 +22,10 @@
 class CallKind(NamedTuple):
     """One kind of call.
 
-    :param per_second: calls that arrive; what all others arrive at is relative to it
+    :param per_second: arrival rate at scale 1
     :param n_tokens: mean length of the prompt; 0 for a plain call
-    :param spread: standard deviation of the logarithm of the length
+    :param log_stddev: standard deviation of the logarithm of the length
+    :param max_tokens: upper bound of the length
     :param n_output_tokens: mean length of the answer
     :param is_repeatable: whether it may run more than once
     """
@@ -51,17 +52,18 @@
 KINDS = (PLAN, REVIEW, HISTORY, BOOKING, LOOK_UP)
 
 ANSWER_SPREAD = 0.6
-"""Standard deviation of the logarithm of an answer's length."""
+"""Standard deviation of the logarithm of the answer length."""
 
 N_CUSTOMERS = 10
 LARGE_CUSTOMERS = 3
-"""The first customers send half of all calls."""
+"""Number of large customers, who send half of all calls beside their equal share of
+the other half."""
 
 
 class Burst(NamedTuple):
-    """A time in which a kind of call arrives more or less often.
+    """A period in which the arrival rate of one kind of call is changed.
 
-    :param factor: times the usual rate
+    :param factor: factor on the usual rate
     """
 
     kind: str
@@ -71,12 +73,13 @@
 
 
 class EntryMixture(NamedTuple):
-    """A load of an entry VM's calls.
+    """Generator of random calls to entry VMs.
 
-    :param scale: times the rates of the kinds
-    :param hot_share: part of the calls that the first customer sends, on top of its own
-    :param leaving_share: part of the callers that leave, at a random time within the
-        target of their call
+    :param scale: factor on the arrival rates of the kinds
+    :param hot_share: share of the calls that the first customer sends in addition to
+        its usual ones
+    :param disconnecting_share: share of the callers that disconnect, at a random time
+        within the time-to-first-token target of their call
     """
 
     duration_ms: float
@@ -88,7 +91,7 @@
     random_state: int = 1
 
     def draw_calls(self) -> tuple[Call, ...]:
-        """:returns: the calls in order of time; the same for the same seed"""
+        """:returns: calls in order of arrival; deterministic for a given seed"""
         random_state = random.Random(self.random_state)
         calls = [
             self._draw_call(f"{kind.name}/{n}", kind, at_ms, random_state)
@@ -100,7 +103,10 @@
     def _draw_arrivals(
         self, kind: CallKind, random_state: random.Random
     ) -> list[float]:
-        """Thin arrivals at the highest rate: bursts need not be handled one by one."""
+        """Draw arrivals at the peak rate and thin them to the rate of each moment.
+
+        Thinning handles overlapping bursts without treating each period separately.
+        """
         bursts = [burst for burst in self.bursts if burst.kind == kind.name]
         highest = max([1.0, *(burst.factor for burst in bursts)])
         rate = kind.per_second * self.scale * highest
@@ -149,7 +155,7 @@
 
 
 def _draw_length(mean: float, spread: float, random_state: random.Random) -> int:
-    """:returns: a log-normal length with this mean"""
+    """:returns: a random length, log-normal with mean ``mean``"""
     mu = math.log(mean) - spread * spread / 2
     return max(1, round(random_state.lognormvariate(mu, spread)))
 
--- a/src/quetzaldeck/bench/entry_suite.py
+++ b/src/quetzaldeck/bench/entry_suite.py
@@ -1,4 +1,4 @@
-"""The runs of ``make bench-entry``: entry VMs against baselines, pattern by pattern."""
+"""The runs of ``make bench-entry``: entry VMs and baselines under each load pattern."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
     "least busy, parts on all": Policies("fifo", "first_token", "bounds", "none"),
     "entry": ENTRY_POLICIES,
 }
-"""What entry VMs are compared with: one replica for each prompt, and long prompts in
-parts on whatever engine is least busy, both without a bound on what is admitted."""
+"""Policies of entry VMs and two baselines: each prompt whole on one replica, and long
+prompts divided among whichever engines are least busy. Neither baseline limits how much
+is admitted."""
 
 
 class KindSummary(NamedTuple):
-    """What the callers of one kind received.
+    """Results of the calls of one kind.
 
-    :param n: calls whose callers did not leave early
-    :param n_in_time: answered whole, with first token and pauses as wanted
-    :param first_ms: time to the first token, of those that got one
+    :param n: calls whose callers were not set to disconnect
+    :param n_in_time: calls answered whole within their time limits
+    :param first_ms: time to first token of the calls that received one
     """
 
     n: int
@@ -44,9 +45,10 @@
 class EntryRun(NamedTuple):
     """One load pattern on one fleet under one policy.
 
-    :param n_silent: callers that hung up after hearing nothing for too long
-    :param n_dishonest: calls lost, doubled, or refused as not run though they ran
-    :param n_kv_tokens_left: memory that engines still hold at the end
+    :param n_caller_timeouts: callers that disconnected at their idle timeout
+    :param n_violations: calls lost, executed twice, or refused with ``ran: no``
+        although they ran
+    :param n_kv_tokens_left: KV cache tokens that engines still hold at the end
     """
 
     fleet: str
@@ -59,7 +61,7 @@
 
     @property
     def share_in_time(self) -> float:
-        """:returns: mean over the kinds of the share of calls answered in time"""
+        """:returns: share of calls answered in time, averaged over the kinds"""
         shares = [k.n_in_time / k.n for k in self.kinds.values() if k.n]
         return sum(shares) / len(shares) if shares else 0.0
 
@@ -69,7 +71,7 @@
 ) -> tuple[EntryRun, ...]:
     """:returns: a run of every pattern on every fleet under every policy
 
-    :param report: is given each run as it ends
+    :param report: called with each run when it ends
     """
     runs = []
     for fleet in FLEETS:
@@ -84,7 +86,7 @@
 
 
 def summarise_entry(fleet: str, policy: str, result: RunResult) -> EntryRun:
-    """:returns: what callers received in a run"""
+    """:returns: summary of a run by kind of call"""
     stayed = [item for item in result.calls if item.call.gone_after_ms is None]
     return EntryRun(
         fleet,
--- a/src/quetzaldeck/bench/entry_table.py
+++ b/src/quetzaldeck/bench/entry_table.py
@@ -1,4 +1,4 @@
-"""The runs of entry VMs as a page."""
+"""Renders the entry VM runs as a Markdown page."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/bench/event_queue.py
+++ b/src/quetzaldeck/bench/event_queue.py
@@ -1,4 +1,4 @@
-"""The bench's clock and the events that move it."""
+"""Event queue of the simulation, which advances its clock."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class EventQueue:
-    """Runs actions in order of time, those of one time in order of scheduling."""
+    """Runs actions in order of time; actions of the same time in scheduling order."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(wall_offset_ms=1.7e12)
@@ -24,20 +24,20 @@
 
     @property
     def now_ms(self) -> float:
-        """:returns: the time of the event that runs"""
+        """:returns: simulated time, that of the current event"""
         return self.clock.now_ms()
 
     def at(self, at_ms: float, action: Action) -> None:
-        """Run ``action`` at ``at_ms``, or now if that has passed."""
+        """Schedule ``action`` at ``at_ms``, or at the current time if that is past."""
         due_ms = max(at_ms, self.now_ms)
         heapq.heappush(self._events, (due_ms, next(self._numbers), action))
 
     def after(self, delay_ms: float, action: Action) -> None:
-        """Run ``action`` in ``delay_ms``."""
+        """Schedule ``action`` in ``delay_ms``."""
         self.at(self.now_ms + delay_ms, action)
 
     def run(self, until_ms: float) -> None:
-        """Run every event up to ``until_ms``."""
+        """Run all events up to ``until_ms``."""
         while self._events and self._events[0][0] <= until_ms:
             at_ms, _, action = heapq.heappop(self._events)
             self.clock.advance(max(0.0, at_ms - self.now_ms))
--- a/src/quetzaldeck/bench/fault.py
+++ b/src/quetzaldeck/bench/fault.py
@@ -1,4 +1,4 @@
-"""Faults that a scenario brings about."""
+"""Faults that a scenario injects."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class FaultKind(StrEnum):
-    """What goes wrong.
+    """Kinds of faults.
 
-    ``CRASH`` takes ``upstream`` down, what runs there is lost and its connections
-    break. ``SLOW`` multiplies the time of its steps by ``factor``. ``SILENT`` stops
-    every open connection to it for good while new ones work. ``LEAVING`` announces
-    that it leaves. ``ZONE_LOSS`` takes down every upstream and VM of a zone.
-    ``STALE_REPORTS`` stops load reports of all upstreams.
+    ``CRASH`` takes the upstream ``target`` down: its running requests are lost and its
+    connections break. ``SLOW`` multiplies the duration of its steps by ``factor``.
+    ``SILENT`` stops delivery on its open connections for good; new ones work.
+    ``LEAVING`` announces that it is leaving. ``ZONE_LOSS`` takes down every upstream
+    and VM of a zone. ``STALE_REPORTS`` stops the load reports of all upstreams.
     """
 
     CRASH = "crash"
@@ -25,11 +25,11 @@
 
 
 class Fault(NamedTuple):
-    """One fault.
+    """One injected fault.
 
-    :param target: name of an upstream or of an availability zone
     :param at_ms: when it begins
-    :param until_ms: when it ends; ``None``: it lasts
+    :param target: name of an upstream or of an availability zone
+    :param until_ms: when it ends; ``None``: it lasts until the end of the run
     """
 
     kind: FaultKind
--- a/src/quetzaldeck/bench/json_report.py
+++ b/src/quetzaldeck/bench/json_report.py
@@ -1,4 +1,4 @@
-"""The bench's report as JSON, with the names of its fields."""
+"""Encodes the bench report as JSON; the field names of its classes become keys."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def _name_fields(value: Any) -> Any:
-    """:returns: ``value`` with named tuples as objects, which JSON has no type for"""
+    """:returns: ``value`` with named tuples as dicts
+
+    msgspec would encode them as arrays, without the names of their fields.
+    """
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
         fields = value._asdict()
         return {name: _name_fields(item) for name, item in fields.items()}
--- a/src/quetzaldeck/bench/load_sharing.py
+++ b/src/quetzaldeck/bench/load_sharing.py
@@ -1,4 +1,4 @@
-"""VMs of the bench that tell each other what of theirs is at each upstream."""
+"""Simulates how VMs send each other the load that they put on each upstream."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from quetzaldeck.decisions.peer_load import VmLoad
 
 TELL_INTERVAL_MS = 20.0
-"""Time between two looks at what has changed, as in an entry VM."""
+"""Interval at which a VM checks its load for changes to send, as in an entry VM."""
 
 
 class LoadSharing:
-    """Lets every VM tell all others what has changed of its load.
+    """Sends the changes of each VM's load to all other VMs.
 
-    :param latency_ms: one way between two VMs
+    :param latency_ms: one-way latency between two VMs
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._changes = {vm.name: LoadChanges() for vm in vms}
 
     def begin(self) -> None:
-        """Tell now, and go on."""
+        """Send the changes that are due and schedule the next round."""
         now_ms = self._events.now_ms
         for vm in self._vms:
             if not vm.is_down:
--- a/src/quetzaldeck/bench/model_engine.py
+++ b/src/quetzaldeck/bench/model_engine.py
@@ -1,4 +1,4 @@
-"""What the engines of the bench have in common, whatever they cost."""
+"""Base class of the simulated engines, independent of their cost model."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ModelEngine(BenchUpstream):
-    """An engine whose memory groups may set aside."""
+    """An engine on which groups can reserve memory."""
 
     def __init__(
         self, spec: UpstreamSpec, shape: FleetShape, events: EventQueue
@@ -27,20 +27,20 @@
     @property
     @abstractmethod
     def n_kv_tokens_used(self) -> int:
-        """:returns: memory held now"""
+        """:returns: KV cache tokens in use"""
 
     def reserve(self, group: BenchGroup, n_tokens: int) -> bool:
-        """:returns: whether the group's memory is set aside"""
+        """:returns: whether the memory is reserved for ``group``"""
         self._groups[group.reservation_id] = group
         return self._reserve(group.reservation_id, n_tokens)
 
     def release(self, reservation_id: str) -> None:
-        """Give back what a group holds."""
+        """Release a group's reservation; ignored if there is none."""
         if self._groups.pop(reservation_id, None) is not None:
             self._release(reservation_id)
 
     def _break_groups(self) -> None:
-        """Tell all groups that their memory is gone."""
+        """Fail all groups that have reserved memory: the engine crashed."""
         groups = list(self._groups.values())
         self._groups.clear()
         for group in groups:
@@ -48,11 +48,11 @@
 
     @abstractmethod
     def _reserve(self, reservation_id: str, n_tokens: int) -> bool:
-        """:returns: whether memory is set aside"""
+        """:returns: whether ``n_tokens`` are reserved"""
 
     @abstractmethod
     def _release(self, reservation_id: str) -> None:
-        """Give memory back."""
+        """Release the reservation ``reservation_id``."""
 
 
 __all__ = ("ModelEngine",)
--- a/src/quetzaldeck/bench/pass_engine.py
+++ b/src/quetzaldeck/bench/pass_engine.py
@@ -1,4 +1,4 @@
-"""An engine of the bench that works in passes, on the bench's clock."""
+"""A simulated engine that schedules its work in passes."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
     from quetzaldeck.engine_model import Pass
 
 MAX_WAITING_PER_SLOT = 2
-"""Requests that wait at an engine for each of its slots before it refuses the next."""
+"""Requests per slot that may wait at an engine before it refuses new ones."""
 
 
 class PassEngine(ModelEngine):
-    """Runs passes while it has work; its load travels with each answer's first event.
+    """Runs passes while it has work; reports its load with each answer's first event.
 
-    A request runs from its first event on: what an engine gives up before has not run.
+    A request counts as executed from its first event on; one that the engine drops
+    before has not run.
     """
 
     def __init__(
@@ -40,21 +41,21 @@
 
     @property
     def figures(self) -> EngineFigures:
-        """:returns: its speed and size, as its operator states them"""
+        """:returns: configured speed and size of the engine"""
         return self._figures
 
     @property
     def n_kv_tokens_used(self) -> int:
-        """:returns: memory held now"""
+        """:returns: KV cache tokens in use"""
         return self._model.n_kv_tokens_used
 
     @property
     def may_help(self) -> bool:
-        """:returns: whether it takes one more part that another engine answers"""
+        """:returns: whether it accepts one more part for another engine's answer"""
         return not self.is_down and self._model.n_parts < self._figures.n_slots
 
     def arrive(self, attempt: BenchAttempt) -> None:
-        """Take an attempt whose bytes arrive now."""
+        """Start an attempt that arrives at the current time, unless overloaded."""
         if self.is_down:
             attempt.vm.fail(attempt, AttemptFault.CONNECT, has_reached=False)
             return
@@ -66,7 +67,7 @@
         self._begin(attempt)
 
     def report(self) -> LoadReport:
-        """:returns: the load at this moment, as an answer tells it"""
+        """:returns: the current load, as an answer reports it"""
         now_ms = round(self._events.now_ms)
         n_running, n_waiting = self._model.n_running, self._model.n_waiting
         return LoadReport(
@@ -74,18 +75,18 @@
         )
 
     def read_part(self, spread: SpreadRead, work: PassWork) -> None:
-        """Read a part of a prompt."""
+        """Prefill a part of a prompt."""
         self._parts[work.work_id] = spread
         self._model.submit(work)
         self._work()
 
     def drop_part(self, work_id: str) -> None:
-        """Leave a part unread."""
+        """Cancel a part; ignored if it is unknown or done."""
         if self._parts.pop(work_id, None) is not None:
             self._model.cancel(work_id)
 
     def answer_spread(self, attempt: BenchAttempt) -> None:
-        """Begin to write: every part of the prompt is read."""
+        """Emit the first event and start decoding: all parts are prefilled."""
         if self._attempts.get(attempt.attempt_id) is not attempt:
             return
         is_last = self._model.note_parts_read(attempt.attempt_id)
@@ -93,7 +94,7 @@
         self._work()
 
     def n_events(self, attempt: BenchAttempt) -> int:
-        """:returns: events that an attempt has yet to write"""
+        """:returns: events that the attempt has still to emit"""
         n_events = math.ceil(attempt.call.n_answer_tokens / self._figures.stride)
         return max(1, n_events - attempt.n_delivered)
 
@@ -137,7 +138,7 @@
         self._work()
 
     def _work(self) -> None:
-        """Start a pass unless one runs; its events appear when it ends."""
+        """Start a pass unless one is running; its events are emitted at its end."""
         if self._is_working or self._model.is_idle:
             return
         done = self._model.run_pass()
--- a/src/quetzaldeck/bench/prediction.py
+++ b/src/quetzaldeck/bench/prediction.py
@@ -1,4 +1,4 @@
-"""How often the predictions of admission were wrong, in each direction."""
+"""Counts wrong predictions of the admission policy in both directions."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class PredictionCheck(NamedTuple):
-    """Predictions of one run against what happened.
-
-    :param n_admitted: submissions that were predicted to be in time
-    :param n_late: of them, those that came too late
-    :param n_probed: predicted to be late and admitted all the same
-    :param n_falsely_refused: of them, those that were answered in time
-    :param n_resent: resubmissions after the time that a refusal named
-    :param n_resent_admitted: of them, those that were not refused at once again
+    """Predictions of one run compared with the outcomes.
+
+    :param n_admitted: submissions predicted to be in time
+    :param n_late: those of them that were not answered in time
+    :param n_probed: submissions predicted to be late and admitted as a probe
+    :param n_falsely_refused: those of them that were answered in time
+    :param n_resent: resends after a refusal, at the retry time that it gave
+    :param n_resent_admitted: those of them that were not refused again at once
     """
 
     n_admitted: int
@@ -30,7 +30,7 @@
 
 
 def check_predictions(result: RunResult) -> PredictionCheck:
-    """:returns: how the predictions of a run with probes came out"""
+    """:returns: prediction results of a run under ``predicted_wait_probed``"""
     admitted = late = probed = wrong = resent = resent_admitted = 0
     for item in result.calls:
         n_refused = item.n_submissions - 1
--- a/src/quetzaldeck/bench/prefill_group.py
+++ b/src/quetzaldeck/bench/prefill_group.py
@@ -1,4 +1,4 @@
-"""A prompt that its group prefills member after member."""
+"""A group whose members prefill a prompt one after the other."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class PrefillGroup(BenchGroup):
-    """Does for one attempt what the gateway's group run does."""
+    """Simulates the gateway's group run for one attempt."""
 
     @property
     def n_context_tokens(self) -> int:
-        """:returns: prompt tokens that the members before the last one hold"""
+        """:returns: prompt tokens held by the members before the last"""
         return sum(self._count(index) for index in range(len(self._engines) - 1))
 
     def _run(self) -> None:
@@ -51,7 +51,7 @@
         return engine
 
     def _count(self, index: int) -> int:
-        """:returns: prompt tokens of a part as the engine counts them"""
+        """:returns: length of a part as the engine counts tokens"""
         estimated = self._attempt.dispatch.request.n_prompt_tokens
         n_real = self._attempt.call.n_prompt_tokens
         return max(1, round(self._plan.prompt_tokens[index] * n_real / estimated))
--- a/src/quetzaldeck/bench/probed_admission.py
+++ b/src/quetzaldeck/bench/probed_admission.py
@@ -1,4 +1,4 @@
-"""Admission that puts its own refusals to the test."""
+"""Admission policy that admits some predicted refusals to verify them."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     from quetzaldeck.outcomes import Failure
 
 PROBE_INTERVAL = 5
-"""Every fifth refusal by prediction is admitted: enough to judge, little load."""
+"""One in this many predicted refusals is admitted: enough samples at little load."""
 
 
 @admission_policies.register("predicted_wait_probed")
 class ProbedAdmission(PredictedWait):
-    """Admits some of what it would refuse, so that false refusals can be counted.
+    """Admits some requests that it would refuse, so that false refusals are counted.
 
-    For the bench alone: the callers that are probed pay for the measurement.
+    For simulation only: probed requests that fail cost their callers the whole wait.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
     def check(
         self, request: Request, now_ms: float, *, can_start: bool
     ) -> Failure | None:
-        """:returns: the refusal, unless this one is to be tried"""
+        """:returns: the refusal, unless the request is admitted as a probe"""
         failure = super().check(request, now_ms, can_start=can_start)
         if failure is None or failure.reason is not Reason.DEADLINE_UNREACHABLE:
             return failure
--- a/src/quetzaldeck/bench/recovery.py
+++ b/src/quetzaldeck/bench/recovery.py
@@ -1,4 +1,4 @@
-"""How soon callers are served as before after a disturbance."""
+"""Measures how soon service is back to normal after a disturbance."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Window(NamedTuple):
-    """Model calls that arrived in one span of time.
+    """Model calls that arrived within one window of ``WINDOW_MS``.
 
     :param answered: share of them answered whole
-    :param short_slowdown: 95th percentile of the slowdown of short ones
+    :param short_slowdown: 95th percentile of the slowdown of short prompts
     """
 
     start_ms: float
@@ -34,13 +34,13 @@
 
 
 class Recovery(NamedTuple):
-    """Before, during and after a disturbance.
+    """Service before, during and after a disturbance.
 
-    :param answered_before: share of calls answered before it
-    :param answered_during: share of calls answered that arrived while it lasted
-    :param recovered_ms: time from its end until at least 95 % of the calls of every
-        later window are answered and the slowdown of short ones is at most twice
-        that before; ``None`` if that does not happen
+    :param answered_before: share of the calls answered that arrived before it
+    :param answered_during: share of the calls answered that arrived while it lasted
+    :param recovered_ms: time from its end until, in every later window, at least 95 %
+        of the calls are answered and the slowdown of short prompts is at most twice
+        that before; ``None`` if the run ends before
     :param peak_per_s: most submissions in one second after its end
     :param usual_per_s: most submissions in one second before it
     """
@@ -53,7 +53,7 @@
 
 
 def measure_recovery(result: RunResult, *, begin_ms: float, end_ms: float) -> Recovery:
-    """:returns: how a run recovered from what lasted from ``begin_ms`` to ``end_ms``"""
+    """:returns: recovery from a disturbance from ``begin_ms`` to ``end_ms``"""
     windows = list_windows(result)
     before = [w for w in windows if w.start_ms + WINDOW_MS <= begin_ms]
     during = [w for w in windows if begin_ms <= w.start_ms < end_ms]
@@ -78,7 +78,7 @@
 
 
 def list_windows(result: RunResult) -> list[Window]:
-    """:returns: the model calls of a run by time of arrival"""
+    """:returns: the model calls of a run in windows by arrival time"""
     groups: dict[int, list[CallResult]] = {}
     for item in result.calls:
         if item.call.model:
--- a/src/quetzaldeck/bench/run.py
+++ b/src/quetzaldeck/bench/run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: an event driver over real schedulers and modelled upstreams."""
+"""Runs a scenario: drives real schedulers and simulated upstreams with events."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     from quetzaldeck.outcomes import Failure
 
 PACE_INTERVAL_MS = 1_000.0
-"""Time between two questions for the pace of an engine."""
+"""Interval at which VMs read the pace (slowdown factor) of every engine."""
 
 
 def run_scenario(scenario: Scenario, policies: Policies | None = None) -> RunResult:
-    """Run a scenario to its end; the same arguments give the same result.
+    """Run a scenario to its end; the result is deterministic.
 
     :param policies: names of registered policies; the gateway's defaults if omitted
     """
@@ -44,7 +44,7 @@
 
 
 class Driver:
-    """Owns the events, VMs and upstreams of one run."""
+    """Holds the event queue, VMs and upstreams of one run."""
 
     def __init__(self, scenario: Scenario, policies: Policies) -> None:
         self._scenario = scenario
@@ -65,7 +65,7 @@
             vm.scheduler.apply_bundle(bundle)
 
     def run(self) -> RunResult:
-        """:returns: what every caller received"""
+        """:returns: the results of all calls, after the run"""
         for call in self._scenario.calls:
             state = self._states[call.call_id]
             self._events.at(call.at_ms, partial(self._send, state))
@@ -133,7 +133,7 @@
         )
 
     def _send(self, state: CallState) -> None:
-        """Give a call to the VM that it names or to a live one at random."""
+        """Submit a call to its VM, or to a random live one if that is down or unset."""
         live = [vm for vm in self._vms if not vm.is_down]
         if not live:
             self._record(state, Outcome.CUT_OFF, None)
@@ -147,7 +147,7 @@
     def _take_end(
         self, state: CallState, outcome: Outcome, failure: Failure | None
     ) -> None:
-        """Record the end of a submission, or let the caller come back."""
+        """Record the outcome of a submission, or schedule the caller's resend."""
         may_resend = state.n_submissions <= state.call.max_resends
         if may_resend and outcome is Outcome.CUT_OFF and state.call.is_repeatable:
             self._events.after(0.0, lambda: self._send(state))
@@ -185,7 +185,7 @@
         )
 
     def _report(self) -> None:
-        """Sample every upstream now; the VMs read the samples one lag later."""
+        """Sample the load of every upstream; VMs receive it ``report_lag_ms`` later."""
         shape = self._scenario.shape
         if self._has_reports:
             reports = [u.report() for u in self._upstreams.values() if not u.is_down]
@@ -194,7 +194,7 @@
         self._events.after(shape.report_interval_ms, self._report)
 
     def _ask_paces(self) -> None:
-        """Read the pace of every engine now; the VMs know it one lag later."""
+        """Sample the pace of every engine; VMs receive it ``report_lag_ms`` later."""
         paces = [
             (engine.spec.name, engine.slow_factor)
             for engine in self._list_engines()
@@ -210,7 +210,7 @@
                 vm.scheduler.fleet.observe_paces(paces)
 
     def _spread_news(self) -> None:
-        """Let each VM tell the others what it saw of crashes and what it uses."""
+        """Send each VM's crash sightings and usage updates to the other VMs."""
         for vm in self._vms:
             if vm.is_down:
                 continue
--- a/src/quetzaldeck/bench/run_result.py
+++ b/src/quetzaldeck/bench/run_result.py
@@ -1,4 +1,4 @@
-"""What one run of the bench showed."""
+"""Result of one simulated run."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class RunResult(NamedTuple):
-    """What a run showed.
+    """Outcomes of all calls, and the state of the engines at the end of a run.
 
-    :param calls: one result for each call, in order of the scenario's calls
-    :param engine_utilisation: share of time that engines spent in steps while
-        calls arrived
-    :param n_kv_tokens_left: memory that engines still hold at the end
+    :param calls: one result per call, in order of the scenario's calls
+    :param engine_utilisation: share of time that engines spent in steps, up to the
+        last arrival
+    :param n_kv_tokens_left: KV cache tokens that engines still hold at the end
     :param n_crashed: engines that are down at the end
-    :param probed: submissions admitted against a prediction, to see if it was right
+    :param probed: ids of requests admitted against the prediction, to verify it
     """
 
     scenario: Scenario
--- a/src/quetzaldeck/bench/scenario.py
+++ b/src/quetzaldeck/bench/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of the bench: a fleet, its calls and its faults."""
+"""Scenarios of the simulation: a fleet, its calls and its faults."""
 
 from __future__ import annotations
 
@@ -26,22 +26,23 @@
 
 
 class FleetShape(NamedTuple):
-    """The fleet that the calls meet; the sizes of one deployment by default.
-
-    :param n_engines: engines, dealt to the availability zones in turn
-    :param n_services: replicas of the plain service, dealt likewise
-    :param engine: cost of an engine
-    :param service_ms: time of one call at the plain service
-    :param n_service_workers: calls that one replica runs at a time
-    :param report_interval_ms: time between the load reports of an upstream
-    :param report_lag_ms: age of a report when the VMs read it
-    :param latency_ms: one way between a VM and an upstream
-    :param news_lag_ms: time in which news of one VM reach the others
-    :param idle_ms: how long a VM waits on a silent connection
-    :param figures: speed and size of engines that work in passes and read prompts in
-        parts, as on the users' platform; they send no reports, VMs tell each other
-        their loads. ``None``: engines that batch continuously, by ``engine``
-    :param groups: how memory is set aside for prompts above one engine's
+    """Size and cost parameters of a fleet; the default sizes are a real deployment's.
+
+    :param n_engines: engines, assigned to the availability zones in turn
+    :param n_services: replicas of the plain service, assigned likewise
+    :param engine: cost parameters of an engine with continuous batching
+    :param service_ms: duration of one call at the plain service
+    :param n_service_workers: calls that one replica runs at the same time
+    :param report_interval_ms: interval between the load reports of an upstream
+    :param report_lag_ms: age of a report when the VMs receive it
+    :param latency_ms: one-way latency between a VM and an upstream
+    :param update_lag_ms: time until an update of one VM reaches the others
+    :param idle_timeout_ms: how long a VM waits on a silent connection
+    :param figures: speed and size of engines that work in passes and can prefill a
+        prompt in parts. They send no load reports; the VMs send each other their loads.
+        ``None``: engines with continuous batching, as described by ``engine``
+    :param groups: limits of group reservations, for prompts larger than one engine's
+        memory
     """
 
     n_vms: int = 7
@@ -61,18 +62,18 @@
 
     @property
     def kv_tokens(self) -> int:
-        """:returns: memory of an engine"""
+        """:returns: KV cache size of an engine in tokens"""
         return self.figures.kv_tokens if self.figures else self.engine.kv_tokens
 
 
 class Scenario(NamedTuple):
-    """One run of the bench.
+    """Input of one run.
 
-    :param calls: what callers send, in any order
+    :param calls: calls in any order
     :param profile: the bundle's profile
     :param limits: fleet-wide limits by customer
     :param drain_ms: time after the last call's deadline until the run ends
-    :param random_state: seed of the balancer and of every policy
+    :param random_state: seed of the load balancer and of every policy
     """
 
     name: str
@@ -86,7 +87,7 @@
     random_state: int = 1
 
     def build_bundle(self) -> Bundle:
-        """:returns: the bundle that all VMs have in force"""
+        """:returns: the bundle that is in force on all VMs"""
         shape = self.shape
         zones = shape.zones
         engines = tuple(
--- a/src/quetzaldeck/bench/spread_group.py
+++ b/src/quetzaldeck/bench/spread_group.py
@@ -1,4 +1,4 @@
-"""A prompt that several engines hold in memory set aside, and read in parts."""
+"""A group that reserves memory for a prompt and then prefills it in parallel parts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SpreadGroup(BenchGroup):
-    """Does for one attempt what an entry VM does with memory on engines."""
+    """Simulates an entry VM's memory reservation for one attempt."""
 
     def _run(self) -> None:
         if self._is_over:
--- a/src/quetzaldeck/bench/spread_read.py
+++ b/src/quetzaldeck/bench/spread_read.py
@@ -1,4 +1,4 @@
-"""A prompt that several engines read in even parts, and one of them answers."""
+"""Prefill of one prompt in equal parts on several engines, one of which answers."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from quetzaldeck.bench.pass_engine import PassEngine
 
 STALL_MS = 1_500.0
-"""Time for which work that needs a dead engine stands still before it is given up."""
+"""Time until the loss of an engine is detected and the work that needs it fails."""
 
 
 class SpreadRead:
-    """The parts of one prompt.
+    """State of the parts of one prompt.
 
-    :param engines: those that read a part; the first answers
-    :param latency_ms: one way between two engines
-    :param n_reserved_tokens: memory for the prompt that is set aside on engines
+    :param engines: engines that prefill a part each; the first one answers
+    :param latency_ms: one-way latency between two engines
+    :param n_reserved_tokens: memory for the prompt that is reserved on the engines
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self._is_over = False
 
     def begin(self) -> None:
-        """Give each engine its part; called when the request has reached the first."""
+        """Send each engine its part; called when the request arrives at the first."""
         busy = [helper for helper in self._engines[1:] if not helper.may_help]
         if busy:
             self._give_up(busy[0])
@@ -57,19 +57,19 @@
             self._events.after(self._latency_ms, partial(self._hand_over, helper, part))
 
     def note_read(self) -> None:
-        """Count a part that is read; the first event follows the last one."""
+        """Count a completed part; after the last one, decoding starts."""
         self._n_unread -= 1
         if not self._n_unread and not self._is_over:
             self._is_over = True
             self._engines[0].answer_spread(self._attempt)
 
     def note_broken(self, engine: PassEngine) -> None:
-        """Take the loss of an engine, which shows after a while."""
+        """Fail the attempt ``STALL_MS`` after the loss of a helper."""
         if not self._is_over and engine is not self._engines[0]:
             self._events.after(STALL_MS, lambda: self._give_up(engine))
 
     def drop(self) -> None:
-        """Leave the parts unread: nobody waits for the answer any more."""
+        """Cancel the parts of all helpers: the answer is no longer needed."""
         self._is_over = True
         for index, helper in enumerate(self._engines[1:], start=1):
             drop = partial(helper.drop_part, self._part_id(index))
@@ -84,7 +84,7 @@
             helper.read_part(self, part)
 
     def _give_up(self, helper: PassEngine) -> None:
-        """Answer that the request has not run, and which helper is to blame."""
+        """Fail the attempt as not run and name the helper that caused the failure."""
         if self._is_over:
             return
         self.drop()
@@ -109,8 +109,9 @@
     def _build_own_part(self) -> PassWork:
         """:returns: the part of the engine that answers
 
-        Each of its steps looks at the context of the largest part, for the others look
-        at theirs meanwhile. What is not set aside elsewhere it holds itself.
+        Its decode steps cost as much as the context of the largest part, since the
+        other engines process theirs at the same time. It holds the KV cache that is not
+        reserved elsewhere.
         """
         call = self._attempt.call
         first = self._engines[0]
--- a/src/quetzaldeck/bench/submission.py
+++ b/src/quetzaldeck/bench/submission.py
@@ -1,4 +1,4 @@
-"""A call while a VM works on it."""
+"""State of a call, and of its current submission to a VM."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CallState:
-    """What a caller has seen of its call, over all its submissions."""
+    """What the caller has received for its call, over all submissions."""
 
     def __init__(self, call: Call) -> None:
         self.call = call
@@ -27,11 +27,11 @@
 
     @property
     def n_submissions(self) -> int:
-        """:returns: first submission and resends so far"""
+        """:returns: number of submissions so far, resends included"""
         return len(self.submitted_ms)
 
     def note_token(self, now_ms: float) -> None:
-        """Take a token that the caller hears."""
+        """Record a token that reaches the caller."""
         if self.first_token_ms is None:
             self.first_token_ms = now_ms
         else:
@@ -40,7 +40,7 @@
 
 
 class Submission:
-    """One submission of a call to one VM."""
+    """A submission of a call to a VM."""
 
     def __init__(self, state: CallState, request: Request) -> None:
         self.state = state
@@ -50,12 +50,12 @@
 
     @property
     def has_dispatched(self) -> bool:
-        """:returns: whether an attempt was sent"""
+        """:returns: whether an attempt was dispatched"""
         return bool(self.state.upstreams)
 
 
 def build_request(state: CallState, now_ms: float) -> Request:
-    """:returns: what the decision modules know of a call that arrives now"""
+    """:returns: the scheduler's request for a call that arrives at ``now_ms``"""
     call = state.call
     return Request(
         request_id=f"{call.call_id}/{state.n_submissions}",
--- a/src/quetzaldeck/bench/suite.py
+++ b/src/quetzaldeck/bench/suite.py
@@ -38,9 +38,9 @@
 
 
 class LoadEntry(NamedTuple):
-    """One policy under one load.
+    """Results of one policy under one load.
 
-    :param load: prefill work that arrives, against what all engines can do
+    :param load: prefill work that arrives, as a multiple of the fleet's capacity
     """
 
     policy: str
@@ -51,7 +51,7 @@
 
 
 class RecoveryEntry(NamedTuple):
-    """One disturbance under one policy."""
+    """Recovery from one disturbance under one policy."""
 
     disturbance: str
     policy: str
@@ -59,7 +59,7 @@
 
 
 class BenchReport(NamedTuple):
-    """Everything that ``make bench`` measures."""
+    """All results of ``make bench``."""
 
     loads: tuple[LoadEntry, ...]
     ablations: tuple[LoadEntry, ...]
@@ -73,7 +73,7 @@
 ) -> BenchReport:
     """:returns: the report of all runs
 
-    :param n_seeds: seeds at 80 % load; the other loads take one
+    :param n_seeds: number of seeds at the lowest load; other loads run with one
     """
     loads = []
     for load in LOADS:
@@ -99,7 +99,7 @@
 def mixture_at(
     load: float, *, duration_ms: float, random_state: int = 1, max_resends: int = 0
 ) -> Mixture:
-    """:returns: the mixture at a share of what all engines can prefill"""
+    """:returns: the mixture at ``load`` times the prefill capacity of all engines"""
     shape = FleetShape()
     mixture = Mixture(
         1.0, duration_ms, random_state=random_state, max_resends=max_resends
--- a/src/quetzaldeck/bench/summary.py
+++ b/src/quetzaldeck/bench/summary.py
@@ -1,4 +1,4 @@
-"""What callers received in one run, as figures."""
+"""Statistics of what callers received."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class ClassSummary(NamedTuple):
-    """Figures of the calls of one length class.
+    """Statistics of the calls of one length class.
 
-    A call that got no whole answer counts with its deadline, or a policy would look
-    fast by failing the slow ones.
+    A call without a whole answer counts with its deadline as its time. Otherwise a
+    policy would look fast by failing slow calls.
 
     :param ttft_ms: time to first token
-    :param slowdown: time to first token against that on an idle fleet
-    :param total_slowdown: time to the last token against that on an idle fleet
+    :param slowdown: time to first token relative to that on an idle fleet
+    :param total_slowdown: time to last token relative to that on an idle fleet
     """
 
     n: int
@@ -44,15 +44,15 @@
 
 
 class Summary(NamedTuple):
-    """Figures of one run.
+    """Statistics of one run, or of several runs that differ in their seed.
 
-    :param all_ttft_ms: time to first token over the model calls of all lengths
-    :param goodput_per_s: model calls answered whole, by seconds of arrivals
-    :param good_tokens_per_s: prompt and answer tokens of these calls
+    :param all_ttft_ms: time to first token of model calls of all lengths
+    :param goodput_per_s: model calls answered whole, per second of arrivals
+    :param good_tokens_per_s: prompt and answer tokens of these calls, per second
     :param refusals: refusals and failures by reason and ``ran``
-    :param n_false_refusals: calls told ``ran: no`` that did run
-    :param n_doubled: calls that may not be repeated and ran more than once
-    :param n_late: admitted calls that failed by their deadline
+    :param n_false_refusals: calls refused with ``ran: no`` although they ran
+    :param n_doubled: calls that are not repeatable and ran more than once
+    :param n_late: calls that failed at their deadline
     """
 
     classes: dict[str, ClassSummary]
@@ -68,7 +68,7 @@
 
 
 def summarise(*results: RunResult) -> Summary:
-    """:returns: figures of runs that differ only in their seed, taken together"""
+    """:returns: combined statistics of runs that differ only in their seed"""
     calls = [call for result in results for call in result.calls]
     groups: dict[str, list[CallResult]] = {name: [] for name in CLASS_NAMES}
     for item in calls:
@@ -96,28 +96,28 @@
 
 
 def class_of(result: CallResult) -> str:
-    """:returns: name of the class that a call counts in"""
+    """:returns: length class of a model call, or ``PLAIN``"""
     if not result.call.model:
         return PLAIN
     return classify_length(result.call.n_prompt_tokens).value
 
 
 def censored_ttft_ms(result: CallResult) -> float:
-    """:returns: time to first token, the deadline if there is no whole answer"""
+    """:returns: time to first token, or the deadline if there is no whole answer"""
     if result.outcome is not Outcome.ANSWERED or result.ttft_ms is None:
         return result.call.deadline_ms
     return result.ttft_ms
 
 
 def censored_total_ms(result: CallResult) -> float:
-    """:returns: time to the end, the deadline if there is no whole answer"""
+    """:returns: time to the end, or the deadline if there is no whole answer"""
     if result.outcome is not Outcome.ANSWERED or result.total_ms is None:
         return result.call.deadline_ms
     return result.total_ms
 
 
 def idle_ms(result: CallResult, shape: FleetShape) -> tuple[float, float]:
-    """:returns: times to first and last token on an idle fleet, in milliseconds"""
+    """:returns: times to first and last token on an idle fleet"""
     call = result.call
     if not call.model:
         alone = shape.service_ms + 2 * shape.latency_ms
--- a/src/quetzaldeck/bench/table.py
+++ b/src/quetzaldeck/bench/table.py
@@ -1,4 +1,4 @@
-"""The bench's report as tables."""
+"""Renders the bench report as Markdown tables."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/bench/tails.py
+++ b/src/quetzaldeck/bench/tails.py
@@ -1,4 +1,4 @@
-"""Quantiles of one measure."""
+"""Quantiles of a set of measured values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Tails(NamedTuple):
-    """Quantiles of a measure; all 0 if nothing was measured."""
+    """Count, quantiles and mean of a set of values; all 0 if it is empty."""
 
     n: int
     p50: float
--- a/src/quetzaldeck/bench/workload.py
+++ b/src/quetzaldeck/bench/workload.py
@@ -1,11 +1,11 @@
-"""The mixture of calls that the bench sends: 1 K to 1 M tokens, and plain calls.
-
-Grounds for the figures: the users' prompts run from a thousand to a million tokens,
-and one in fifty is over a hundred thousand. Most calls are drafts and look-ups, so
-six in ten are short. Over 100 K the density falls with the square of the length, so
-that a million is rare but there; these prompts still make half of all prefill work.
-Deadlines are what a caller of each kind would wait. No call states a priority: the
-fleet must tell long from short by itself.
+"""Random mixture of model calls of 1 K to 1 M prompt tokens, and plain calls.
+
+The bands follow real prompts: they have a thousand to a million tokens, and one in
+fifty has more than a hundred thousand. Most calls are drafts and look-ups, so six in
+ten are short. Above 100 K the density falls with the square of the length, which makes
+a million tokens rare but possible; these prompts still cause half of all prefill work.
+The deadline of a band is how long its callers would wait. Model calls set no priority,
+so that the scheduler must tell long prompts from short ones by itself.
 """
 
 from __future__ import annotations
@@ -21,10 +21,11 @@
 
 
 class Band(NamedTuple):
-    """Prompts of similar length.
+    """A range of prompt lengths.
 
     :param share: share of the model calls
-    :param exponent: density of the length falls with this power of it
+    :param exponent: the density of lengths is proportional to
+        ``length ** -exponent``
     :param n_output_tokens: shortest and longest answer
     """
 
@@ -36,7 +37,7 @@
     deadline_ms: float
 
     def draw_length(self, random_state: random.Random) -> int:
-        """:returns: a prompt length of this band, in tokens"""
+        """:returns: a random prompt length of this band, in tokens"""
         u = random_state.random()
         if self.exponent == 1.0:
             ratio = self.max_tokens / self.min_tokens
@@ -75,12 +76,13 @@
 
 
 class Mixture(NamedTuple):
-    """A load of random calls.
+    """Generator of random calls.
 
-    :param calls_per_second: rate of model calls
-    :param plain_per_second: rate of plain calls; half of them run at most once
-    :param estimate_error: the gateway's estimate of a prompt's tokens is off by up
-        to this share, the same for all calls of a customer
+    :param calls_per_second: arrival rate of model calls
+    :param plain_per_second: arrival rate of plain calls; half are not repeatable
+    :param estimate_error: largest relative error of the gateway's token estimates; the
+        error is the same for all calls of a customer
+    :param prefix: prefix of the call ids
     """
 
     calls_per_second: float
@@ -96,7 +98,7 @@
     prefix: str = "m"
 
     def draw_calls(self) -> tuple[Call, ...]:
-        """:returns: the calls in order of time; the same for the same seed"""
+        """:returns: calls in order of arrival; deterministic for a given seed"""
         random_state = random.Random(self.random_state)
         errors = {
             customer.name: 1.0 + random_state.uniform(-1, 1) * self.estimate_error
@@ -117,7 +119,7 @@
         return tuple(sorted(calls, key=_arrival))
 
     def mean_work_ms(self, prefill_tokens_per_s: float, attention: int) -> float:
-        """:returns: mean prefill time of a model call on an engine of its own"""
+        """:returns: mean prefill time of a model call on an otherwise idle engine"""
         random_state = random.Random(0)
         n_draws = 20_000
         total = 0.0
