--- a/src/quetzaldeck/bench/attempt_launcher.py
+++ b/src/quetzaldeck/bench/attempt_launcher.py
@@ -9,8 +9,8 @@
 from quetzaldeck.bench.model_engine import ModelEngine
 from quetzaldeck.bench.pass_engine import PassEngine
 from quetzaldeck.bench.prefill_group import PrefillGroup
-from quetzaldeck.bench.spread_group import SpreadGroup
-from quetzaldeck.bench.spread_read import SpreadRead
+from quetzaldeck.bench.split_prefill import SplitPrefill
+from quetzaldeck.bench.split_prefill_group import SplitPrefillGroup
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -37,26 +37,26 @@
         *,
         latency_ms: float,
         groups: GroupBounds,
-        watches_silence: bool,
+        abandons_silent: bool,
     ) -> None:
         self._upstreams = upstreams
         self._events = events
         self._latency_ms = latency_ms
         self._groups = groups
-        self._watches_silence = watches_silence
+        self._abandons_silent = abandons_silent
 
     def launch(self, attempt: BenchAttempt) -> None:
         """Start an attempt; it reaches its upstream one latency later."""
-        if self._watches_silence:
+        if self._abandons_silent:
             attempt.watch = AttemptWatch(attempt, self._events)
             attempt.watch.begin()
-        attempt.spread = self._spread(attempt)
+        attempt.split = self._build_split(attempt)
         if attempt.dispatch.plan is not None:
             attempt.group = self._build_group(attempt, attempt.dispatch.plan)
             self._events.after(self._latency_ms, attempt.group.begin)
             return
         upstream = self._upstreams[attempt.dispatch.upstreams[0]]
-        self._events.after(self._latency_ms, partial(self._arrive, upstream, attempt))
+        self._events.after(self._latency_ms, partial(self._accept, upstream, attempt))
 
     def cancel(self, attempt: BenchAttempt) -> None:
         """Release everything that an attempt holds at upstreams."""
@@ -66,15 +66,15 @@
             cancel = partial(self._upstreams[name].cancel, attempt.attempt_id)
             self._events.after(self._latency_ms, cancel)
 
-    def _arrive(self, upstream: BenchUpstream, attempt: BenchAttempt) -> None:
+    def _accept(self, upstream: BenchUpstream, attempt: BenchAttempt) -> None:
         if attempt.vm.is_running(attempt):
-            upstream.arrive(attempt)
+            upstream.accept(attempt)
 
     def _build_group(
         self, attempt: BenchAttempt, plan: GroupPlan
-    ) -> PrefillGroup | SpreadGroup:
+    ) -> PrefillGroup | SplitPrefillGroup:
         upstreams = [self._upstreams[name] for name in plan.upstreams]
-        kind = SpreadGroup if attempt.spread is not None else PrefillGroup
+        kind = SplitPrefillGroup if attempt.split is not None else PrefillGroup
         return kind(
             attempt,
             [upstream for upstream in upstreams if isinstance(upstream, ModelEngine)],
@@ -84,8 +84,8 @@
             bounds=self._groups,
         )
 
-    def _spread(self, attempt: BenchAttempt) -> SpreadRead | None:
-        """:returns: the division of the prompt among engines; ``None`` for one engine"""
+    def _build_split(self, attempt: BenchAttempt) -> SplitPrefill | None:
+        """:returns: the prompt's division among engines; ``None`` for one engine"""
         dispatch = attempt.dispatch
         names = (*reversed(dispatch.upstreams), *dispatch.helpers)
         engines = [self._upstreams[name] for name in names]
@@ -93,7 +93,7 @@
         if len(readers) <= 1:
             return None
         plan = dispatch.plan
-        return SpreadRead(
+        return SplitPrefill(
             attempt,
             readers,
             self._events,
--- a/src/quetzaldeck/bench/attempt_watch.py
+++ b/src/quetzaldeck/bench/attempt_watch.py
@@ -16,7 +16,7 @@
     from quetzaldeck.bench.bench_attempt import BenchAttempt
     from quetzaldeck.bench.event_queue import EventQueue
 
-MIN_LOOK_MS = 0.001
+MIN_RECHECK_MS = 0.001
 """Shortest wait before a recheck; a shorter one counts as elapsed.
 
 Rounding errors could otherwise schedule the same check again without end.
@@ -32,38 +32,38 @@
     def __init__(self, attempt: BenchAttempt, events: EventQueue) -> None:
         self._attempt = attempt
         self._events = events
-        self._heard_ms = events.now_ms
+        self._last_token_ms = events.now_ms
         self._has_begun = False
 
     def begin(self) -> None:
         """Schedule the first check for when the first token becomes overdue."""
-        self._events.after(self._bound_ms(), self._look)
+        self._events.after(self._threshold_ms(), self._check)
 
-    def note_heard(self) -> None:
+    def note_token(self) -> None:
         """Restart the silence interval: a token arrived."""
         self._has_begun = True
-        self._heard_ms = self._events.now_ms
+        self._last_token_ms = self._events.now_ms
 
-    def _bound_ms(self) -> float:
+    def _threshold_ms(self) -> float:
         call = self._attempt.call
         if not self._has_begun:
             return first_byte_threshold_ms(call.target_ms)
         return stream_gap_threshold_ms(call.max_gap_ms) or call.deadline_ms
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         attempt = self._attempt
         if not attempt.vm.is_running(attempt) or not attempt.call.is_repeatable:
             return
-        silent_ms = self._events.now_ms - self._heard_ms
-        left_ms = self._bound_ms() - silent_ms
-        if left_ms >= MIN_LOOK_MS:
-            self._events.after(left_ms, self._look)
+        silent_ms = self._events.now_ms - self._last_token_ms
+        remaining_ms = self._threshold_ms() - silent_ms
+        if remaining_ms >= MIN_RECHECK_MS:
+            self._events.after(remaining_ms, self._check)
             return
-        judge = attempt.vm.scheduler.judge_silence
-        if judge(attempt.attempt_id, silent_ms) is SilenceVerdict.ABANDON:
-            attempt.vm.leave_attempt(attempt, AttemptFault.SILENT)
+        judge_silence = attempt.vm.scheduler.judge_silence
+        if judge_silence(attempt.attempt_id, silent_ms) is SilenceVerdict.ABANDON:
+            attempt.vm.abandon_attempt(attempt, AttemptFault.SILENT)
         else:
-            self._events.after(SILENCE_RECHECK_MS, self._look)
+            self._events.after(SILENCE_RECHECK_MS, self._check)
 
 
-__all__ = ("MIN_LOOK_MS", "AttemptWatch")
+__all__ = ("MIN_RECHECK_MS", "AttemptWatch")
--- a/src/quetzaldeck/bench/bench_attempt.py
+++ b/src/quetzaldeck/bench/bench_attempt.py
@@ -9,7 +9,7 @@
     from quetzaldeck.bench.bench_group import BenchGroup
     from quetzaldeck.bench.bench_vm import BenchVm
     from quetzaldeck.bench.call import Call
-    from quetzaldeck.bench.spread_read import SpreadRead
+    from quetzaldeck.bench.split_prefill import SplitPrefill
     from quetzaldeck.decisions import Dispatch
 
 
@@ -32,7 +32,7 @@
         self.is_silent = False
         self.has_begun = False
         self.group: BenchGroup | None = None
-        self.spread: SpreadRead | None = None
+        self.split: SplitPrefill | None = None
         self.watch: AttemptWatch | None = None
 
     @property
--- a/src/quetzaldeck/bench/bench_engine.py
+++ b/src/quetzaldeck/bench/bench_engine.py
@@ -102,7 +102,7 @@
         self._is_stepping = False
         self._cache_log = CacheEventLog()
         self._parts.clear()
-        self._break_groups()
+        self._fail_groups()
 
     def _reserve(self, reservation_id: str, n_tokens: int) -> bool:
         return self._model.reserve(reservation_id, n_tokens)
--- a/src/quetzaldeck/bench/bench_group.py
+++ b/src/quetzaldeck/bench/bench_group.py
@@ -43,8 +43,8 @@
         self._latency_ms = latency_ms
         self._bounds = bounds
         self._reservation_id = f"{attempt.attempt_id}.group"
-        self._is_over = False
-        self._n_asked = 0
+        self._is_finished = False
+        self._n_contacted = 0
 
     @property
     def reservation_id(self) -> str:
@@ -58,43 +58,43 @@
 
     def begin(self) -> None:
         """Reserve memory on one member after the other, then run the prompt."""
-        self._reserve(0)
+        self._reserve_member(0)
 
     def release(self) -> None:
         """Release all reservations; messages still in transit have no effect."""
-        if self._is_over:
+        if self._is_finished:
             return
-        self._is_over = True
-        for engine in self._engines[: self._n_asked]:
+        self._is_finished = True
+        for engine in self._engines[: self._n_contacted]:
             self._send(partial(engine.release, self._reservation_id))
 
-    def note_broken(self, engine: ModelEngine) -> None:
+    def note_engine_lost(self, engine: ModelEngine) -> None:
         """Fail the attempt: a member crashed."""
-        if not self._is_over:
-            self._fail(engine, AttemptFault.BROKEN, has_reached=True)
+        if not self._is_finished:
+            self._fail(engine, AttemptFault.BROKEN, may_have_run=True)
 
-    def _reserve(self, index: int) -> None:
-        self._n_asked = index + 1
-        wait_ms = self._bounds.member_wait_ms(self._left_ms(), len(self._engines))
-        self._ask(index, self._events.now_ms + wait_ms)
+    def _reserve_member(self, index: int) -> None:
+        self._n_contacted = index + 1
+        wait_ms = self._bounds.member_wait_ms(self._remaining_ms(), len(self._engines))
+        self._try_reserve(index, self._events.now_ms + wait_ms)
 
-    def _ask(self, index: int, until_ms: float) -> None:
-        if self._is_over:
+    def _try_reserve(self, index: int, until_ms: float) -> None:
+        if self._is_finished:
             return
         engine = self._engines[index]
         if engine.is_down:
-            self._fail(engine, AttemptFault.CONNECT, has_reached=False)
+            self._fail(engine, AttemptFault.CONNECT, may_have_run=False)
         elif engine.reserve(self, self._plan.reserved_tokens[index]):
-            self._take_grant(index)
+            self._handle_grant(index)
         elif self._events.now_ms >= until_ms:
-            self._fail(engine, AttemptFault.NO_ROOM, has_reached=False)
+            self._fail(engine, AttemptFault.NO_ROOM, may_have_run=False)
         else:
             interval_ms = self._bounds.poll_interval_ms
-            self._events.after(interval_ms, lambda: self._ask(index, until_ms))
+            self._events.after(interval_ms, lambda: self._try_reserve(index, until_ms))
 
-    def _take_grant(self, index: int) -> None:
+    def _handle_grant(self, index: int) -> None:
         if index + 1 < len(self._engines):
-            self._send(lambda: self._reserve(index + 1))
+            self._send(lambda: self._reserve_member(index + 1))
             return
         self._attempt.vm.scheduler.note_reserved(self._attempt.attempt_id)
         self._run()
@@ -104,14 +104,14 @@
         """Run the prompt; all members have reserved their memory."""
 
     def _fail(
-        self, engine: ModelEngine, fault: AttemptFault, *, has_reached: bool
+        self, engine: ModelEngine, fault: AttemptFault, *, may_have_run: bool
     ) -> None:
         self.release()
-        self._attempt.vm.fail(
-            self._attempt, fault, has_reached=has_reached, upstream=engine.spec.name
+        self._attempt.vm.fail_attempt(
+            self._attempt, fault, may_have_run=may_have_run, upstream=engine.spec.name
         )
 
-    def _left_ms(self) -> float:
+    def _remaining_ms(self) -> float:
         return self._attempt.dispatch.request.deadline_ms - self._events.now_ms
 
     def _send(self, action: Callable[[], None]) -> None:
--- a/src/quetzaldeck/bench/bench_upstream.py
+++ b/src/quetzaldeck/bench/bench_upstream.py
@@ -35,13 +35,13 @@
         """:returns: id of the current incarnation"""
         return f"{self.spec.name}#{self._n_incarnation}"
 
-    def arrive(self, attempt: BenchAttempt) -> None:
+    def accept(self, attempt: BenchAttempt) -> None:
         """Start an attempt that arrives at the current time."""
         if self.is_down:
-            attempt.vm.fail(attempt, AttemptFault.CONNECT, has_reached=False)
+            attempt.vm.fail_attempt(attempt, AttemptFault.CONNECT, may_have_run=False)
             return
         self._attempts[attempt.attempt_id] = attempt
-        attempt.vm.note_execution(attempt)
+        attempt.vm.count_execution(attempt)
         self._begin(attempt)
 
     def cancel(self, attempt_id: str) -> None:
@@ -57,7 +57,7 @@
         self._clear()
         for attempt in lost:
             if not attempt.is_silent:
-                attempt.vm.fail(attempt, AttemptFault.BROKEN)
+                attempt.vm.fail_attempt(attempt, AttemptFault.BROKEN)
 
     def restart(self) -> None:
         """Come up again without state, as a new incarnation."""
@@ -65,11 +65,11 @@
         self._n_incarnation += 1
         self._n_reports = 0
 
-    def silence(self) -> None:
+    def silence_connections(self) -> None:
         """Stop delivery on all open connections; VMs notice at their idle timeout."""
         for attempt in self._attempts.values():
             attempt.is_silent = True
-            attempt.vm.expect_silence(attempt, self._shape.idle_ms)
+            attempt.vm.schedule_idle_timeout(attempt, self._shape.idle_timeout_ms)
 
     @abstractmethod
     def report(self) -> LoadReport:
--- a/src/quetzaldeck/bench/bench_vm.py
+++ b/src/quetzaldeck/bench/bench_vm.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from quetzaldeck.bench.attempt_launcher import AttemptLauncher
-from quetzaldeck.bench.attempt_watch import MIN_LOOK_MS
+from quetzaldeck.bench.attempt_watch import MIN_RECHECK_MS
 from quetzaldeck.bench.bench_attempt import BenchAttempt
 from quetzaldeck.bench.bench_engine import BenchEngine
 from quetzaldeck.bench.call_result import Outcome
@@ -49,7 +49,7 @@
         latency_ms: float,
         on_end: EndHandler,
         groups: GroupBounds,
-        watches_silence: bool = False,
+        abandons_silent: bool = False,
     ) -> None:
         self.name = name
         self.availability_zone = availability_zone
@@ -64,9 +64,9 @@
             events,
             latency_ms=latency_ms,
             groups=groups,
-            watches_silence=watches_silence,
+            abandons_silent=abandons_silent,
         )
-        self._open: dict[str, Submission] = {}
+        self._submissions: dict[str, Submission] = {}
         self._cache_cursors: dict[str, CacheCursor] = {}
         self._is_polling = False
 
@@ -81,15 +81,20 @@
         if failure is not None:
             self._on_end(state, Outcome.REFUSED, failure)
             return
-        self._open[request.request_id] = submission
+        self._submissions[request.request_id] = submission
         self._events.at(request.deadline_ms, lambda: self._expire(submission))
-        if call.gone_after_ms is not None:
-            self._events.after(call.gone_after_ms, lambda: self._leave(submission))
-        if call.patience_ms:
-            self._events.after(call.patience_ms, lambda: self._hang_up(submission))
+        if call.disconnects_after_ms is not None:
+            self._events.after(
+                call.disconnects_after_ms, lambda: self._disconnect(submission)
+            )
+        if call.caller_idle_timeout_ms:
+            self._events.after(
+                call.caller_idle_timeout_ms,
+                lambda: self._check_idle_timeout(submission),
+            )
         self.poll()
 
-    def list_shares(self) -> list[tuple[str, VmLoad]]:
+    def list_loads(self) -> list[tuple[str, VmLoad]]:
         """:returns: the load that this VM puts on each upstream"""
         now_ms = self._events.now_ms
         return [(u.spec.name, u.own_load(now_ms)) for u in self.scheduler.upstreams]
@@ -101,18 +106,18 @@
 
     def is_running(self, attempt: BenchAttempt) -> bool:
         """:returns: whether this is the current attempt of an open submission"""
-        return self._is_current(attempt) is not None
+        return self._find_submission(attempt) is not None
 
-    def leave_attempt(self, attempt: BenchAttempt, fault: AttemptFault) -> None:
+    def abandon_attempt(self, attempt: BenchAttempt, fault: AttemptFault) -> None:
         """End an attempt that may have run, so that it can be retried."""
-        self._take_fault(attempt, fault, has_reached=True)
+        self._handle_fault(attempt, fault, may_have_run=True)
 
     def poll(self) -> None:
         """Carry out the scheduler's decisions; poll again while requests are queued."""
         if self.is_down:
             return
         for decision in self.scheduler.poll():
-            submission = self._open.get(decision.request.request_id)
+            submission = self._submissions.get(decision.request.request_id)
             if submission is None:
                 continue
             if isinstance(decision, Dispatch):
@@ -126,44 +131,46 @@
     def receive(self, attempt: BenchAttempt, *, is_last: bool) -> None:
         """Deliver a token, or a whole plain answer, after the network latency."""
         self._events.after(
-            self._latency_ms, lambda: self._take_token(attempt, is_last=is_last)
+            self._latency_ms, lambda: self._handle_token(attempt, is_last=is_last)
         )
 
-    def fail(
+    def fail_attempt(
         self,
         attempt: BenchAttempt,
         fault: AttemptFault,
         *,
-        has_reached: bool = True,
+        may_have_run: bool = True,
         upstream: str = "",
     ) -> None:
         """Let the end of a connection travel to the VM."""
         self._events.after(
             self._latency_ms,
-            lambda: self._take_fault(
-                attempt, fault, has_reached=has_reached, upstream=upstream
+            lambda: self._handle_fault(
+                attempt, fault, may_have_run=may_have_run, upstream=upstream
             ),
         )
 
-    def expect_silence(self, attempt: BenchAttempt, idle_ms: float) -> None:
+    def schedule_idle_timeout(
+        self, attempt: BenchAttempt, idle_timeout_ms: float
+    ) -> None:
         """Fail the attempt as silent after ``idle_timeout_ms``."""
         self._events.after(
-            idle_ms,
-            lambda: self._take_fault(attempt, AttemptFault.SILENT, has_reached=True),
+            idle_timeout_ms,
+            lambda: self._handle_fault(attempt, AttemptFault.SILENT, may_have_run=True),
         )
 
-    def note_execution(self, attempt: BenchAttempt) -> None:
+    def count_execution(self, attempt: BenchAttempt) -> None:
         """Count an execution: an upstream began to run the attempt."""
-        submission = self._open.get(attempt.dispatch.request.request_id)
+        submission = self._submissions.get(attempt.dispatch.request.request_id)
         if submission is not None:
             submission.state.n_executions += 1
 
     def crash(self) -> None:
         """Go down: all open calls are cut off and their attempts cancelled."""
         self.is_down = True
-        lost = list(self._open.values())
-        self._open.clear()
-        for submission in lost:
+        open_submissions = list(self._submissions.values())
+        self._submissions.clear()
+        for submission in open_submissions:
             self._cancel(submission)
             self._on_end(submission.state, Outcome.CUT_OFF, None)
 
@@ -178,22 +185,22 @@
         submission.state.upstreams += dispatch.upstreams
         self._launcher.launch(attempt)
 
-    def _is_current(self, attempt: BenchAttempt) -> Submission | None:
-        submission = self._open.get(attempt.dispatch.request.request_id)
+    def _find_submission(self, attempt: BenchAttempt) -> Submission | None:
+        submission = self._submissions.get(attempt.dispatch.request.request_id)
         if submission is None or submission.attempt is not attempt:
             return None
         return submission
 
-    def _take_token(self, attempt: BenchAttempt, *, is_last: bool) -> None:
-        submission = self._is_current(attempt)
+    def _handle_token(self, attempt: BenchAttempt, *, is_last: bool) -> None:
+        submission = self._find_submission(attempt)
         if submission is None:
             return
         if submission.n_delivered == attempt.n_delivered:
-            self._take_cache_events(attempt)
+            self._apply_cache_events(attempt)
             self.scheduler.note_first_token(attempt.attempt_id)
         submission.n_delivered += 1
         if attempt.watch is not None:
-            attempt.watch.note_heard()
+            attempt.watch.note_token()
         state = submission.state
         state.note_token(self._events.now_ms)
         if not is_last:
@@ -210,7 +217,7 @@
         self._close(submission, None)
         self.poll()
 
-    def _take_cache_events(self, attempt: BenchAttempt) -> None:
+    def _apply_cache_events(self, attempt: BenchAttempt) -> None:
         """Apply the cache events that arrive with an answer's first token."""
         name = attempt.dispatch.upstreams[-1]
         engine = self._upstreams[name]
@@ -221,15 +228,15 @@
         self._cache_cursors[name] = cursor.after(events)
         self.scheduler.fleet.observe_cache(events)
 
-    def _take_fault(
+    def _handle_fault(
         self,
         attempt: BenchAttempt,
         fault: AttemptFault,
         *,
-        has_reached: bool,
+        may_have_run: bool,
         upstream: str = "",
     ) -> None:
-        submission = self._is_current(attempt)
+        submission = self._find_submission(attempt)
         if submission is None:
             return
         self._cancel(submission)
@@ -238,7 +245,7 @@
             attempt.attempt_id,
             fault,
             n_output_tokens=submission.n_delivered,
-            may_have_run=has_reached,
+            may_have_run=may_have_run,
             upstream=upstream,
         )
         failure = self.scheduler.end_attempt(end)
@@ -247,31 +254,35 @@
         self.poll()
 
     def _expire(self, submission: Submission) -> None:
-        if submission.request.request_id not in self._open:
+        if submission.request.request_id not in self._submissions:
             return
         ran = Ran.UNKNOWN if submission.has_dispatched else Ran.NO
         self._close(submission, Failure(Reason.DEADLINE_EXCEEDED, ran))
         self.poll()
 
-    def _leave(self, submission: Submission) -> None:
-        if submission.request.request_id in self._open:
+    def _disconnect(self, submission: Submission) -> None:
+        if submission.request.request_id in self._submissions:
             self._close(submission, Failure(Reason.CALLER_GONE, Ran.UNKNOWN))
             self.poll()
 
-    def _hang_up(self, submission: Submission) -> None:
+    def _check_idle_timeout(self, submission: Submission) -> None:
         """Disconnect the caller if it received no token within its idle timeout."""
         state = submission.state
-        heard_ms = max(state.heard_ms, submission.request.arrived_ms)
-        left_ms = heard_ms + state.call.patience_ms - self._events.now_ms
-        if submission.request.request_id not in self._open:
+        last_token_ms = max(state.last_token_ms, submission.request.arrived_ms)
+        remaining_ms = (
+            last_token_ms + state.call.caller_idle_timeout_ms - self._events.now_ms
+        )
+        if submission.request.request_id not in self._submissions:
             return
-        if left_ms >= MIN_LOOK_MS:
-            self._events.after(left_ms, lambda: self._hang_up(submission))
+        if remaining_ms >= MIN_RECHECK_MS:
+            self._events.after(
+                remaining_ms, lambda: self._check_idle_timeout(submission)
+            )
         else:
-            self._leave(submission)
+            self._disconnect(submission)
 
     def _close(self, submission: Submission, failure: Failure | None) -> None:
-        del self._open[submission.request.request_id]
+        del self._submissions[submission.request.request_id]
         self.scheduler.withdraw(submission.request.request_id)
         self._cancel(submission)
         self._on_end(submission.state, _outcome_of(submission, failure), failure)
--- a/src/quetzaldeck/bench/call.py
+++ b/src/quetzaldeck/bench/call.py
@@ -50,7 +50,7 @@
     is_repeatable: bool = True
     vm: int | None = None
     max_resends: int = 0
-    gone_after_ms: float | None = None
+    disconnects_after_ms: float | None = None
     fingerprint_id: str = ""
     kills_engine: bool = False
 
@@ -60,7 +60,7 @@
         return self.n_output_tokens or self.max_output_tokens
 
     @property
-    def patience_ms(self) -> float:
+    def caller_idle_timeout_ms(self) -> float:
         """:returns: silence after which the caller disconnects; 0: it does not"""
         return (
             infer_idle_timeout_ms(self.target_ms, self.max_gap_ms)
--- a/src/quetzaldeck/bench/decision_cost.py
+++ b/src/quetzaldeck/bench/decision_cost.py
@@ -16,7 +16,7 @@
 
 N_MEASURED = 2_000
 _MODEL = "m"
-_FAR_MS = 1e9
+_NO_DEADLINE_MS = 1e9
 _SIZES = (
     (14, 10, 0),
     (14, 10, 500),
@@ -82,7 +82,9 @@
 
 
 def _make_request(name: str, index: int, n_customers: int, model: str) -> Request:
-    return Request(name, f"c{index % n_customers}", model, 1_000, 10, 5, 0.0, _FAR_MS)
+    return Request(
+        name, f"c{index % n_customers}", model, 1_000, 10, 5, 0.0, _NO_DEADLINE_MS
+    )
 
 
 def _build_bundle(n_upstreams: int, n_customers: int) -> Bundle:
@@ -92,11 +94,11 @@
         )
         for index in range(n_upstreams)
     )
-    stuck = UpstreamSpec(
+    full_engine = UpstreamSpec(
         "full", "http://127.0.0.1:1", models=("stuck",), kv_tokens=1_500
     )
     customers = tuple(CustomerSpec(f"c{index}", ()) for index in range(n_customers))
-    return Bundle(1, 1, upstreams=(*engines, stuck), customers=customers)
+    return Bundle(1, 1, upstreams=(*engines, full_engine), customers=customers)
 
 
 __all__ = ("DecisionCost", "measure_decision_costs")
--- a/src/quetzaldeck/bench/entry_loads.py
+++ b/src/quetzaldeck/bench/entry_loads.py
@@ -103,7 +103,7 @@
         "long prompts in a burst": (_burst(steady, "history", 2.7), ()),
         "short prompts in a burst": (_burst(steady, "plan", 2.5), ()),
         "one customer sends half of all": (steady._replace(hot_share=0.5), ()),
-        "callers leave": (steady._replace(leaving_share=0.3), ()),
+        "callers leave": (steady._replace(disconnecting_share=0.3), ()),
         "a slow engine": (steady, (slow,)),
         "a third of the engines crash together": (steady, crashes),
     }
--- a/src/quetzaldeck/bench/entry_mixture.py
+++ b/src/quetzaldeck/bench/entry_mixture.py
@@ -35,7 +35,7 @@
     target_ms: float
     deadline_ms: float
     n_tokens: float = 0.0
-    spread: float = 0.0
+    log_stddev: float = 0.0
     max_tokens: int = 1
     n_output_tokens: float = 1.0
     max_gap_ms: float = 0.0
@@ -51,11 +51,11 @@
 LOOK_UP = CallKind("look-up", 1.5, 125.0, 1_000.0)
 KINDS = (PLAN, REVIEW, HISTORY, BOOKING, LOOK_UP)
 
-ANSWER_SPREAD = 0.6
+ANSWER_LOG_STDDEV = 0.6
 """Standard deviation of the logarithm of the answer length."""
 
 N_CUSTOMERS = 10
-LARGE_CUSTOMERS = 3
+N_LARGE_CUSTOMERS = 3
 """Number of large customers, who send half of all calls beside their equal share of
 the other half."""
 
@@ -87,7 +87,7 @@
     kinds: tuple[CallKind, ...] = KINDS
     bursts: tuple[Burst, ...] = ()
     hot_share: float = 0.0
-    leaving_share: float = 0.0
+    disconnecting_share: float = 0.0
     random_state: int = 1
 
     def draw_calls(self) -> tuple[Call, ...]:
@@ -98,7 +98,7 @@
             for kind in self.kinds
             for n, at_ms in enumerate(self._draw_arrivals(kind, random_state))
         ]
-        return tuple(sorted(calls, key=_arrival))
+        return tuple(sorted(calls, key=_arrival_ms))
 
     def _draw_arrivals(
         self, kind: CallKind, random_state: random.Random
@@ -122,8 +122,8 @@
     def _draw_call(
         self, call_id: str, kind: CallKind, at_ms: float, random_state: random.Random
     ) -> Call:
-        is_leaving = random_state.random() < self.leaving_share
-        gone_after_ms = random_state.uniform(0.0, kind.target_ms)
+        disconnects = random_state.random() < self.disconnecting_share
+        disconnects_after_ms = random_state.uniform(0.0, kind.target_ms)
         call = Call(
             call_id,
             at_ms,
@@ -132,13 +132,13 @@
             target_ms=kind.target_ms,
             is_repeatable=kind.is_repeatable,
             max_resends=1,
-            gone_after_ms=gone_after_ms if is_leaving else None,
+            disconnects_after_ms=disconnects_after_ms if disconnects else None,
         )
         if not kind.n_tokens:
             return call._replace(service=SERVICE)
-        n_tokens = _draw_length(kind.n_tokens, kind.spread, random_state)
+        n_tokens = _draw_length(kind.n_tokens, kind.log_stddev, random_state)
         n_answer_tokens = _draw_length(
-            kind.n_output_tokens, ANSWER_SPREAD, random_state
+            kind.n_output_tokens, ANSWER_LOG_STDDEV, random_state
         )
         return call._replace(
             model=MODEL,
@@ -150,14 +150,14 @@
     def _draw_customer(self, random_state: random.Random) -> str:
         if random_state.random() < self.hot_share:
             return "customer-0"
-        n_from = LARGE_CUSTOMERS if random_state.random() < 0.5 else N_CUSTOMERS
+        n_from = N_LARGE_CUSTOMERS if random_state.random() < 0.5 else N_CUSTOMERS
         return f"customer-{random_state.randrange(n_from)}"
 
 
-def _draw_length(mean: float, spread: float, random_state: random.Random) -> int:
+def _draw_length(mean: float, log_stddev: float, random_state: random.Random) -> int:
     """:returns: a random length, log-normal with mean ``mean``"""
-    mu = math.log(mean) - spread * spread / 2
-    return max(1, round(random_state.lognormvariate(mu, spread)))
+    mu = math.log(mean) - log_stddev * log_stddev / 2
+    return max(1, round(random_state.lognormvariate(mu, log_stddev)))
 
 
 def _factor_at(bursts: list[Burst], at_ms: float) -> float:
@@ -165,7 +165,7 @@
     return math.prod(factors)
 
 
-def _arrival(call: Call) -> float:
+def _arrival_ms(call: Call) -> float:
     return call.at_ms
 
 
--- a/src/quetzaldeck/bench/entry_suite.py
+++ b/src/quetzaldeck/bench/entry_suite.py
@@ -55,8 +55,8 @@
     pattern: str
     policy: str
     kinds: dict[str, KindSummary]
-    n_silent: int
-    n_dishonest: int
+    n_caller_timeouts: int
+    n_violations: int
     n_kv_tokens_left: int
 
     @property
@@ -87,16 +87,18 @@
 
 def summarise_entry(fleet: str, policy: str, result: RunResult) -> EntryRun:
     """:returns: summary of a run by kind of call"""
-    stayed = [item for item in result.calls if item.call.gone_after_ms is None]
+    connected = [
+        item for item in result.calls if item.call.disconnects_after_ms is None
+    ]
     return EntryRun(
         fleet,
         result.scenario.name,
         policy,
         {
-            kind.name: _summarise_kind([i for i in stayed if _is_of(i, kind.name)])
+            kind.name: _summarise_kind([i for i in connected if _is_of(i, kind.name)])
             for kind in KINDS
         },
-        sum(item.outcome is Outcome.GONE for item in stayed),
+        sum(item.outcome is Outcome.GONE for item in connected),
         sum(
             item.outcome is Outcome.LOST or item.is_doubled or item.is_false_refusal
             for item in result.calls
--- a/src/quetzaldeck/bench/entry_table.py
+++ b/src/quetzaldeck/bench/entry_table.py
@@ -15,14 +15,14 @@
     lines = [
         "# Entry VMs under load",
         "",
-        "Written by `make bench-entry`: the decisions of an entry VM and two",
-        "baselines, on engines that work in passes by figures that they state. Bursts",
-        "and faults last from second 12 to 22 of 40. Cells of a kind: calls answered",
-        "in time (first token and pauses as the caller wants them), of all whose",
-        "caller stayed, and time to the first token in ms, median and 99th in 100.",
-        "*Mean* is that of the shares in time. *Hung up*: callers who heard nothing",
-        "for too long.",
-        f"Calls lost, doubled or refused falsely: {sum(r.n_dishonest for r in runs)};",
+        "Written by `make bench-entry`: the policies of an entry VM and two baselines,",
+        "on engines that work in passes with configured figures. Bursts and faults",
+        "last from second 12 to 22 of 40. The cells of a kind show the calls answered",
+        "in time (first token and gaps within the call's limits), of all whose caller",
+        "was not set to disconnect, and the median and 99th percentile of the time to",
+        "first token in ms. *Mean* averages the shares in time. *Idle timeouts* are",
+        "callers that disconnected after too long without a token.",
+        f"Calls lost, doubled or falsely refused: {sum(r.n_violations for r in runs)};",
         "memory that engines still held at the end:",
         f"{sum(run.n_kv_tokens_left for run in runs)} tokens.",
     ]
@@ -34,13 +34,13 @@
 
 def _render_fleet(runs: list[EntryRun]) -> Iterator[str]:
     kinds = list(runs[0].kinds)
-    yield f"| load | decisions | mean | hung up | {' | '.join(kinds)} |"
+    yield f"| load | policy | mean | idle timeouts | {' | '.join(kinds)} |"
     yield "|---|---|--:|--:|" + "---|" * len(kinds)
     for run in runs:
         cells = " | ".join(_render_kind(run.kinds[kind]) for kind in kinds)
         yield (
             f"| {run.pattern} | {run.policy} | {run.share_in_time:.3f} "
-            f"| {run.n_silent} | {cells} |"
+            f"| {run.n_caller_timeouts} | {cells} |"
         )
 
 
--- a/src/quetzaldeck/bench/load_sharing.py
+++ b/src/quetzaldeck/bench/load_sharing.py
@@ -14,7 +14,7 @@
     from quetzaldeck.bench.event_queue import EventQueue
     from quetzaldeck.decisions.peer_load import VmLoad
 
-TELL_INTERVAL_MS = 20.0
+SEND_INTERVAL_MS = 20.0
 """Interval at which a VM checks its load for changes to send, as in an entry VM."""
 
 
@@ -32,23 +32,23 @@
         self._latency_ms = latency_ms
         self._changes = {vm.name: LoadChanges() for vm in vms}
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Send the changes that are due and schedule the next round."""
         now_ms = self._events.now_ms
         for vm in self._vms:
             if not vm.is_down:
                 changed = self._changes[vm.name].select_due(
-                    vm.list_shares(), now_ms, len(self._vms) - 1
+                    vm.list_loads(), now_ms, len(self._vms) - 1
                 )
                 if changed:
                     deliver = partial(self._deliver, vm, changed)
                     self._events.after(self._latency_ms, deliver)
-        self._events.after(TELL_INTERVAL_MS, self.begin)
+        self._events.after(SEND_INTERVAL_MS, self.start)
 
-    def _deliver(self, teller: BenchVm, shares: list[tuple[str, VmLoad]]) -> None:
+    def _deliver(self, sender: BenchVm, loads: list[tuple[str, VmLoad]]) -> None:
         for vm in self._vms:
-            if vm is not teller and not vm.is_down:
-                vm.scheduler.fleet.observe_peer(teller.name, shares)
+            if vm is not sender and not vm.is_down:
+                vm.scheduler.fleet.observe_peer(sender.name, loads)
 
 
-__all__ = ("TELL_INTERVAL_MS", "LoadSharing")
+__all__ = ("SEND_INTERVAL_MS", "LoadSharing")
--- a/src/quetzaldeck/bench/model_engine.py
+++ b/src/quetzaldeck/bench/model_engine.py
@@ -39,12 +39,12 @@
         if self._groups.pop(reservation_id, None) is not None:
             self._release(reservation_id)
 
-    def _break_groups(self) -> None:
+    def _fail_groups(self) -> None:
         """Fail all groups that have reserved memory: the engine crashed."""
         groups = list(self._groups.values())
         self._groups.clear()
         for group in groups:
-            group.note_broken(self)
+            group.note_engine_lost(self)
 
     @abstractmethod
     def _reserve(self, reservation_id: str, n_tokens: int) -> bool:
--- a/src/quetzaldeck/bench/pass_engine.py
+++ b/src/quetzaldeck/bench/pass_engine.py
@@ -13,7 +13,7 @@
     from quetzaldeck.bench.bench_attempt import BenchAttempt
     from quetzaldeck.bench.event_queue import EventQueue
     from quetzaldeck.bench.scenario import FleetShape
-    from quetzaldeck.bench.spread_read import SpreadRead
+    from quetzaldeck.bench.split_prefill import SplitPrefill
     from quetzaldeck.bundle import UpstreamSpec
     from quetzaldeck.bundle.engine_figures import EngineFigures
     from quetzaldeck.engine_model import Pass
@@ -36,8 +36,8 @@
         assert spec.figures is not None
         self._figures = spec.figures
         self._model = PassModel(spec.figures)
-        self._is_working = False
-        self._parts: dict[str, SpreadRead] = {}
+        self._is_pass_running = False
+        self._parts: dict[str, SplitPrefill] = {}
 
     @property
     def figures(self) -> EngineFigures:
@@ -50,18 +50,20 @@
         return self._model.n_kv_tokens_used
 
     @property
-    def may_help(self) -> bool:
+    def can_help(self) -> bool:
         """:returns: whether it accepts one more part for another engine's answer"""
         return not self.is_down and self._model.n_parts < self._figures.n_slots
 
-    def arrive(self, attempt: BenchAttempt) -> None:
+    def accept(self, attempt: BenchAttempt) -> None:
         """Start an attempt that arrives at the current time, unless overloaded."""
         if self.is_down:
-            attempt.vm.fail(attempt, AttemptFault.CONNECT, has_reached=False)
+            attempt.vm.fail_attempt(attempt, AttemptFault.CONNECT, may_have_run=False)
             return
-        n_most = self._figures.n_slots * (1 + MAX_WAITING_PER_SLOT)
-        if self._model.n_running + self._model.n_waiting >= n_most:
-            attempt.vm.fail(attempt, AttemptFault.OVERLOADED, has_reached=False)
+        max_requests = self._figures.n_slots * (1 + MAX_WAITING_PER_SLOT)
+        if self._model.n_running + self._model.n_waiting >= max_requests:
+            attempt.vm.fail_attempt(
+                attempt, AttemptFault.OVERLOADED, may_have_run=False
+            )
             return
         self._attempts[attempt.attempt_id] = attempt
         self._begin(attempt)
@@ -74,101 +76,101 @@
             self.spec.name, self.incarnation, now_ms, 0.0, n_running, n_waiting, 0, 0
         )
 
-    def read_part(self, spread: SpreadRead, work: PassWork) -> None:
+    def prefill_part(self, split: SplitPrefill, work: PassWork) -> None:
         """Prefill a part of a prompt."""
-        self._parts[work.work_id] = spread
+        self._parts[work.work_id] = split
         self._model.submit(work)
-        self._work()
+        self._start_pass()
 
-    def drop_part(self, work_id: str) -> None:
+    def cancel_part(self, work_id: str) -> None:
         """Cancel a part; ignored if it is unknown or done."""
         if self._parts.pop(work_id, None) is not None:
             self._model.cancel(work_id)
 
-    def answer_spread(self, attempt: BenchAttempt) -> None:
+    def start_decoding(self, attempt: BenchAttempt) -> None:
         """Emit the first event and start decoding: all parts are prefilled."""
         if self._attempts.get(attempt.attempt_id) is not attempt:
             return
         is_last = self._model.note_parts_read(attempt.attempt_id)
         self._emit(attempt, is_last=is_last)
-        self._work()
+        self._start_pass()
 
-    def n_events(self, attempt: BenchAttempt) -> int:
+    def n_remaining_events(self, attempt: BenchAttempt) -> int:
         """:returns: events that the attempt has still to emit"""
         n_events = math.ceil(attempt.call.n_answer_tokens / self._figures.stride)
         return max(1, n_events - attempt.n_delivered)
 
     def _begin(self, attempt: BenchAttempt) -> None:
-        if attempt.spread is not None:
-            attempt.spread.begin()
+        if attempt.split is not None:
+            attempt.split.begin()
             return
         call = attempt.call
         work = PassWork(
             attempt.attempt_id,
             n_read_tokens=call.n_prompt_tokens,
             read_ms=self._figures.read_ms(call.n_prompt_tokens),
-            n_events=self.n_events(attempt),
+            n_events=self.n_remaining_events(attempt),
             n_context_tokens=call.n_prompt_tokens,
             n_kv_tokens=call.n_prompt_tokens + call.n_answer_tokens,
             priority=attempt.dispatch.rank,
         )
         self._model.submit(work)
-        self._work()
+        self._start_pass()
 
     def _end(self, attempt_id: str) -> None:
-        spread = self._parts.pop(attempt_id, None)
-        if spread is not None:
-            spread.drop()
+        split = self._parts.pop(attempt_id, None)
+        if split is not None:
+            split.cancel()
         self._model.cancel(attempt_id)
 
     def _clear(self) -> None:
         self._model = PassModel(self._figures)
-        self._is_working = False
-        spreads = list(self._parts.values())
+        self._is_pass_running = False
+        splits = list(self._parts.values())
         self._parts.clear()
-        for spread in spreads:
-            spread.note_broken(self)
-        self._break_groups()
+        for split in splits:
+            split.note_engine_lost(self)
+        self._fail_groups()
 
     def _reserve(self, reservation_id: str, n_tokens: int) -> bool:
         return self._model.reserve(reservation_id, n_tokens)
 
     def _release(self, reservation_id: str) -> None:
         self._model.release(reservation_id)
-        self._work()
+        self._start_pass()
 
-    def _work(self) -> None:
+    def _start_pass(self) -> None:
         """Start a pass unless one is running; its events are emitted at its end."""
-        if self._is_working or self._model.is_idle:
+        if self._is_pass_running or self._model.is_idle:
             return
-        done = self._model.run_pass()
-        if not done.duration_ms:
+        result = self._model.run_pass()
+        if not result.duration_ms:
             return
-        self._is_working = True
-        duration_ms = done.duration_ms * self.slow_factor
+        self._is_pass_running = True
+        duration_ms = result.duration_ms * self.slow_factor
         self.busy_ms += duration_ms
         incarnation = self.incarnation
-        self._events.after(duration_ms, lambda: self._finish(done, incarnation))
+        self._events.after(duration_ms, lambda: self._finish(result, incarnation))
 
-    def _finish(self, done: Pass, incarnation: str) -> None:
+    def _finish(self, result: Pass, incarnation: str) -> None:
         if self.is_down or incarnation != self.incarnation:
             return
-        self._is_working = False
-        for work_id in done.read:
-            spread = self._parts.pop(work_id, None)
-            if spread is not None:
-                spread.note_read()
-        finished = set(done.finished)
-        for attempt_id in done.written:
+        self._is_pass_running = False
+        for work_id in result.read:
+            split = self._parts.pop(work_id, None)
+            if split is not None:
+                split.note_part_done()
+        finished = set(result.finished)
+        for attempt_id in result.written:
             attempt = self._attempts.get(attempt_id)
             if attempt is not None:
                 self._emit(attempt, is_last=attempt_id in finished)
-        self._work()
+        self._start_pass()
 
     def _emit(self, attempt: BenchAttempt, *, is_last: bool) -> None:
         if not attempt.has_begun:
             attempt.has_begun = True
-            attempt.vm.note_execution(attempt)
+            attempt.vm.count_execution(attempt)
             attempt.vm.observe_load(self.report())
         if is_last:
             del self._attempts[attempt.attempt_id]
--- a/src/quetzaldeck/bench/prediction.py
+++ b/src/quetzaldeck/bench/prediction.py
@@ -31,7 +31,7 @@
 
 def check_predictions(result: RunResult) -> PredictionCheck:
     """:returns: prediction results of a run under ``predicted_wait_probed``"""
-    admitted = late = probed = wrong = resent = resent_admitted = 0
+    admitted = late = probed = false_refusals = resent = resent_admitted = 0
     for item in result.calls:
         n_refused = item.n_submissions - 1
         last_id = f"{item.call.call_id}/{item.n_submissions}"
@@ -41,11 +41,13 @@
         resent_admitted += n_refused > 0 and not was_refused_last
         if last_id in result.probed:
             probed += 1
-            wrong += is_in_time
+            false_refusals += is_in_time
         elif not was_refused_last:
             admitted += 1
             late += not is_in_time
-    return PredictionCheck(admitted, late, probed, wrong, resent, resent_admitted)
+    return PredictionCheck(
+        admitted, late, probed, false_refusals, resent, resent_admitted
+    )
 
 
 __all__ = ("PredictionCheck", "check_predictions")
--- a/src/quetzaldeck/bench/prefill_group.py
+++ b/src/quetzaldeck/bench/prefill_group.py
@@ -22,18 +22,18 @@
         return sum(self._count(index) for index in range(len(self._engines) - 1))
 
     def _run(self) -> None:
-        self._attempt.vm.note_execution(self._attempt)
+        self._attempt.vm.count_execution(self._attempt)
         self._prefill(0)
 
     def _prefill(self, index: int) -> None:
-        if self._is_over:
+        if self._is_finished:
             return
         engine = self._engine(index)
         if engine.is_down:
-            self._fail(engine, AttemptFault.CONNECT, has_reached=True)
+            self._fail(engine, AttemptFault.CONNECT, may_have_run=True)
             return
         if index + 1 == len(self._engines):
-            engine.arrive(self._attempt)
+            engine.accept(self._attempt)
             return
         part = Sequence(
             f"{self._attempt.attempt_id}.part{index}",
--- a/src/quetzaldeck/bench/recovery.py
+++ b/src/quetzaldeck/bench/recovery.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from quetzaldeck.bench.call_result import Outcome
-from quetzaldeck.bench.summary import class_of, idle_ms
+from quetzaldeck.bench.summary import length_class_of, unloaded_ms
 from quetzaldeck.bench.tails import compute_tails
 
 if TYPE_CHECKING:
@@ -58,22 +58,22 @@
     before = [w for w in windows if w.start_ms + WINDOW_MS <= begin_ms]
     during = [w for w in windows if begin_ms <= w.start_ms < end_ms]
     after = [w for w in windows if w.start_ms >= end_ms]
-    usual = max((w.short_slowdown for w in before), default=1.0)
+    usual_slowdown = max((w.short_slowdown for w in before), default=1.0)
     bad = [
         w
         for w in after
-        if w.answered < MIN_ANSWERED or w.short_slowdown > MAX_SLOWDOWN * usual
+        if w.answered < MIN_ANSWERED or w.short_slowdown > MAX_SLOWDOWN * usual_slowdown
     ]
     recovered_ms: float | None = 0.0
     if bad:
         last_ms = bad[-1].start_ms + WINDOW_MS
         recovered_ms = None if bad[-1] is after[-1] else last_ms - end_ms
     return Recovery(
-        _answered(before),
-        _answered(during),
+        _answered_share(before),
+        _answered_share(during),
         recovered_ms,
-        _peak(result, end_ms, float("inf")),
-        _peak(result, 0.0, begin_ms),
+        _peak_submissions(result, end_ms, float("inf")),
+        _peak_submissions(result, 0.0, begin_ms),
     )
 
 
@@ -97,18 +97,18 @@
 def _short_slowdown(group: Sequence[CallResult], result: RunResult) -> float:
     shape = result.scenario.shape
     return compute_tails(
-        item.ttft_ms / idle_ms(item, shape)[0]
+        item.ttft_ms / unloaded_ms(item, shape)[0]
         for item in group
-        if class_of(item) == "short" and item.ttft_ms is not None
+        if length_class_of(item) == "short" and item.ttft_ms is not None
     ).p95
 
 
-def _answered(windows: Sequence[Window]) -> float:
+def _answered_share(windows: Sequence[Window]) -> float:
     n_calls = sum(window.n_calls for window in windows)
     return sum(w.answered * w.n_calls for w in windows) / n_calls if n_calls else 1.0
 
 
-def _peak(result: RunResult, from_ms: float, until_ms: float) -> int:
+def _peak_submissions(result: RunResult, from_ms: float, until_ms: float) -> int:
     counts: dict[int, int] = {}
     for item in result.calls:
         for at_ms in item.submitted_ms:
--- a/src/quetzaldeck/bench/run.py
+++ b/src/quetzaldeck/bench/run.py
@@ -57,7 +57,7 @@
         self._has_reports = scenario.shape.figures is None
         bundle = scenario.build_bundle()
         self._upstreams = {
-            spec.name: _kind_of(spec)(spec, scenario.shape, self._events)
+            spec.name: _upstream_class(spec)(spec, scenario.shape, self._events)
             for spec in bundle.upstreams
         }
         self._vms = [self._build_vm(index) for index in range(scenario.shape.n_vms)]
@@ -70,15 +70,15 @@
             state = self._states[call.call_id]
             self._events.at(call.at_ms, partial(self._send, state))
         for fault in self._scenario.faults:
-            self._events.at(fault.at_ms, partial(self._begin, fault))
+            self._events.at(fault.at_ms, partial(self._begin_fault, fault))
             if fault.until_ms is not None:
-                self._events.at(fault.until_ms, partial(self._end, fault))
+                self._events.at(fault.until_ms, partial(self._end_fault, fault))
         end_ms = self._end_ms()
-        self._report()
+        self._sample_loads()
         if self._scenario.shape.figures is not None:
             latency_ms = self._scenario.shape.latency_ms
-            LoadSharing(self._vms, self._events, latency_ms=latency_ms).begin()
-            self._ask_paces()
+            LoadSharing(self._vms, self._events, latency_ms=latency_ms).start()
+            self._sample_paces()
         last_ms = max((call.at_ms for call in self._scenario.calls), default=0.0)
         self._events.run(last_ms)
         utilisation = self._utilisation(last_ms)
@@ -127,9 +127,9 @@
             self._upstreams,
             self._events,
             latency_ms=shape.latency_ms,
-            on_end=self._take_end,
+            on_end=self._handle_end,
             groups=shape.groups,
-            watches_silence=shape.figures is not None,
+            abandons_silent=shape.figures is not None,
         )
 
     def _send(self, state: CallState) -> None:
@@ -138,13 +138,13 @@
         if not live:
             self._record(state, Outcome.CUT_OFF, None)
             return
-        wanted = state.call.vm
-        if wanted is not None and not self._vms[wanted].is_down:
-            self._vms[wanted].submit(state)
+        preferred = state.call.vm
+        if preferred is not None and not self._vms[preferred].is_down:
+            self._vms[preferred].submit(state)
             return
         self._random_state.choice(live).submit(state)
 
-    def _take_end(
+    def _handle_end(
         self, state: CallState, outcome: Outcome, failure: Failure | None
     ) -> None:
         """Record the outcome of a submission, or schedule the caller's resend."""
@@ -184,16 +184,18 @@
             longest_gap_ms=state.longest_gap_ms,
         )
 
-    def _report(self) -> None:
+    def _sample_loads(self) -> None:
         """Sample the load of every upstream; VMs receive it ``report_lag_ms`` later."""
         shape = self._scenario.shape
         if self._has_reports:
             reports = [u.report() for u in self._upstreams.values() if not u.is_down]
-            self._events.after(shape.report_lag_ms, lambda: self._deliver(reports))
-        self._spread_news()
-        self._events.after(shape.report_interval_ms, self._report)
+            self._events.after(
+                shape.report_lag_ms, lambda: self._deliver_reports(reports)
+            )
+        self._send_updates()
+        self._events.after(shape.report_interval_ms, self._sample_loads)
 
-    def _ask_paces(self) -> None:
+    def _sample_paces(self) -> None:
         """Sample the pace of every engine; VMs receive it ``report_lag_ms`` later."""
         paces = [
             (engine.spec.name, engine.slow_factor)
@@ -201,52 +203,54 @@
             if not engine.is_down
         ]
         lag_ms = self._scenario.shape.report_lag_ms
-        self._events.after(lag_ms, partial(self._take_paces, paces))
-        self._events.after(PACE_INTERVAL_MS, self._ask_paces)
+        self._events.after(lag_ms, partial(self._deliver_paces, paces))
+        self._events.after(PACE_INTERVAL_MS, self._sample_paces)
 
-    def _take_paces(self, paces: list[tuple[str, float]]) -> None:
+    def _deliver_paces(self, paces: list[tuple[str, float]]) -> None:
         for vm in self._vms:
             if not vm.is_down:
                 vm.scheduler.fleet.observe_paces(paces)
 
-    def _spread_news(self) -> None:
+    def _send_updates(self) -> None:
         """Send each VM's crash sightings and usage updates to the other VMs."""
         for vm in self._vms:
             if vm.is_down:
                 continue
-            for news in vm.scheduler.fleet.pop_crash_sightings():
-                lag_ms = self._scenario.shape.news_lag_ms
-                aged = tuple(n._replace(age_ms=n.age_ms + lag_ms) for n in news)
-                self._events.after(lag_ms, partial(self._take_news, vm, aged))
-            for usage in vm.scheduler.limits.take_updates(self._events.now_ms):
-                lag_ms = self._scenario.shape.news_lag_ms
-                self._events.after(lag_ms, partial(self._take_usage, vm, usage))
-
-    def _take_news(self, teller: BenchVm, news: tuple[CrashSighting, ...]) -> None:
+            for sightings in vm.scheduler.fleet.pop_crash_sightings():
+                lag_ms = self._scenario.shape.update_lag_ms
+                aged = tuple(s._replace(age_ms=s.age_ms + lag_ms) for s in sightings)
+                self._events.after(lag_ms, partial(self._deliver_crashes, vm, aged))
+            for update in vm.scheduler.limits.take_updates(self._events.now_ms):
+                lag_ms = self._scenario.shape.update_lag_ms
+                self._events.after(lag_ms, partial(self._deliver_usage, vm, update))
+
+    def _deliver_crashes(
+        self, sender: BenchVm, sightings: tuple[CrashSighting, ...]
+    ) -> None:
         for vm in self._vms:
-            if vm is not teller and not vm.is_down:
-                vm.scheduler.fleet.observe_crashes(news)
+            if vm is not sender and not vm.is_down:
+                vm.scheduler.fleet.observe_crashes(sightings)
 
-    def _take_usage(self, teller: BenchVm, news: UsageUpdate) -> None:
+    def _deliver_usage(self, sender: BenchVm, update: UsageUpdate) -> None:
         for vm in self._vms:
-            if vm is not teller and not vm.is_down:
-                vm.scheduler.limits.observe(teller.name, news, self._events.now_ms)
+            if vm is not sender and not vm.is_down:
+                vm.scheduler.limits.observe(sender.name, update, self._events.now_ms)
 
-    def _deliver(self, reports: list[LoadReport]) -> None:
+    def _deliver_reports(self, reports: list[LoadReport]) -> None:
         for vm in self._vms:
             if not vm.is_down:
                 vm.scheduler.fleet.observe(reports, tuple(self._leaving))
                 vm.scheduler.limits.n_vms = sum(not v.is_down for v in self._vms)
                 vm.poll()
 
-    def _begin(self, fault: Fault) -> None:
+    def _begin_fault(self, fault: Fault) -> None:
         match fault.kind:
             case FaultKind.CRASH:
                 self._upstreams[fault.target].crash()
             case FaultKind.SLOW:
                 self._upstreams[fault.target].slow_factor = fault.factor
             case FaultKind.SILENT:
-                self._upstreams[fault.target].silence()
+                self._upstreams[fault.target].silence_connections()
             case FaultKind.LEAVING:
                 self._leaving.add(fault.target)
             case FaultKind.ZONE_LOSS:
@@ -257,7 +261,7 @@
             case FaultKind.STALE_REPORTS:
                 self._has_reports = False
 
-    def _end(self, fault: Fault) -> None:
+    def _end_fault(self, fault: Fault) -> None:
         match fault.kind:
             case FaultKind.CRASH:
                 self._upstreams[fault.target].restart()
@@ -290,7 +294,7 @@
         return sum(engine.busy_ms for engine in engines) / (len(engines) * now_ms)
 
 
-def _kind_of(spec: UpstreamSpec) -> type[BenchUpstream]:
+def _upstream_class(spec: UpstreamSpec) -> type[BenchUpstream]:
     if spec.kind == "service":
         return BenchService
     return BenchEngine if spec.figures is None else PassEngine
--- a/src/quetzaldeck/bench/scenario.py
+++ b/src/quetzaldeck/bench/scenario.py
@@ -54,8 +54,8 @@
     report_interval_ms: float = 200.0
     report_lag_ms: float = 400.0
     latency_ms: float = 0.5
-    news_lag_ms: float = 400.0
-    idle_ms: float = 3_000.0
+    update_lag_ms: float = 400.0
+    idle_timeout_ms: float = 3_000.0
     zones: tuple[str, ...] = ZONES
     figures: EngineFigures | None = None
     groups: GroupBounds = GroupBounds()
--- a/src/quetzaldeck/bench/spread_read.py
+++ b/src/quetzaldeck/bench/split_prefill.py
@@ -20,7 +20,7 @@
 """Time until the loss of an engine is detected and the work that needs it fails."""
 
 
-class SpreadRead:
+class SplitPrefill:
     """State of the parts of one prompt.
 
     :param engines: engines that prefill a part each; the first one answers
@@ -42,57 +42,57 @@
         self._events = events
         self._latency_ms = latency_ms
         self._n_reserved_tokens = n_reserved_tokens
-        self._n_unread = len(engines)
-        self._is_over = False
+        self._n_pending_parts = len(engines)
+        self._is_finished = False
 
     def begin(self) -> None:
         """Send each engine its part; called when the request arrives at the first."""
-        busy = [helper for helper in self._engines[1:] if not helper.may_help]
+        busy = [helper for helper in self._engines[1:] if not helper.can_help]
         if busy:
-            self._give_up(busy[0])
+            self._fail(busy[0])
             return
-        self._engines[0].read_part(self, self._build_own_part())
+        self._engines[0].prefill_part(self, self._build_own_part())
         for index, helper in enumerate(self._engines[1:], start=1):
             part = self._build_part(self._part_id(index), helper)
-            self._events.after(self._latency_ms, partial(self._hand_over, helper, part))
+            self._events.after(self._latency_ms, partial(self._send_part, helper, part))
 
-    def note_read(self) -> None:
+    def note_part_done(self) -> None:
         """Count a completed part; after the last one, decoding starts."""
-        self._n_unread -= 1
-        if not self._n_unread and not self._is_over:
-            self._is_over = True
-            self._engines[0].answer_spread(self._attempt)
+        self._n_pending_parts -= 1
+        if not self._n_pending_parts and not self._is_finished:
+            self._is_finished = True
+            self._engines[0].start_decoding(self._attempt)
 
-    def note_broken(self, engine: PassEngine) -> None:
+    def note_engine_lost(self, engine: PassEngine) -> None:
         """Fail the attempt ``STALL_MS`` after the loss of a helper."""
-        if not self._is_over and engine is not self._engines[0]:
-            self._events.after(STALL_MS, lambda: self._give_up(engine))
+        if not self._is_finished and engine is not self._engines[0]:
+            self._events.after(STALL_MS, lambda: self._fail(engine))
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         """Cancel the parts of all helpers: the answer is no longer needed."""
-        self._is_over = True
+        self._is_finished = True
         for index, helper in enumerate(self._engines[1:], start=1):
-            drop = partial(helper.drop_part, self._part_id(index))
-            self._events.after(self._latency_ms, drop)
+            cancel = partial(helper.cancel_part, self._part_id(index))
+            self._events.after(self._latency_ms, cancel)
 
-    def _hand_over(self, helper: PassEngine, part: PassWork) -> None:
-        if self._is_over:
+    def _send_part(self, helper: PassEngine, part: PassWork) -> None:
+        if self._is_finished:
             return
         if helper.is_down:
-            self.note_broken(helper)
+            self.note_engine_lost(helper)
         else:
-            helper.read_part(self, part)
+            helper.prefill_part(self, part)
 
-    def _give_up(self, helper: PassEngine) -> None:
+    def _fail(self, helper: PassEngine) -> None:
         """Fail the attempt as not run and name the helper that caused the failure."""
-        if self._is_over:
+        if self._is_finished:
             return
-        self.drop()
+        self.cancel()
         self._engines[0].cancel(self._attempt.attempt_id)
         is_member = helper.spec.name in self._attempt.dispatch.upstreams
         fault = AttemptFault.OVERLOADED if is_member else AttemptFault.HELPER
-        self._attempt.vm.fail(
-            self._attempt, fault, has_reached=False, upstream=helper.spec.name
+        self._attempt.vm.fail_attempt(
+            self._attempt, fault, may_have_run=False, upstream=helper.spec.name
         )
 
     def _build_part(self, work_id: str, engine: PassEngine) -> PassWork:
@@ -114,14 +114,14 @@
         reserved elsewhere.
         """
         call = self._attempt.call
-        first = self._engines[0]
-        part = self._build_part(self._attempt.attempt_id, first)
+        answering_engine = self._engines[0]
+        part = self._build_part(self._attempt.attempt_id, answering_engine)
         n_kv_tokens = call.n_prompt_tokens + call.n_answer_tokens
         return PassWork(
             part.work_id,
             n_read_tokens=part.n_read_tokens,
             read_ms=part.read_ms,
-            n_events=first.n_events(self._attempt),
+            n_events=answering_engine.n_remaining_events(self._attempt),
             n_context_tokens=part.n_read_tokens,
             n_kv_tokens=max(0, n_kv_tokens - self._n_reserved_tokens),
             priority=part.priority,
@@ -132,4 +132,4 @@
         return f"{self._attempt.attempt_id}.part{index}"
 
 
-__all__ = ("STALL_MS", "SpreadRead")
+__all__ = ("STALL_MS", "SplitPrefill")
--- a/src/quetzaldeck/bench/spread_group.py
+++ b/src/quetzaldeck/bench/split_prefill_group.py
@@ -10,14 +10,14 @@
     from quetzaldeck.bench.model_engine import ModelEngine
 
 
-class SpreadGroup(BenchGroup):
+class SplitPrefillGroup(BenchGroup):
     """Simulates an entry VM's memory reservation for one attempt."""
 
     def _run(self) -> None:
-        if self._is_over:
+        if self._is_finished:
             return
         engine: ModelEngine = self._engines[-1]
-        engine.arrive(self._attempt)
+        engine.accept(self._attempt)
 
 
-__all__ = ("SpreadGroup",)
+__all__ = ("SplitPrefillGroup",)
--- a/src/quetzaldeck/bench/submission.py
+++ b/src/quetzaldeck/bench/submission.py
@@ -19,7 +19,7 @@
     def __init__(self, call: Call) -> None:
         self.call = call
         self.first_token_ms: float | None = None
-        self.heard_ms = 0.0
+        self.last_token_ms = 0.0
         self.longest_gap_ms = 0.0
         self.n_executions = 0
         self.submitted_ms: list[float] = []
@@ -35,8 +35,8 @@
         if self.first_token_ms is None:
             self.first_token_ms = now_ms
         else:
-            self.longest_gap_ms = max(self.longest_gap_ms, now_ms - self.heard_ms)
-        self.heard_ms = now_ms
+            self.longest_gap_ms = max(self.longest_gap_ms, now_ms - self.last_token_ms)
+        self.last_token_ms = now_ms
 
 
 class Submission:
@@ -73,7 +73,7 @@
         is_repeatable=call.is_repeatable,
         target_ms=call.target_ms,
         max_gap_ms=call.max_gap_ms,
-        caller_idle_timeout_ms=call.patience_ms,
+        caller_idle_timeout_ms=call.caller_idle_timeout_ms,
     )
 
 
--- a/src/quetzaldeck/bench/suite.py
+++ b/src/quetzaldeck/bench/suite.py
@@ -104,7 +104,7 @@
     mixture = Mixture(
         1.0, duration_ms, random_state=random_state, max_resends=max_resends
     )
-    work_ms = mixture.mean_work_ms(
+    work_ms = mixture.mean_prefill_ms(
         shape.engine.prefill_tokens_per_s, shape.engine.attention_tokens
     )
     rate = load * shape.n_engines * MS_PER_SECOND / work_ms
--- a/src/quetzaldeck/bench/summary.py
+++ b/src/quetzaldeck/bench/summary.py
@@ -72,15 +72,15 @@
     calls = [call for result in results for call in result.calls]
     groups: dict[str, list[CallResult]] = {name: [] for name in CLASS_NAMES}
     for item in calls:
-        groups[class_of(item)].append(item)
+        groups[length_class_of(item)].append(item)
     shape = results[0].scenario.shape
-    good = [r for r in calls if r.call.model and r.outcome is Outcome.ANSWERED]
+    answered = [r for r in calls if r.call.model and r.outcome is Outcome.ANSWERED]
     span_s = sum(_last_arrival_ms(result) for result in results) / MS_PER_SECOND
-    n_tokens = sum(r.call.n_prompt_tokens + r.call.n_answer_tokens for r in good)
+    n_tokens = sum(r.call.n_prompt_tokens + r.call.n_answer_tokens for r in answered)
     return Summary(
         {name: _summarise_class(group, shape) for name, group in groups.items()},
         compute_tails(censored_ttft_ms(r) for r in calls if r.call.model),
-        len(good) / span_s,
+        len(answered) / span_s,
         n_tokens / span_s,
         dict(sorted(_count_reasons(calls).items())),
         sum(r.is_false_refusal for r in calls),
@@ -95,7 +95,7 @@
     return max((r.call.at_ms for r in result.calls), default=MS_PER_SECOND)
 
 
-def class_of(result: CallResult) -> str:
+def length_class_of(result: CallResult) -> str:
     """:returns: length class of a model call, or ``PLAIN``"""
     if not result.call.model:
         return PLAIN
@@ -116,26 +116,28 @@
     return result.total_ms
 
 
-def idle_ms(result: CallResult, shape: FleetShape) -> tuple[float, float]:
+def unloaded_ms(result: CallResult, shape: FleetShape) -> tuple[float, float]:
     """:returns: times to first and last token on an idle fleet"""
     call = result.call
     if not call.model:
-        alone = shape.service_ms + 2 * shape.latency_ms
-        return alone, alone
-    first, last = _run_alone(shape.engine, call.n_prompt_tokens, call.n_answer_tokens)
+        unloaded = shape.service_ms + 2 * shape.latency_ms
+        return unloaded, unloaded
+    first, last = _run_unloaded(
+        shape.engine, call.n_prompt_tokens, call.n_answer_tokens
+    )
     return first + 2 * shape.latency_ms, last + 2 * shape.latency_ms
 
 
 def _summarise_class(group: SequenceOf[CallResult], shape: FleetShape) -> ClassSummary:
-    alone = [idle_ms(item, shape) for item in group]
+    unloaded = [unloaded_ms(item, shape) for item in group]
     ttft = [censored_ttft_ms(item) for item in group]
     total = [censored_total_ms(item) for item in group]
     return ClassSummary(
         len(group),
         sum(item.outcome is Outcome.ANSWERED for item in group),
         compute_tails(ttft),
-        compute_tails(t / a[0] for t, a in zip(ttft, alone, strict=True)),
-        compute_tails(t / a[1] for t, a in zip(total, alone, strict=True)),
+        compute_tails(t / a[0] for t, a in zip(ttft, unloaded, strict=True)),
+        compute_tails(t / a[1] for t, a in zip(total, unloaded, strict=True)),
     )
 
 
@@ -144,11 +146,11 @@
 
 
 @cache
-def _run_alone(
+def _run_unloaded(
     profile: EngineProfile, n_prompt_tokens: int, n_answer_tokens: int
 ) -> tuple[float, float]:
-    roomy = profile._replace(kv_tokens=n_prompt_tokens + n_answer_tokens)
-    model = EngineModel(roomy)
+    enlarged = profile._replace(kv_tokens=n_prompt_tokens + n_answer_tokens)
+    model = EngineModel(enlarged)
     model.submit(
         Sequence(
             "alone", n_prompt_tokens=n_prompt_tokens, max_output_tokens=n_answer_tokens
@@ -169,7 +171,7 @@
     "ClassSummary",
     "Summary",
     "censored_ttft_ms",
-    "class_of",
-    "idle_ms",
+    "length_class_of",
     "summarise",
+    "unloaded_ms",
 )
--- a/src/quetzaldeck/bench/table.py
+++ b/src/quetzaldeck/bench/table.py
@@ -27,8 +27,8 @@
         "# Bench report",
         "",
         "Written by `make bench`; `bench/report.json` has the same figures. A call",
-        "that was not answered whole counts with its deadline. Times are in",
-        "milliseconds; slowdown is against the same call on an idle fleet.",
+        "without a whole answer counts with its deadline. Times are in milliseconds;",
+        "slowdown is relative to the same call on an idle fleet.",
     ]
     for load in sorted({entry.load for entry in report.loads}):
         entries = [entry for entry in report.loads if entry.load == load]
@@ -39,7 +39,7 @@
     lines += _render_ablations(report.ablations)
     lines += ["", "## Recovery", "", *_render_recoveries(report)]
     lines += ["", "## Predictions at 200 % load", "", *_render_predictions(report)]
-    lines += ["", "## Decisions a second on one core", "", *_render_costs(report)]
+    lines += ["", "## Decisions per second on one core", "", *_render_costs(report)]
     return "\n".join(lines) + "\n"
 
 
@@ -103,8 +103,8 @@
 
 def _render_recoveries(report: BenchReport) -> Iterator[str]:
     yield (
-        "| disturbance | policy | answered before | during | recovered after s "
-        "| most submissions/s after | before |"
+        "| disturbance | policy | answered before | during | recovery time, s "
+        "| peak submissions/s after | before |"
     )
     yield "|---|---|--:|--:|--:|--:|--:|"
     for entry in report.recoveries:
@@ -118,8 +118,8 @@
 
 def _render_predictions(report: BenchReport) -> Iterator[str]:
     yield (
-        "| profile | admitted | came late | refused but tried | in time all the same "
-        "| came back | admitted then |"
+        "| profile | admitted | late | admitted as probes | probes in time "
+        "| resent | admitted after resending |"
     )
     yield "|---|--:|--:|--:|--:|--:|--:|"
     for profile, c in report.predictions.items():
@@ -130,7 +130,7 @@
 
 
 def _render_costs(report: BenchReport) -> Iterator[str]:
-    yield "| upstreams | customers | stuck in the queue | decisions/s |"
+    yield "| upstreams | customers | queued requests | decisions/s |"
     yield "|--:|--:|--:|--:|"
     for c in report.costs:
         yield (
--- a/src/quetzaldeck/bench/workload.py
+++ b/src/quetzaldeck/bench/workload.py
@@ -116,9 +116,9 @@
                 self._draw_arrivals(self.plain_per_second, random_state)
             )
         )
-        return tuple(sorted(calls, key=_arrival))
+        return tuple(sorted(calls, key=_arrival_ms))
 
-    def mean_work_ms(self, prefill_tokens_per_s: float, attention: int) -> float:
+    def mean_prefill_ms(self, prefill_tokens_per_s: float, attention: int) -> float:
         """:returns: mean prefill time of a model call on an otherwise idle engine"""
         random_state = random.Random(0)
         n_draws = 20_000
@@ -191,7 +191,7 @@
     return random_state.choices(customers, [c.share for c in customers])[0]
 
 
-def _arrival(call: Call) -> float:
+def _arrival_ms(call: Call) -> float:
     return call.at_ms
 
 
--- a/tests/bench/test_entry_loads.py
+++ b/tests/bench/test_entry_loads.py
@@ -1,4 +1,7 @@
-"""Load patterns of entry VMs on engines that read in parts, by what callers receive."""
+"""Load patterns of entry VMs on engines that can prefill a prompt in parts.
+
+The tests judge what callers receive.
+"""
 
 from __future__ import annotations
 
@@ -14,27 +17,27 @@
 from quetzaldeck.bench.scenario import Scenario
 from quetzaldeck.decisions.policies import ENTRY_POLICIES
 
-FOURTEEN = FLEETS[0]
-PATTERNS = {scenario.name: scenario for scenario in list_scenarios(FOURTEEN, 1)}
+FOURTEEN_ENGINES = FLEETS[0]
+PATTERNS = {scenario.name: scenario for scenario in list_scenarios(FOURTEEN_ENGINES, 1)}
 
 
 @cache
-def play(pattern: str, policy: str) -> EntryRun:
+def run_pattern(pattern: str, policy: str) -> EntryRun:
     result = run_scenario(PATTERNS[pattern], POLICIES[policy])
-    return summarise_entry(FOURTEEN.name, policy, result)
+    return summarise_entry(FOURTEEN_ENGINES.name, policy, result)
 
 
-def share(run: EntryRun, kind: str) -> float:
+def share_in_time(run: EntryRun, kind: str) -> float:
     return run.kinds[kind].n_in_time / run.kinds[kind].n
 
 
-def assert_sound(run: EntryRun) -> None:
-    """Nothing is lost, doubled, refused falsely or left at an engine."""
-    assert run.n_dishonest == 0
+def assert_no_violations(run: EntryRun) -> None:
+    """Check that no call is lost, run twice or falsely refused, and no memory leaks."""
+    assert run.n_violations == 0
     assert run.n_kv_tokens_left == 0
 
 
-def test_mixture_sends_what_it_states() -> None:
+def test_mixture_follows_configured_rates_and_lengths() -> None:
     calls = EntryMixture(200_000.0).draw_calls()
     for kind in KINDS:
         own = [call for call in calls if call.call_id.startswith(f"{kind.name}/")]
@@ -44,64 +47,68 @@
             assert mean == pytest.approx(kind.n_tokens, rel=0.2)
 
 
-def test_long_prompts_in_a_burst_leave_short_answers_in_time() -> None:
-    """Season histories come at nearly three times their usual rate for ten seconds.
+def test_burst_of_long_prompts_does_not_delay_short_prompts() -> None:
+    """The longest prompts arrive at nearly three times their usual rate for 10 s.
 
-    Whole on one engine each stops the answers there for a second; in parts on all
-    engines they stop all answers together.
+    Each prompt prefilled whole on one engine stops the answers there for about a
+    second; prefilled in parts on all engines it stops the answers on all of them.
     """
-    run = play("long prompts in a burst", "entry")
-    assert_sound(run)
-    assert run.n_silent == 0
-    assert share(run, "plan") > 0.95
+    run = run_pattern("long prompts in a burst", "entry")
+    assert_no_violations(run)
+    assert run.n_caller_timeouts == 0
+    assert share_in_time(run, "plan") > 0.95
     for baseline in ("least busy, whole prompts", "least busy, parts on all"):
-        other = play("long prompts in a burst", baseline)
-        assert share(other, "plan") < share(run, "plan") - 0.2
+        other = run_pattern("long prompts in a burst", baseline)
+        assert share_in_time(other, "plan") < share_in_time(run, "plan") - 0.2
 
 
-def test_short_prompts_in_a_burst_are_answered_in_time() -> None:
-    run = play("short prompts in a burst", "entry")
-    assert_sound(run)
-    assert share(run, "plan") > 0.94
-    assert share(run, "history") > 0.9
-    assert share(
-        play("short prompts in a burst", "least busy, parts on all"), "plan"
-    ) < (share(run, "plan") - 0.1)
+def test_burst_of_short_prompts_is_answered_in_time() -> None:
+    run = run_pattern("short prompts in a burst", "entry")
+    assert_no_violations(run)
+    assert share_in_time(run, "plan") > 0.94
+    assert share_in_time(run, "history") > 0.9
+    assert share_in_time(
+        run_pattern("short prompts in a burst", "least busy, parts on all"), "plan"
+    ) < (share_in_time(run, "plan") - 0.1)
 
 
-def test_customer_that_sends_half_of_all_leaves_others_in_time() -> None:
-    run = play("one customer sends half of all", "entry")
-    assert_sound(run)
+def test_customer_with_half_of_all_calls_does_not_delay_others() -> None:
+    run = run_pattern("one customer sends half of all", "entry")
+    assert_no_violations(run)
     assert run.share_in_time > 0.97
 
 
-def test_callers_that_leave_hold_nothing() -> None:
-    """Three callers in ten leave before they can have an answer."""
-    run = play("callers leave", "entry")
-    assert_sound(run)
+def test_disconnected_callers_hold_no_memory() -> None:
+    """Three in ten callers disconnect before their answer can be complete."""
+    run = run_pattern("callers leave", "entry")
+    assert_no_violations(run)
     assert run.share_in_time > 0.97
 
 
-def test_crash_of_a_third_of_the_engines_is_borne() -> None:
-    """Five of fourteen engines die in one moment and come back after ten seconds."""
-    run = play("a third of the engines crash together", "entry")
-    assert_sound(run)
-    assert share(run, "plan") > 0.88
-    other = play("a third of the engines crash together", "least busy, parts on all")
-    assert share(other, "plan") < share(run, "plan") - 0.15
+def test_most_calls_survive_crash_of_a_third_of_the_engines() -> None:
+    """A third of the fourteen engines crash at the same time and restart after 10 s."""
+    run = run_pattern("a third of the engines crash together", "entry")
+    assert_no_violations(run)
+    assert share_in_time(run, "plan") > 0.88
+    other = run_pattern(
+        "a third of the engines crash together", "least busy, parts on all"
+    )
+    assert share_in_time(other, "plan") < share_in_time(run, "plan") - 0.15
 
 
 @pytest.mark.parametrize("fleet", FLEETS[2:], ids=lambda fleet: fleet.name)
-def test_other_engines_are_used_by_their_own_figures(fleet: EntryFleet) -> None:
-    """Engines of other speed, memory and slots than those that run today."""
+def test_decisions_follow_the_configured_engine_figures(fleet: EntryFleet) -> None:
+    """Engines with a speed, memory and slots unlike those of real deployments."""
     scenario = list_scenarios(fleet, 1)[0]
     run = summarise_entry("other", "entry", run_scenario(scenario, ENTRY_POLICIES))
-    assert_sound(run)
-    assert share(run, "plan") > 0.92
+    assert_no_violations(run)
+    assert share_in_time(run, "plan") > 0.92
     assert run.share_in_time > 0.97
 
 
-def test_prompt_above_one_engines_memory_is_answered_and_leaves_no_memory() -> None:
+def test_prompt_larger_than_one_engines_memory_is_answered_and_memory_released() -> (
+    None
+):
     call = Call(
         "huge",
         0.0,
@@ -113,18 +120,20 @@
         target_ms=3_000.0,
         max_gap_ms=1_000.0,
     )
-    result = run_scenario(Scenario("huge", (call,), FOURTEEN.shape), ENTRY_POLICIES)
+    result = run_scenario(
+        Scenario("huge", (call,), FOURTEEN_ENGINES.shape), ENTRY_POLICIES
+    )
     (item,) = result.calls
     assert item.outcome is Outcome.ANSWERED
     assert item.ttft_ms is not None
-    figures = FOURTEEN.shape.figures
+    figures = FOURTEEN_ENGINES.shape.figures
     assert figures is not None
     assert item.ttft_ms < figures.read_ms(500_000) / 3
     assert result.n_kv_tokens_left == 0
 
 
-def test_loss_of_an_engine_that_reads_a_part_is_survived() -> None:
-    """Engines die while they read parts: their callers get answers from others."""
+def test_calls_survive_crash_of_engines_that_prefill_parts() -> None:
+    """Engines crash while they prefill parts: the calls are retried on others."""
     call = Call(
         "",
         0.0,
@@ -140,7 +149,7 @@
     faults = tuple(
         Fault(FaultKind.CRASH, 2_050.0 + n, f"engine-{n}", 5_000.0) for n in range(4)
     )
-    scenario = Scenario("parts lost", calls, FOURTEEN.shape, faults)
+    scenario = Scenario("parts lost", calls, FOURTEEN_ENGINES.shape, faults)
     result = run_scenario(scenario, ENTRY_POLICIES)
     answered = [i for i in result.calls if i.outcome is Outcome.ANSWERED]
     assert len(answered) >= 28
@@ -149,7 +158,7 @@
 
 
 def test_table_shows_each_run() -> None:
-    runs = [play("steady", name) for name in POLICIES]
+    runs = [run_pattern("steady", name) for name in POLICIES]
     page = render_entry_table(runs)
     assert all(f"| steady | {name} |" in page for name in POLICIES)
     assert f"{BEGIN_MS / 1_000:.0f} to 22 of 40" in page
--- a/tests/bench/test_load_patterns.py
+++ b/tests/bench/test_load_patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns that the decisions answer, judged by what callers receive."""
+"""Load patterns under the decision modules; tests judge what callers receive."""
 
 from __future__ import annotations
 
@@ -60,15 +60,15 @@
     ).p95
 
 
-def assert_honest(result: RunResult) -> None:
-    """Nobody waits for ever, nothing runs twice, and ``ran: no`` is true."""
+def assert_no_violations(result: RunResult) -> None:
+    """Check that no call is lost or run twice and that every ``ran: no`` is true."""
     assert not any(item.outcome is Outcome.LOST for item in result.calls)
     assert not any(item.is_doubled for item in result.calls)
     assert not any(item.is_false_refusal for item in result.calls)
 
 
 def test_burst_is_spread_over_engines_and_answered() -> None:
-    """Two hundred members check in as the doors open, before any load report."""
+    """200 calls arrive within 0.2 s, before the first load report."""
     calls = make_calls("b", 200, 1.0, 2_000)
     result = run_scenario(Scenario("burst", calls, SMALL))
     assert {item.outcome for item in result.calls} == {Outcome.ANSWERED}
@@ -76,14 +76,13 @@
     assert ttft_p95(result.calls) < 1.6 * work_ms
     by_engine = Counter(item.upstreams[0] for item in result.calls)
     assert max(by_engine.values()) < 2 * min(by_engine.values())
-    assert_honest(result)
+    assert_no_violations(result)
 
 
-def test_hot_customer_does_not_delay_the_others() -> None:
-    """One customer's batch job sends far more than the fleet can do.
+def test_hot_customer_does_not_delay_others() -> None:
+    """One customer's batch job sends far more than the fleet's capacity.
 
-    The calls of the others stand behind it in order of arrival; callers at a front
-    desk wait for somebody else's batch.
+    In a FIFO queue the interactive calls of other customers wait behind the batch.
     """
     hot = make_calls("h", 1_500, 10.0, 8_000, customer="hot", deadline_ms=40_000.0)
     calm = make_calls("c", 60, 250.0, 2_000, customer="calm", deadline_ms=40_000.0)
@@ -94,11 +93,11 @@
     assert all(item.outcome is Outcome.ANSWERED for item in calm_results)
     assert ttft_p95(calm_results) < 2_500
     assert min(waits) > 5 * ttft_p95(calm_results)
-    assert_honest(result)
+    assert_no_violations(result)
 
 
-def test_slow_upstream_does_not_set_the_pace() -> None:
-    """One engine of four becomes ten times slower; it still answers."""
+def test_slow_upstream_does_not_set_the_tail_latency() -> None:
+    """One of four engines becomes ten times slower but still answers."""
     calls = make_calls("s", 400, 40.0, 2_000)
     faults = (Fault(FaultKind.SLOW, 1_000.0, "engine-1", factor=10.0),)
     scenario = Scenario("slow", calls, SMALL, faults)
@@ -109,11 +108,11 @@
 
 
 @pytest.mark.parametrize("profile", ["short_requests", "first_token"])
-def test_long_prompts_among_short_ones(profile: str) -> None:
-    """Season histories arrive while members check in.
+def test_long_prompts_do_not_delay_short_ones(profile: str) -> None:
+    """Long prompts arrive among many short ones.
 
-    In order of arrival a check-in on the engine that prefills one waits for all of
-    it. Neither must the histories vanish behind the check-ins.
+    In a FIFO queue a short prompt waits for the whole prefill of a long one on the
+    same engine (head-of-line blocking). Nor may the long prompts starve.
     """
     short = make_calls("s", 300, 50.0, 1_500, deadline_ms=20_000.0)
     long = make_calls("l", 3, 4_000.0, 150_000, deadline_ms=120_000.0)
@@ -125,13 +124,13 @@
     baselines = [run_scenario(scenario, policies) for policies in BASELINES]
     assert min(ttft_p95(select(b, "s")) for b in baselines) > 5 * short_wait
     assert long_wait < 1.5 * min(ttft_p95(select(b, "l")) for b in baselines)
-    assert_honest(result)
+    assert_no_violations(result)
 
 
-def test_long_prompts_keep_a_share_when_short_ones_fill_the_fleet() -> None:
-    """Check-ins alone are more than the fleet can do, for a whole minute.
+def test_long_prompts_do_not_starve_when_short_ones_fill_the_fleet() -> None:
+    """Short prompts alone exceed the fleet's capacity for a whole minute.
 
-    Strictly shortest-first, a season history would never begin.
+    With strict shortest-first scheduling a long prompt would never start.
     """
     short = make_calls("s", 3_000, 20.0, 2_500, deadline_ms=4_000.0)
     long = make_calls("l", 4, 10_000.0, 100_000, deadline_ms=90_000.0)
@@ -139,11 +138,11 @@
     assert all(item.outcome is Outcome.ANSWERED for item in select(result, "l"))
     answered = [i for i in select(result, "s") if i.outcome is Outcome.ANSWERED]
     assert len(answered) > 1_300
-    assert_honest(result)
+    assert_no_violations(result)
 
 
-def test_plain_calls_pass_a_stuck_model_queue() -> None:
-    """All engines are full of long prompts; a booking needs none of them."""
+def test_plain_calls_are_not_blocked_by_a_full_model_queue() -> None:
+    """All engines are full of long prompts; plain calls do not need an engine."""
     long = make_calls("l", 40, 10.0, 250_000, deadline_ms=60_000.0)
     bookings = make_calls("b", 50, 100.0, 1, model="", service=SERVICE, priority=0)
     result = run_scenario(Scenario("stuck", long + bookings, SMALL))
@@ -152,23 +151,23 @@
 
 
 def run_mixture(load: float, policies: Policies | None = None) -> RunResult:
-    """:returns: a run of short prompts at a multiple of what four engines can do"""
+    """:returns: a run of short prompts at ``load`` times the fleet's capacity"""
     rate = load * 4 * 20_000 / 4_400
     mixture = Mixture(rate, 40_000.0, plain_per_second=2.0, bands=SHORT_BANDS)
     return run_scenario(Scenario("overload", mixture.draw_calls(), SMALL), policies)
 
 
-def test_sustained_overload_keeps_goodput_and_refuses_at_once() -> None:
-    """Twice the work that the fleet can do, without end.
+def test_sustained_overload_keeps_goodput_and_refuses_immediately() -> None:
+    """The load is twice the fleet's capacity throughout the run.
 
-    With a queue alone every answer comes late: engines work on what is cut off, and
-    each caller waits for its whole deadline to hear so.
+    With a queue but no admission control every answer is late: engines work on
+    requests that miss their deadline, and callers wait until then to learn of it.
     """
     full = summarise(run_mixture(1.0))
     result = run_mixture(2.0)
     over = summarise(result)
     assert over.goodput_per_s >= 0.9 * full.goodput_per_s
-    assert_honest(result)
+    assert_no_violations(result)
     refused = [item for item in result.calls if item.outcome is Outcome.REFUSED]
     assert len(refused) > 100
     at_once = [item for item in refused if item.waited_ms == 0.0]
@@ -178,11 +177,11 @@
     assert over.goodput_per_s > 1.5 * baseline.goodput_per_s
 
 
-def test_zone_loss_is_recovered_from_without_a_storm() -> None:
-    """A third of VMs and engines dies at once and comes back after ten seconds.
+def test_zone_loss_recovers_without_a_retry_storm() -> None:
+    """A third of the VMs and engines is lost at once and returns after 10 s.
 
-    Callers of the dead VMs come back together, and all the attempts that broke are
-    made again on what is left.
+    The callers of the lost VMs resend together, and all broken attempts are retried
+    on the remaining upstreams.
     """
     shape = FleetShape(n_vms=3, n_engines=6, n_services=3)
     mixture = Mixture(
@@ -200,4 +199,4 @@
     assert recovery.recovered_ms is not None
     assert recovery.recovered_ms <= 10_000.0
     assert recovery.peak_per_s < 1.5 * recovery.usual_per_s
-    assert_honest(result)
+    assert_no_violations(result)
--- a/tests/bench/test_suite.py
+++ b/tests/bench/test_suite.py
@@ -1,4 +1,4 @@
-"""The report of ``make bench`` in small."""
+"""Tests of the report of ``make bench``, on small runs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 SMALL = FleetShape(n_vms=3, n_engines=4, n_services=1)
 
 
-def test_mixture_has_the_users_lengths() -> None:
+def test_mixture_follows_the_length_distribution() -> None:
     calls = Mixture(20.0, 500_000.0, plain_per_second=1.0).draw_calls()
     lengths = [call.n_prompt_tokens for call in calls if call.model]
     over = sum(length > 100_000 for length in lengths) / len(lengths)
@@ -27,8 +27,11 @@
     assert 500_000 < max(lengths) <= 1_000_000
 
 
-def test_mixture_at_fills_the_share_of_the_engines_asked_for() -> None:
-    """A mean over few drawn lengths would make '80 %' a matter of luck."""
+def test_mixture_at_offers_the_requested_load() -> None:
+    """Guards against a mean prefill time that is estimated from too few lengths.
+
+    The load would then differ from the requested share by chance.
+    """
     mixture = mixture_at(0.5, duration_ms=1_000_000.0)._replace(plain_per_second=0.0)
     work_ms = sum(
         c.n_prompt_tokens / 20.0 * (1 + c.n_prompt_tokens / 400_000)
@@ -37,8 +40,8 @@
     assert work_ms / (14 * 1_000_000.0) == pytest.approx(0.5, rel=0.1)
 
 
-def test_report_counts_unanswered_calls_with_their_deadline() -> None:
-    """A policy that fails all slow calls must not look fast."""
+def test_summary_counts_unanswered_calls_with_their_deadline() -> None:
+    """A policy must not look fast because it fails all slow calls."""
     mixture = Mixture(60.0, 5_000.0, plain_per_second=1.0)
     scenario = Scenario("full", mixture.draw_calls(), SMALL)
     summary = summarise(run_scenario(scenario, BASELINE_LEAST_REPORTED))
--- a/tests/bench/test_upstream_faults.py
+++ b/tests/bench/test_upstream_faults.py
@@ -1,4 +1,4 @@
-"""Upstream faults in the bench, judged by what callers receive."""
+"""Simulated upstream faults; tests judge what callers receive."""
 
 from __future__ import annotations
 
@@ -44,24 +44,27 @@
     return Counter(call.outcome for call in result.calls)
 
 
-def check_honest(result: RunResult) -> None:
-    """Check what holds in every scenario."""
+def assert_no_violations(result: RunResult) -> None:
+    """Check the invariants of every scenario.
+
+    No call is lost, falsely refused or run twice, and no engine memory leaks.
+    """
     assert count_outcomes(result)[Outcome.LOST] == 0
     assert not any(call.is_false_refusal for call in result.calls)
     assert not any(call.is_doubled for call in result.calls)
     assert result.n_kv_tokens_left == 0
 
 
-def test_dead_zone_does_not_double_the_load() -> None:
-    """One of three zones dies under load, and all that ran there is tried again.
+def test_zone_loss_does_not_cause_a_retry_storm() -> None:
+    """One of three zones is lost under load, and everything that ran there is retried.
 
-    Tried without bound while the rest carries the zone's share, it would double the
-    work of the survivors and outlive its cause.
+    Unbounded retries, on upstreams that already carry the zone's share, would double
+    their work and keep them overloaded after the zone is back.
     """
     calls = make_calls(400, 30.0)
     faults = (Fault(FaultKind.ZONE_LOSS, 4_000.0, "zone-c", until_ms=9_000.0),)
     result = run_scenario(Scenario("zone", calls, SHAPE, faults))
-    check_honest(result)
+    assert_no_violations(result)
     n_executions = sum(call.n_executions for call in result.calls)
     assert n_executions <= 1.2 * len(calls)
     survivors = [c for c in result.calls if c.outcome is not Outcome.CUT_OFF]
@@ -71,40 +74,43 @@
     assert max(c.ttft_ms or 0.0 for c in late) < 2_000
 
 
-def test_slow_engine_does_not_set_the_tail() -> None:
-    """One engine of six runs at a tenth of its speed and reports nothing unusual."""
+def test_slow_engine_does_not_set_the_tail_latency() -> None:
+    """One of six engines runs at a tenth of its speed; its load reports look normal."""
     calls = make_calls(600, 25.0)
     faults = (Fault(FaultKind.SLOW, 1_000.0, "engine-0", factor=10.0),)
     result = run_scenario(Scenario("slow", calls, SHAPE, faults))
-    check_honest(result)
+    assert_no_violations(result)
     assert count_outcomes(result)[Outcome.ANSWERED] == len(calls)
     late = [c for c in result.calls if c.call.at_ms > 5_000]
     n_slow = sum(c.upstreams[0] == "engine-0" for c in late)
     assert n_slow < len(late) / 6 / 3
 
 
-def test_silent_connections_cost_one_idle_bound_each() -> None:
-    """Something on the path forgets every open flow to one engine.
+def test_silent_connections_cost_at_most_one_idle_timeout() -> None:
+    """A device on the network path drops the state of all connections to one engine.
 
-    New connections to it work; it must not be taken for dead, and no caller may
-    wait for longer than one idle bound and a second prefill.
+    New connections work, so the engine must not be treated as down. No caller may wait
+    longer than one idle timeout and a second prefill.
     """
     calls = make_calls(400, 25.0)
     faults = (Fault(FaultKind.SILENT, 2_000.0, "engine-1"),)
     result = run_scenario(Scenario("silent", calls, SHAPE, faults))
-    check_honest(result)
+    assert_no_violations(result)
     assert count_outcomes(result)[Outcome.ANSWERED] == len(calls)
-    assert max(c.total_ms or 0.0 for c in result.calls) < SHAPE.idle_ms + 3_000
+    assert max(c.total_ms or 0.0 for c in result.calls) < SHAPE.idle_timeout_ms + 3_000
     after = Counter(c.upstreams[0] for c in result.calls if c.call.at_ms > 6_000)
     assert after["engine-1"] >= 0.5 * sum(after.values()) / 6
 
 
 @pytest.mark.parametrize(("n_copies", "n_killed"), [(1, 3), (7, 9)])
-def test_poison_kills_no_more_engines_than_stated(n_copies: int, n_killed: int) -> None:
-    """A prompt crashes each engine that runs it; its caller sends it everywhere.
-
-    Sent through one VM after the other, or through seven VMs in the same instant:
-    stated are ``n_crashes - 1`` and one for each copy that ran when the news came.
+def test_poison_prompt_crashes_no_more_engines_than_guaranteed(
+    n_copies: int, n_killed: int
+) -> None:
+    """A prompt crashes every engine that runs it, and its caller keeps resending it.
+
+    It is sent through one VM at a time or through seven VMs at once. The guaranteed
+    limit is ``n_crashes - 1`` engines, plus one per copy that was running when the
+    update about the crashes arrived.
     """
     shape = FleetShape(n_vms=7, n_engines=14)
     good = make_calls(400, 50.0)
@@ -136,24 +142,24 @@
         assert outcomes[call.call_id].ran == "no"
 
 
-def test_unrelated_crash_does_not_poison_a_request() -> None:
-    """An engine dies for its own reasons, with thirty requests on board.
+def test_unrelated_crash_marks_no_request_as_poison() -> None:
+    """An engine crashes while it runs about thirty requests, none of which caused it.
 
-    All of them are run again, apart, and answered; none is refused.
+    All of them are retried on separate engines and answered; none is refused.
     """
     calls = make_calls(300, 15.0)
     faults = (Fault(FaultKind.CRASH, 2_000.0, "engine-2", until_ms=4_000.0),)
     result = run_scenario(Scenario("crash", calls, SHAPE, faults))
-    check_honest(result)
+    assert_no_violations(result)
     assert count_outcomes(result)[Outcome.ANSWERED] == len(calls)
 
 
-def test_wave_of_crashes_leaves_no_request_refused() -> None:
-    """Every engine dies in turn, twice, 0.7 s apart, and is back after two seconds.
+def test_wave_of_crashes_does_not_mark_requests_as_poison() -> None:
+    """Every engine crashes twice, 0.7 s apart in turn, and restarts after two seconds.
 
-    Requests that are tried again meet crash after crash and caused none of them. On
-    board of the wave's first three crashes, one looks as if it had; once the wave
-    shows itself, it must be let in again.
+    Retried requests run on one crashing engine after the other but caused no crash. A
+    request that ran on the first three looks like the cause; once the wave is
+    recognised, it must be admitted again.
     """
     calls = make_calls(500, 30.0)
     faults = tuple(
@@ -174,7 +180,7 @@
         for call in calls
     )
     result = run_scenario(Scenario("wave", calls + again, SHAPE, faults))
-    check_honest(result)
+    assert_no_violations(result)
     n_refused = sum(call.reason == "poison_suspected" for call in result.calls)
     assert n_refused <= len(calls) / 100
     late = [c for c in result.calls if c.call.at_ms > 15_500]
@@ -182,7 +188,10 @@
 
 
 def test_two_huge_prompts_from_two_vms_both_finish() -> None:
-    """Each needs three of four engines, at once; short requests keep coming."""
+    """Each prompt needs three of four engines at the same time, beside short requests.
+
+    If each held a part of the engines and waited for the rest, neither would finish.
+    """
     shape = FleetShape(
         n_vms=2, n_engines=4, n_services=0, engine=EngineProfile(kv_tokens=100_000)
     )
@@ -201,16 +210,15 @@
     )
     short = make_calls(300, 100.0, n_prompt_tokens=1_000)
     result = run_scenario(Scenario("huge", huge + short, shape))
-    check_honest(result)
+    assert_no_violations(result)
     assert count_outcomes(result)[Outcome.ANSWERED] == len(result.calls)
 
 
-def test_long_requests_do_not_starve_among_short_ones() -> None:
-    """Short requests of seven VMs keep every engine's memory full; a long one needs
-    half of it.
+def test_long_requests_do_not_starve_behind_short_ones() -> None:
+    """A long request needs half of an engine's memory, which short ones keep full.
 
-    It fits no gap that they leave, for another VM fills each at once. After its wait
-    it gets a reservation, and the engine lets the gaps add up.
+    It never fits, since one of the seven VMs fills each free gap at once. After a wait
+    it gets a reservation, for which the engine collects freed memory.
     """
     engine = EngineProfile(kv_tokens=20_000, max_batch=64)
     shape = FleetShape(n_vms=7, n_engines=2, n_services=0, engine=engine)
@@ -237,7 +245,7 @@
     assert max(c.ttft_ms or 0.0 for c in answers) < 30_000
 
 
-def test_leaving_upstreams_get_nothing_new() -> None:
+def test_leaving_upstreams_get_no_new_requests() -> None:
     calls = make_calls(400, 25.0)
     bookings = tuple(
         Call(f"b{index}", index * 50.0, "gym", service=SERVICE) for index in range(200)
@@ -247,7 +255,7 @@
         Fault(FaultKind.LEAVING, 2_000.0, "service-0"),
     )
     result = run_scenario(Scenario("leaving", calls + bookings, SHAPE, faults))
-    check_honest(result)
+    assert_no_violations(result)
     assert count_outcomes(result)[Outcome.ANSWERED] == len(result.calls)
     seen_ms = 2_000.0 + SHAPE.report_lag_ms + SHAPE.report_interval_ms
     late = [c for c in result.calls if c.call.at_ms > seen_ms]
--- a/tests/decisions/health/test_pace.py
+++ b/tests/decisions/health/test_pace.py
@@ -99,4 +99,4 @@
     run = summarise_entry(fleet.name, "entry", result)
     assert run.kinds["history"].n_in_time == run.kinds["history"].n == 34
     assert run.kinds["plan"].n_in_time >= 0.96 * run.kinds["plan"].n
-    assert run.n_dishonest == 0
+    assert run.n_violations == 0
