--- a/src/quetzaldeck/bench/attempt_launcher.py
+++ b/src/quetzaldeck/bench/attempt_launcher.py
@@ -89,13 +89,13 @@
         dispatch = attempt.dispatch
         names = (*reversed(dispatch.upstreams), *dispatch.helpers)
         engines = [self._upstreams[name] for name in names]
-        readers = [engine for engine in engines if isinstance(engine, PassEngine)]
-        if len(readers) <= 1:
+        pass_engines = [engine for engine in engines if isinstance(engine, PassEngine)]
+        if len(pass_engines) <= 1:
             return None
         plan = dispatch.plan
         return SplitPrefill(
             attempt,
-            readers,
+            pass_engines,
             self._events,
             latency_ms=self._latency_ms,
             n_reserved_tokens=0 if plan is None else sum(plan.reserved_tokens),
--- a/src/quetzaldeck/bench/bench_vm.py
+++ b/src/quetzaldeck/bench/bench_vm.py
@@ -142,7 +142,7 @@
         may_have_run: bool = True,
         upstream: str = "",
     ) -> None:
-        """Let the end of a connection travel to the VM."""
+        """Deliver the failure of an attempt to the VM after the network latency."""
         self._events.after(
             self._latency_ms,
             lambda: self._handle_fault(
--- a/src/quetzaldeck/bench/entry_mixture.py
+++ b/src/quetzaldeck/bench/entry_mixture.py
@@ -105,7 +105,7 @@
     ) -> list[float]:
         """Draw arrivals at the peak rate and thin them to the rate of each moment.
 
-        Thinning handles overlapping bursts without treating each period separately.
+        Thinning makes it unnecessary to draw the arrivals of each burst separately.
         """
         bursts = [burst for burst in self.bursts if burst.kind == kind.name]
         highest = max([1.0, *(burst.factor for burst in bursts)])
--- a/src/quetzaldeck/bench/split_prefill.py
+++ b/src/quetzaldeck/bench/split_prefill.py
@@ -17,7 +17,7 @@
     from quetzaldeck.bench.pass_engine import PassEngine
 
 STALL_MS = 1_500.0
-"""Time until the loss of an engine is detected and the work that needs it fails."""
+"""How long work that needs a crashed engine stalls before it is abandoned."""
 
 
 class SplitPrefill:
--- a/tests/bench/test_entry_loads.py
+++ b/tests/bench/test_entry_loads.py
@@ -106,9 +106,7 @@
     assert run.share_in_time > 0.97
 
 
-def test_prompt_larger_than_one_engines_memory_is_answered_and_memory_released() -> (
-    None
-):
+def test_prompt_larger_than_one_engine_is_answered_and_releases_memory() -> None:
     call = Call(
         "huge",
         0.0,
