--- a/src/quetzaldeck/bench/pass_engine.py
+++ b/src/quetzaldeck/bench/pass_engine.py
@@ -91,7 +91,7 @@
         """Emit the first event and start decoding: all parts are prefilled."""
         if self._attempts.get(attempt.attempt_id) is not attempt:
             return
-        is_last = self._model.note_parts_read(attempt.attempt_id)
+        is_last = self._model.note_parts_prefilled(attempt.attempt_id)
         self._emit(attempt, is_last=is_last)
         self._start_pass()
 
@@ -107,8 +107,8 @@
         call = attempt.call
         work = PassWork(
             attempt.attempt_id,
-            n_read_tokens=call.n_prompt_tokens,
-            read_ms=self._figures.prefill_ms(call.n_prompt_tokens),
+            n_prefill_tokens=call.n_prompt_tokens,
+            prefill_ms=self._figures.prefill_ms(call.n_prompt_tokens),
             n_events=self.n_remaining_events(attempt),
             n_context_tokens=call.n_prompt_tokens,
             n_kv_tokens=call.n_prompt_tokens + call.n_answer_tokens,
@@ -156,12 +156,12 @@
         if self.is_down or incarnation != self.incarnation:
             return
         self._is_pass_running = False
-        for work_id in result.read:
+        for work_id in result.prefilled:
             split = self._parts.pop(work_id, None)
             if split is not None:
                 split.note_part_done()
         finished = set(result.finished)
-        for attempt_id in result.written:
+        for attempt_id in result.emitted:
             attempt = self._attempts.get(attempt_id)
             if attempt is not None:
                 self._emit(attempt, is_last=attempt_id in finished)
--- a/src/quetzaldeck/entry/peers/task.py
+++ b/src/quetzaldeck/entry/peers/task.py
@@ -111,7 +111,7 @@
             wait_ms = min(wait_ms, max_send_delay_ms(len(self._table)))
         try:
             async with asyncio.timeout(wait_ms / 1_000):
-                await self._state.dispatch.wait_for_load_news()
+                await self._state.dispatch.wait_for_load_change()
         except TimeoutError:
             return
 
@@ -175,15 +175,15 @@
             loads = tuple(
                 (load.upstream, read_load_update(load)) for load in update.loads
             )
-            dispatch.send_news(ObservePeerLoad(update.vm, loads))
+            dispatch.send_deferrable(ObservePeerLoad(update.vm, loads))
         if update.crashes:
             crashes = tuple(
                 CrashSighting(c.fingerprint, c.upstream, c.incarnation, c.age_ms)
                 for c in update.crashes
             )
-            dispatch.send_news(ObserveCrashes(crashes))
+            dispatch.send_deferrable(ObserveCrashes(crashes))
         if update.paces:
-            dispatch.send_news(ObservePaces(tuple(update.paces.items())))
+            dispatch.send_deferrable(ObservePaces(tuple(update.paces.items())))
 
     def _greet(self, now_ms: float) -> None:
         expired = self._table.expire(now_ms)
@@ -213,18 +213,18 @@
         second later. In a fleet with relays, it receives the loads on joining a relay.
         """
         self._send(self._build_greeting(now_ms), (address,))
-        own_loads = self._state.dispatch.list_shares()
+        own_loads = self._state.dispatch.list_own_loads()
         current = (entry for entry in own_loads if entry[1].says_anything)
         self._node.send_current_loads(
             address, [build_load_update(*entry) for entry in current]
         )
 
     def _announce_changes(self, now_ms: float) -> None:
-        own_loads = self._state.dispatch.list_shares()
+        own_loads = self._state.dispatch.list_own_loads()
         changed = self._changes.select_due(own_loads, now_ms, len(self._table))
         crashes = [
             CrashUpdate(*sighting)
-            for sightings in self._state.dispatch.take_crash_news()
+            for sightings in self._state.dispatch.pop_crash_sightings()
             for sighting in sightings
         ]
         if changed or crashes:
