--- a/src/quetzaldeck/bench/spread_read.py
+++ b/src/quetzaldeck/bench/split_prefill.py
@@ -1,4 +1,4 @@
-"""A prompt that several engines read in even parts, and one of them answers."""
+"""Prefill of one prompt in equal parts on several engines, one of which answers."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from quetzaldeck.bench.pass_engine import PassEngine
 
 STALL_MS = 1_500.0
-"""Time for which work that needs a dead engine stands still before it is given up."""
+"""How long work that needs a crashed engine stalls before it is abandoned."""
 
 
-class SpreadRead:
-    """The parts of one prompt.
+class SplitPrefill:
+    """State of the parts of one prompt.
 
-    :param engines: those that read a part; the first answers
-    :param latency_ms: one way between two engines
-    :param n_reserved_tokens: memory for the prompt that is set aside on engines
+    :param engines: engines that prefill a part each; the first one answers
+    :param latency_ms: one-way latency between two engines
+    :param n_reserved_tokens: memory for the prompt that is reserved on the engines
     """
 
     def __init__(
@@ -42,57 +42,57 @@
         self._events = events
         self._latency_ms = latency_ms
         self._n_reserved_tokens = n_reserved_tokens
-        self._n_unread = len(engines)
-        self._is_over = False
+        self._n_pending_parts = len(engines)
+        self._is_finished = False
 
     def begin(self) -> None:
-        """Give each engine its part; called when the request has reached the first."""
-        busy = [helper for helper in self._engines[1:] if not helper.may_help]
+        """Send each engine its part; called when the request arrives at the first."""
+        busy = [helper for helper in self._engines[1:] if not helper.can_help]
         if busy:
-            self._give_up(busy[0])
+            self._fail(busy[0])
             return
-        self._engines[0].read_part(self, self._build_own_part())
+        self._engines[0].prefill_part(self, self._build_own_part())
         for index, helper in enumerate(self._engines[1:], start=1):
             part = self._build_part(self._part_id(index), helper)
-            self._events.after(self._latency_ms, partial(self._hand_over, helper, part))
-
-    def note_read(self) -> None:
-        """Count a part that is read; the first event follows the last one."""
-        self._n_unread -= 1
-        if not self._n_unread and not self._is_over:
-            self._is_over = True
-            self._engines[0].answer_spread(self._attempt)
-
-    def note_broken(self, engine: PassEngine) -> None:
-        """Take the loss of an engine, which shows after a while."""
-        if not self._is_over and engine is not self._engines[0]:
-            self._events.after(STALL_MS, lambda: self._give_up(engine))
-
-    def drop(self) -> None:
-        """Leave the parts unread: nobody waits for the answer any more."""
-        self._is_over = True
+            self._events.after(self._latency_ms, partial(self._send_part, helper, part))
+
+    def note_part_done(self) -> None:
+        """Count a completed part; after the last one, decoding starts."""
+        self._n_pending_parts -= 1
+        if not self._n_pending_parts and not self._is_finished:
+            self._is_finished = True
+            self._engines[0].start_decoding(self._attempt)
+
+    def note_engine_lost(self, engine: PassEngine) -> None:
+        """Fail the attempt ``STALL_MS`` after the loss of a helper."""
+        if not self._is_finished and engine is not self._engines[0]:
+            self._events.after(STALL_MS, lambda: self._fail(engine))
+
+    def cancel(self) -> None:
+        """Cancel the parts of all helpers: the answer is no longer needed."""
+        self._is_finished = True
         for index, helper in enumerate(self._engines[1:], start=1):
-            drop = partial(helper.drop_part, self._part_id(index))
-            self._events.after(self._latency_ms, drop)
+            cancel = partial(helper.cancel_part, self._part_id(index))
+            self._events.after(self._latency_ms, cancel)
 
-    def _hand_over(self, helper: PassEngine, part: PassWork) -> None:
-        if self._is_over:
+    def _send_part(self, helper: PassEngine, part: PassWork) -> None:
+        if self._is_finished:
             return
         if helper.is_down:
-            self.note_broken(helper)
+            self.note_engine_lost(helper)
         else:
-            helper.read_part(self, part)
+            helper.prefill_part(self, part)
 
-    def _give_up(self, helper: PassEngine) -> None:
-        """Answer that the request has not run, and which helper is to blame."""
-        if self._is_over:
+    def _fail(self, helper: PassEngine) -> None:
+        """Fail the attempt as not run and name the helper that caused the failure."""
+        if self._is_finished:
             return
-        self.drop()
+        self.cancel()
         self._engines[0].cancel(self._attempt.attempt_id)
         is_member = helper.spec.name in self._attempt.dispatch.upstreams
         fault = AttemptFault.OVERLOADED if is_member else AttemptFault.HELPER
-        self._attempt.vm.fail(
-            self._attempt, fault, has_reached=False, upstream=helper.spec.name
+        self._attempt.vm.fail_attempt(
+            self._attempt, fault, may_have_run=False, upstream=helper.spec.name
         )
 
     def _build_part(self, work_id: str, engine: PassEngine) -> PassWork:
@@ -109,18 +109,19 @@
     def _build_own_part(self) -> PassWork:
         """:returns: the part of the engine that answers
 
-        Each of its steps looks at the context of the largest part, for the others look
-        at theirs meanwhile. What is not set aside elsewhere it holds itself.
+        Its decode steps cost as much as the context of the largest part, since the
+        other engines process theirs at the same time. It holds the KV cache that is not
+        reserved elsewhere.
         """
         call = self._attempt.call
-        first = self._engines[0]
-        part = self._build_part(self._attempt.attempt_id, first)
+        answering_engine = self._engines[0]
+        part = self._build_part(self._attempt.attempt_id, answering_engine)
         n_kv_tokens = call.n_prompt_tokens + call.n_answer_tokens
         return PassWork(
             part.work_id,
             n_prefill_tokens=part.n_prefill_tokens,
             prefill_ms=part.prefill_ms,
-            n_events=first.n_events(self._attempt),
+            n_events=answering_engine.n_remaining_events(self._attempt),
             n_context_tokens=part.n_prefill_tokens,
             n_kv_tokens=max(0, n_kv_tokens - self._n_reserved_tokens),
             priority=part.priority,
@@ -131,4 +132,4 @@
         return f"{self._attempt.attempt_id}.part{index}"
 
 
-__all__ = ("STALL_MS", "SpreadRead")
+__all__ = ("STALL_MS", "SplitPrefill")
--- a/src/quetzaldeck/bench/spread_group.py
+++ b/src/quetzaldeck/bench/split_prefill_group.py
@@ -1,4 +1,4 @@
-"""A prompt that several engines hold in memory set aside, and read in parts."""
+"""A group that reserves memory for a prompt and then prefills it in parallel parts."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     from quetzaldeck.bench.model_engine import ModelEngine
 
 
-class SpreadGroup(BenchGroup):
-    """Does for one attempt what an entry VM does with memory on engines."""
+class SplitPrefillGroup(BenchGroup):
+    """Simulates an entry VM's memory reservation for one attempt."""
 
     def _run(self) -> None:
-        if self._is_over:
+        if self._is_finished:
             return
         engine: ModelEngine = self._engines[-1]
-        engine.arrive(self._attempt)
+        engine.accept(self._attempt)
 
 
-__all__ = ("SpreadGroup",)
+__all__ = ("SplitPrefillGroup",)
