--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""The in-process fleet serves calls through every VM."""
+"""The in-process fleet answers calls through every VM."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 
 
-async def run_mixture(n_vms: int) -> LoadReport:
+async def run_mixed_load(n_vms: int) -> LoadReport:
     async with Fleet(FleetSettings(n_vms=n_vms)) as fleet:
         services = tuple(service.address for service in fleet.services.values())
         load = LoadSettings(
@@ -34,6 +34,6 @@
 
 
 def test_fleet_answers_every_call() -> None:
-    report = uvloop.run(run_mixture(n_vms=3))
+    report = uvloop.run(run_mixed_load(n_vms=3))
     assert report.is_clean
     assert set(report.verdicts) == {"answered"}
--- a/tests/fuzz/test_agents.py
+++ b/tests/fuzz/test_agents.py
@@ -1,4 +1,4 @@
-"""Bytes of any kind to an agent: they change nothing and break nothing."""
+"""Arbitrary requests to an agent are refused and do not change its state."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class RunningAgents:
-    """A fleet of two VMs, of whose agents one is sent bytes."""
+    """A fleet of two VMs; the requests are sent to the agent of the first."""
 
     def __init__(self) -> None:
         self._runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
@@ -48,16 +48,16 @@
 
     @property
     def view(self) -> MembershipView:
-        """:returns: what the agent believes about the VMs"""
+        """:returns: the agent's membership view"""
         return self._agent.session.view
 
     @property
     def bundle_version(self) -> int:
-        """:returns: version in force on the agent"""
+        """:returns: version of the bundle in force on the agent"""
         return self._agent.session.store.version
 
     def post(self, path: str, body: bytes, headers: dict[str, str]) -> int:
-        """:returns: the status of the agent's answer"""
+        """:returns: the status of the agent's response"""
 
         async def send() -> int:
             async with (
@@ -86,7 +86,7 @@
 
 
 @given(kind=KINDS, seal=SEALS, body=st.binary(max_size=200))
-def test_peer_messages_that_are_not_authentic_change_nothing(
+def test_peer_messages_without_a_valid_seal_change_nothing(
     agents: RunningAgents, kind: str, seal: str, body: bytes
 ) -> None:
     status = agents.post(f"/v1/peer/{kind}", body, {SEAL_HEADER: seal})
@@ -96,5 +96,5 @@
 
 
 @given(body=st.binary(max_size=200))
-def test_exchange_refuses_what_is_no_report(agents: RunningAgents, body: bytes) -> None:
+def test_exchange_refuses_arbitrary_bodies(agents: RunningAgents, body: bytes) -> None:
     assert agents.post("/v1/exchange", body, {}) == 400
--- a/tests/fuzz/test_callers.py
+++ b/tests/fuzz/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' bytes of any kind: an answer or a refusal, never an internal error."""
+"""Arbitrary requests to a gateway: an answer or a refusal, never an internal error."""
 
 from __future__ import annotations
 
@@ -86,13 +86,13 @@
 
 
 @given(data=st.binary(max_size=200), is_chat=st.booleans())
-def test_parse_call_takes_or_refuses_any_bytes(data: bytes, *, is_chat: bool) -> None:
+def test_parse_call_accepts_or_refuses_any_bytes(data: bytes, *, is_chat: bool) -> None:
     with allow_refusal():
         parse_call(data, BOUNDS, is_chat=is_chat)
 
 
 @given(body=st.dictionaries(FIELDS, VALUES), is_chat=st.booleans())
-def test_parse_call_takes_or_refuses_any_fields(
+def test_parse_call_accepts_or_refuses_any_fields(
     body: dict[str, Any], *, is_chat: bool
 ) -> None:
     try:
@@ -107,13 +107,13 @@
 
 
 @pytest.mark.parametrize("data", [b"[" * 100_000, b'{"model":' * 50_000, b'"\\ud800"'])
-def test_parse_call_survives_nasty_json(data: bytes) -> None:
+def test_parse_call_accepts_or_refuses_pathological_json(data: bytes) -> None:
     with allow_refusal():
         parse_call(data, BOUNDS, is_chat=False)
 
 
 @given(value=st.one_of(HEADER_VALUES, st.from_regex(r"[0-9]{1,5000}", fullmatch=True)))
-def test_headers_are_read_or_refused(value: str) -> None:
+def test_headers_are_accepted_or_refused(value: str) -> None:
     with allow_refusal():
         assert read_deadline_ms({DEADLINE_HEADER: value}, 1) >= 1
     with allow_refusal():
@@ -123,13 +123,13 @@
 
 
 @given(key=st.text(st.characters(max_codepoint=0x10FFFF), max_size=50))
-def test_hash_key_takes_what_a_header_may_hold(key: str) -> None:
+def test_hash_key_accepts_any_header_value(key: str) -> None:
     as_header = key.encode("utf-8", "replace").decode("utf-8", "surrogateescape")
     assert len(hash_key(as_header)) == 64
 
 
 @given(rest=st.text(max_size=20))
-def test_may_repeat_takes_any_path(rest: str) -> None:
+def test_may_repeat_accepts_any_path(rest: str) -> None:
     assert not may_repeat(SERVICE, "POST", "/bookings" + rest.replace("..", ""))
     may_repeat(SERVICE, "POST", rest)
 
@@ -189,7 +189,7 @@
 
 
 async def send(address: str, data: bytes) -> bytes:
-    """Send bytes and end the sending side; read until the gateway ends its own."""
+    """Send bytes and half-close the connection; read until the gateway closes it."""
     url = urlsplit(address)
     reader, writer = await asyncio.open_connection(url.hostname, url.port)
     try:
@@ -204,7 +204,7 @@
 
 
 class RunningGateway:
-    """One gateway for all examples of a test: starting one takes a second."""
+    """One gateway for all examples of a test, because starting one takes a second."""
 
     def __init__(self) -> None:
         self._runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
@@ -216,7 +216,10 @@
         return await fleet.__aenter__()
 
     def send(self, data: bytes) -> bytes:
-        """:returns: everything that the gateway answered within a bound"""
+        """:returns: everything that the gateway sent until it closed the connection
+
+        :raises TimeoutError: if the gateway keeps the connection open
+        """
 
         async def bounded() -> bytes:
             async with asyncio.timeout(20):
@@ -225,7 +228,7 @@
         return self._runner.run(bounded())
 
     def count_internal_errors(self) -> float:
-        """:returns: how often the gateway blamed itself"""
+        """:returns: number of failures with the reason ``internal_error``"""
         gateway = next(iter(self._fleet.vms.values())).gateway
         registry = gateway.session.metrics.registry
         return sum(
--- a/tests/fuzz/test_documents.py
+++ b/tests/fuzz/test_documents.py
@@ -1,4 +1,4 @@
-"""Settings and bundles of any content: findings, never another error."""
+"""Settings and bundles with arbitrary content: findings, never another error."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
         "vm: " + "9" * 5_000,
     ],
 )
-def test_load_text_survives_nasty_yaml(text: str) -> None:
+def test_load_text_refuses_pathological_yaml(text: str) -> None:
     with pytest.raises(FindingsError):
         load_text(text, GatewaySettings, "fuzz")
 
@@ -121,7 +121,9 @@
 
 
 @given(data=st.data())
-def test_decode_bundle_survives_one_changed_value(data: st.DataObject) -> None:
+def test_decode_bundle_accepts_or_refuses_one_changed_value(
+    data: st.DataObject,
+) -> None:
     plain = to_plain(VALID)
     part = data.draw(st.sampled_from(sorted(plain)))
     if isinstance(plain[part], list) and data.draw(st.booleans()):
@@ -139,7 +141,7 @@
 
 
 @pytest.mark.parametrize("payload", [b"[" * 100_000, b'{"a":' * 50_000, b"\xff"])
-def test_decode_bundle_survives_nasty_json(payload: bytes) -> None:
+def test_decode_bundle_refuses_pathological_json(payload: bytes) -> None:
     with pytest.raises(FindingsError):
         decode_bundle(payload)
 
@@ -155,7 +157,7 @@
     signature=st.text(max_size=100),
     payload=st.text(max_size=200),
 )
-def test_offer_takes_nothing_that_is_not_signed(
+def test_offer_refuses_envelopes_without_a_valid_signature(
     key_id: str, signature: str, payload: str
 ) -> None:
     store = BundleStore({"ops": PUBLIC_KEY})
--- a/tests/fuzz/test_entry.py
+++ b/tests/fuzz/test_entry.py
@@ -1,7 +1,7 @@
-"""Callers' bytes of any kind before an entry VM: an answer or a refusal, never a fault.
+"""Arbitrary requests to an entry VM: an answer or a refusal, never an internal error.
 
-A caller that sends nonsense must not see an error inside the VM, must not reach a
-replica with another's name or with a key, and must not keep the next caller from being
+An invalid request must not cause an internal error, must not reach a replica under
+another customer's name or with an API key, and must not keep later callers from being
 served.
 """
 
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 METHODS = st.sampled_from([b"GET", b"POST", b"PUT", b"HEAD", b"OPTIONS", b"X"])
 PATHS = st.one_of(
     st.sampled_from([PLAN_PATH, BOOK_PATH, LOOK_PATH, "/look/%2e%2e/x?y=%zz", "*"]).map(
@@ -93,7 +93,7 @@
 
 
 class RunningSite:
-    """One site for all examples of a test: starting one takes a second."""
+    """One site for all examples of a test, because starting one takes a second."""
 
     def __init__(self) -> None:
         self._runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
@@ -104,12 +104,16 @@
         return await Site(engines=(answer_stream,)).__aenter__()
 
     def send(self, data: bytes) -> bytes:
-        """:returns: what the VM answered; it has to end within a bound"""
+        """:returns: everything that the VM sent until it closed the connection
+
+        :raises TimeoutError: if the VM keeps the connection open for longer than
+            ``TIMEOUT_S``
+        """
         return self._runner.run(self._send(data))
 
     async def _send(self, data: bytes) -> bytes:
         host, port = self.site.entry_address.split(":")
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
             try:
                 with suppress(ConnectionError):
@@ -121,11 +125,11 @@
                 writer.transport.abort()
 
     def call(self) -> int:
-        """:returns: status of an ordinary call"""
+        """:returns: status of a valid call"""
         return self._runner.run(self.site.call(LOOK_PATH)).status
 
     def check(self) -> None:
-        """Check what must hold whatever was sent."""
+        """Check the invariants that must hold after any request."""
         metrics = self.site.entry.session.metrics.registry
         for ran in ("no", "unknown", "yes"):
             labels = {"reason": "internal_error", "ran": ran}
@@ -176,7 +180,7 @@
 
 
 @given(value=HEADER_VALUES)
-def test_numbers_of_callers_are_read_or_refused(value: str) -> None:
+def test_numeric_headers_of_callers_are_accepted_or_refused(value: str) -> None:
     for name in ("Deadline-Ms", "Token-Counts", "Length-Hint"):
         headers = {"Quetzaldeck-Token-Counts": "5,5", f"Quetzaldeck-{name}": value}
         fault = ""
@@ -192,7 +196,7 @@
 
 
 @given(value=HEADER_VALUES)
-def test_any_answer_of_a_replica_is_read(value: str) -> None:
+def test_any_load_header_of_a_replica_is_read_or_ignored(value: str) -> None:
     load = read_response_head(200, {"Quetzaldeck-Instance-Load": value}).load
     if load is not None:
         assert min(load) >= 0
--- a/tests/fuzz/test_upstreams.py
+++ b/tests/fuzz/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams' bytes of any kind: a whole answer or an upstream error."""
+"""Arbitrary responses of upstreams: a complete answer or an upstream error."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 }
 
 
-def cut(start: int, end: int, attempt_id: str = "a.1") -> Chunk:
+def make_chunk(start: int, end: int, attempt_id: str = "a.1") -> Chunk:
     is_last = end >= len(TEXT)
     return Chunk(attempt_id, start, TEXT[start:end], finish_reason="stop" * is_last)
 
@@ -58,27 +58,27 @@
 
 
 @given(pieces=st.lists(PIECES, max_size=80))
-def test_answer_gives_a_beginning_of_the_text_whatever_comes(
+def test_answer_is_a_prefix_of_the_text_for_any_chunks(
     pieces: list[Chunk],
 ) -> None:
     answer = Answer()
     answer.begin_attempt("a.1")
-    given_out = ""
+    delivered = ""
     for piece in pieces:
         text = answer.accept(piece)
         if not isinstance(text, DropReason):
-            given_out += text
+            delivered += text
         if answer.finish_reason is not None:
             break
-    assert given_out == answer.text
-    assert TEXT.startswith(given_out)
-    assert answer.offset == len(given_out)
+    assert delivered == answer.text
+    assert TEXT.startswith(delivered)
+    assert answer.offset == len(delivered)
     if answer.finish_reason is not None:
-        assert given_out == TEXT
+        assert delivered == TEXT
 
 
 @given(order=st.permutations(range(len(TEXT))))
-def test_answer_is_whole_in_any_order(order: list[int]) -> None:
+def test_answer_is_complete_for_chunks_in_any_order(order: list[int]) -> None:
     answer = Answer()
     answer.begin_attempt("a.1")
     assert len(TEXT) < MAX_BUFFERED_CHUNKS
@@ -93,13 +93,13 @@
 
 
 @given(line=st.binary(max_size=200))
-def test_decode_line_takes_any_bytes(line: bytes) -> None:
+def test_decode_line_accepts_any_bytes(line: bytes) -> None:
     data = decode_line(line)
     assert data is None or line.startswith(b"data:")
 
 
 class FakeEngine:
-    """A server that answers every request with the same bytes."""
+    """A server that answers every request with the bytes that the test has set."""
 
     def __init__(self) -> None:
         self._runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
@@ -121,7 +121,7 @@
         writer.close()
 
     def complete(self, answer: bytes) -> list[Chunk] | None:
-        """:returns: the chunks of an attempt; ``None`` after an upstream error"""
+        """:returns: chunks received for ``answer``; ``None`` on an upstream error"""
         self._answer = answer
 
         async def attempt() -> list[Chunk] | None:
@@ -168,7 +168,7 @@
 
 
 @given(events=EVENTS)
-def test_complete_gives_chunks_or_an_upstream_error(
+def test_complete_yields_chunks_or_an_upstream_error(
     fake_engine: FakeEngine, events: list[bytes]
 ) -> None:
     body = b"".join(b"data: " + event + b"\n\n" for event in events)
@@ -177,15 +177,15 @@
 
 
 @given(answer=st.binary(max_size=200))
-def test_complete_survives_what_is_not_http(
+def test_complete_raises_an_upstream_error_for_invalid_http(
     fake_engine: FakeEngine, answer: bytes
 ) -> None:
     assert fake_engine.complete(answer) is None
 
 
-def test_complete_bounds_the_length_of_a_line(fake_engine: FakeEngine) -> None:
-    """An engine goes mad and sends one event without end.
+def test_complete_limits_the_length_of_a_line(fake_engine: FakeEngine) -> None:
+    """A faulty engine sends an event of unlimited length.
 
-    Collected until it ends, it would fill the gateway's memory.
+    Without a limit, buffering the event would exhaust the gateway's memory.
     """
     assert fake_engine.complete(HEAD + b"data: " + b"x" * (4 << 20)) is None
