--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands on a fresh machine: make demo, make check.
+# On a new machine run "make demo" or "make check"; both install what they need.
 PYTHON ?= python3.11
 VENV ?= .venv
 BIN := $(VENV)/bin
@@ -9,7 +9,7 @@
 
 install: $(VENV)/.installed
 
-# Another checkout's environment, named by VENV=..., is used as it is.
+# The environment of another checkout, set by VENV=..., is used without changes.
 ifeq ($(VENV),.venv)
 $(VENV)/.installed: requirements/pinned.txt pyproject.toml
 	$(PYTHON) -m venv $(VENV)
@@ -30,47 +30,51 @@
 types: install
 	$(BIN)/mypy
 
-# Spread over some of the cores: many tests wait for timers and sockets.
+# Many tests wait for timers and sockets, so a few workers keep the run short without
+# using all cores.
 N_TEST_WORKERS ?= 4
 test: install
 	$(BIN)/python -m pytest -n $(N_TEST_WORKERS) --dist worksteal -rxX --xfail-tb
 
-# Many more inputs than make check tries, and new ones on each run; prints counts.
+# Tries many more inputs than "make check", different ones on each run; prints statistics.
 fuzz: install
 	$(BIN)/python -m pytest tests/fuzz --hypothesis-profile=fuzz --hypothesis-show-statistics
 
-# Slopes for docs/CAPACITY.md; takes about two minutes.
+# Measures the slopes given in docs/CAPACITY.md; takes about two minutes.
 capacity: install
 	$(BIN)/python -m quetzaldeck.capacity
 
-# Random histories of the claim protocol; about ten minutes.
+# Checks random histories of the claim protocol; takes about ten minutes.
 EXAMPLES ?= 20000
 soak-claims: install
 	PYTHONPATH=$(CURDIR)/src:$(CURDIR) $(BIN)/python -m tests.claims.soak $(EXAMPLES)
 
-# What an agent costs as the fleet grows; about ten minutes.
+# Measures the cost of an agent as the fleet grows; takes about ten minutes.
 capacity-agents: install
 	PYTHONPATH=$(CURDIR)/src:$(CURDIR) $(BIN)/python -m tests.support.fleet.agent_capacity
 
-# What entry VMs of one zone call and tell as the zone grows; a minute and a half.
+# Measures the store calls and the updates between the entry VMs of one zone as the zone
+# grows; takes a minute and a half.
 capacity-entries: install
 	PYTHONPATH=$(CURDIR)/src:$(CURDIR) $(BIN)/python -m tests.support.platform.sharing_cost
 
-# Cost of exchanging loads between VMs, by strategy and fleet size; takes some minutes.
+# Measures the cost of exchanging load updates between VMs, by strategy and fleet size;
+# takes a few minutes.
 capacity-telling: install
 	PYTHONPATH=$(CURDIR)/src:$(CURDIR) $(BIN)/python -m tests.entry.peers.update_cost
 
-# Fault runs on real processes: every fault alone, then pairs, for SOAK_SECONDS.
+# Injects faults into real processes for SOAK_SECONDS: each fault alone, then pairs.
 SEED ?= 1
 SOAK_SECONDS ?= 600
 soak: install
 	PYTHONPATH=$(CURDIR)/src:$(CURDIR) $(BIN)/python -m tests.soak --seed $(SEED) --seconds $(SOAK_SECONDS)
 
-# Latency, refusals in each fault and memory of claims; about two minutes.
+# Measures latency of claims, refusals during each fault and memory; takes about two
+# minutes.
 measure-claims: install
 	PYTHONPATH=$(CURDIR)/src:$(CURDIR) $(BIN)/python -m tests.claims.measure
 
-# The pages that are printed from declarations in the code.
+# Generates the pages that are derived from declarations in the code.
 docs: install
 	$(BIN)/python -m quetzaldeck.cli.operator settings reference > docs/settings.md
 	$(BIN)/python -m quetzaldeck.cli.operator reasons > docs/reasons.md
@@ -78,7 +82,7 @@
 bench: install
 	$(BIN)/python -m quetzaldeck.bench --report bench/report.json --table docs/design/bench.md
 
-# Entry VMs on four fleets under seven load patterns; about six minutes.
+# Simulates entry VMs on four fleets under seven load patterns; takes about six minutes.
 bench-entry: install
 	$(BIN)/python -m quetzaldeck.bench.entry_main
 
