--- a/tests/system/test_fleet_faults.py
+++ b/tests/system/test_fleet_faults.py
@@ -50,8 +50,8 @@
         ) as response:
             return Reply(response.status, await response.json(content_type=None))
 
-    async def ask_well(self, prompt: str, vm: int = 0) -> None:
-        """Ask and check the answer byte for byte."""
+    async def ask_and_check(self, prompt: str, vm: int = 0) -> None:
+        """Send a prompt and check the answer byte for byte."""
         reply = await self.ask(prompt, vm)
         assert reply.status == 200, reply.body
         assert reply.body["choices"][0]["text"] == answer_text(prompt, N_OUTPUT)
@@ -96,10 +96,10 @@
 
     async def check(fleet: Fleet, caller: Caller) -> None:
         engine = fleet.engines["engine-1"]
-        await asyncio.gather(*(caller.ask_well(f"warm {i}") for i in range(8)))
+        await asyncio.gather(*(caller.ask_and_check(f"warm {i}") for i in range(8)))
         engine.silence_connections()
-        await caller.ask_well("first")
-        await asyncio.gather(*(caller.ask_well(f"later {i}") for i in range(8)))
+        await caller.ask_and_check("first")
+        await asyncio.gather(*(caller.ask_and_check(f"later {i}") for i in range(8)))
         n_faults = read_metric(fleet, "entry-1", "attempt_faults_total", fault="silent")
         assert n_faults == 1
         replaced = read_metric(
@@ -130,15 +130,15 @@
         assert second.reason == "poison_suspected"
         assert second.body["error"]["ran"] == "no"
         assert sum(engine.n_crashes for engine in fleet.engines.values()) == 3
-        await caller.ask_well("an ordinary plan", vm=0)
-        await caller.ask_well("an ordinary plan", vm=1)
+        await caller.ask_and_check("an ordinary plan", vm=0)
+        await caller.ask_and_check("an ordinary plan", vm=1)
 
     run_fleet(check, n_vms=2, n_engines=4)
 
 
 def test_bystanders_of_a_crash_are_answered_and_cleared() -> None:
     async def check(fleet: Fleet, caller: Caller) -> None:
-        asks = [caller.ask_well(f"{i} " + "word " * 2_000) for i in range(12)]
+        asks = [caller.ask_and_check(f"{i} " + "word " * 2_000) for i in range(12)]
         tasks = [asyncio.create_task(ask) for ask in asks]
         engine = fleet.engines["engine-1"]
         await wait_for(lambda: engine.n_kv_tokens_used > 0)
@@ -155,12 +155,12 @@
         crash = asyncio.create_task(engine.crash(500))
         await asyncio.sleep(0)
         for index in range(6):
-            await caller.ask_well(f"while down {index}")
+            await caller.ask_and_check(f"while down {index}")
         await crash
         n_before = engine.n_submitted
 
         async def is_back() -> bool:
-            await caller.ask_well("back?")
+            await caller.ask_and_check("back?")
             return engine.n_submitted > n_before
 
         async with asyncio.timeout(WAIT_S):
@@ -178,7 +178,7 @@
         )
         n_before = fleet.engines["engine-1"].n_submitted
         for index in range(20):
-            await caller.ask_well(f"after {index}", vm=index % 2)
+            await caller.ask_and_check(f"after {index}", vm=index % 2)
         assert fleet.engines["engine-1"].n_submitted == n_before
 
     run_fleet(check, n_vms=2, n_engines=2)
--- a/tests/system/test_groups.py
+++ b/tests/system/test_groups.py
@@ -65,7 +65,7 @@
     return all(engine.n_kv_tokens_used == 0 for engine in fleet.engines.values())
 
 
-def test_prompt_of_more_than_twice_an_engine_is_answered_whole() -> None:
+def test_prompt_of_more_than_twice_an_engines_memory_is_answered() -> None:
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
         prompt = make_prompt(round(2.05 * KV_TOKENS), "one")
         address = fleet.gateway_addresses[0]
@@ -77,7 +77,7 @@
     run_fleet(check, n_vms=1, n_engines=4)
 
 
-def test_two_such_prompts_from_two_vms_both_finish() -> None:
+def test_two_large_prompts_from_two_vms_are_both_answered() -> None:
     """Two prompts that each need most of the fleet arrive at two VMs at once.
 
     If each reserved half of the engines and waited for the other half, they would
@@ -102,7 +102,7 @@
     run_fleet(check, n_vms=2, n_engines=4)
 
 
-def test_short_requests_go_on_while_a_group_is_reserved() -> None:
+def test_short_requests_are_answered_while_a_group_is_reserved() -> None:
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
         address = fleet.gateway_addresses[0]
         huge = make_prompt(round(2.05 * KV_TOKENS), "one")
@@ -117,7 +117,7 @@
     run_fleet(check, n_vms=1, n_engines=4)
 
 
-def test_member_that_dies_leaves_nothing_behind() -> None:
+def test_crash_of_a_member_releases_all_memory() -> None:
     """A group member crashes after it prefilled its part of the prompt.
 
     The request must run again, and the memory of the other members must be released.
@@ -159,7 +159,7 @@
     run_fleet(check, n_vms=1, n_engines=4)
 
 
-def test_caller_that_leaves_takes_nothing_with_it() -> None:
+def test_disconnect_of_the_caller_releases_all_memory() -> None:
     async def check(fleet: Fleet, client: aiohttp.ClientSession) -> None:
         prompt = make_prompt(round(2.05 * KV_TOKENS), "one")
         address = fleet.gateway_addresses[0]
--- a/tests/system/test_observability.py
+++ b/tests/system/test_observability.py
@@ -53,7 +53,7 @@
         return pages[0], pages[1]
 
 
-def test_metrics_and_logs_tell_all_but_secrets() -> None:
+def test_metrics_and_logs_are_complete_without_secrets() -> None:
     """Logs and metrics are shipped to systems that others can read.
 
     They must not contain API keys and prompts of customers.
--- a/tests/system/test_shutdown.py
+++ b/tests/system/test_shutdown.py
@@ -102,7 +102,7 @@
     uvloop.run(check())
 
 
-def test_gateway_serves_on_while_its_agent_is_dead(tmp_path: Path) -> None:
+def test_gateway_serves_while_its_agent_is_down(tmp_path: Path) -> None:
     """The agent of a VM is killed and restarted later, while the gateway keeps running.
 
     The gateway still has the last bundle and its connections to the engines, so model
--- a/tests/system/test_streaming.py
+++ b/tests/system/test_streaming.py
@@ -111,7 +111,7 @@
         (EngineFaults(sends_foreign_chunks=True), "foreign"),
     ],
 )
-def test_stream_is_whole_whatever_order_chunks_come_in(
+def test_stream_is_complete_for_chunks_in_any_order(
     faults: EngineFaults, drop: str
 ) -> None:
     """An engine sends chunks twice, late, swapped, or those of another request.
