--- a/src/quetzaldeck/agent/claim_desk.py
+++ b/src/quetzaldeck/agent/claim_coordinator.py
@@ -30,7 +30,7 @@
     from quetzaldeck.agent.voter_groups import VoterGroups
     from quetzaldeck.claims import ClaimSettings
     from quetzaldeck.clock import Clock
-    from quetzaldeck.exchange.claim_messages import ClaimEnd, ClaimOrder
+    from quetzaldeck.exchange.claim_messages import ClaimEnd, ClaimRequest
     from quetzaldeck.telemetry import AgentMetrics
 
 MAX_ROUNDS = 4
@@ -44,7 +44,7 @@
 _encode = msgspec.json.encode
 
 
-class ClaimDesk:
+class ClaimCoordinator:
     """The claimant of one VM.
 
     :param groups: this VM's own voters, asked like any others
@@ -90,7 +90,7 @@
         """:returns: what tells how claims ended, here and at other VMs"""
         return self._holds
 
-    async def decide(self, order: ClaimOrder) -> ClaimDecision:
+    async def decide(self, order: ClaimRequest) -> ClaimDecision:
         """Win the claim, relay the holder's answer, or refuse."""
         deadline_ms = self._clock.now_ms() + order.timeout_ms
         failure = self._check(order)
@@ -100,7 +100,7 @@
             decision = await self._decide(order, deadline_ms)
         except BaseException:
             # The gateway is gone or gave up: it will not run the call.
-            await asyncio.shield(self._abandon(order.order_id))
+            await asyncio.shield(self._abandon(order.claim_request_id))
             raise
         self._metrics.claim_decisions.labels(decision.verdict.value).inc()
         return decision
@@ -108,14 +108,14 @@
     async def end(self, end: ClaimEnd) -> None:
         """Take the gateway's word on what became of an order."""
         if not end.has_run:
-            await self._abandon(end.order_id)
+            await self._abandon(end.claim_request_id)
             return
-        claim = self._orders.pop(end.order_id, None)
+        claim = self._orders.pop(end.claim_request_id, None)
         if claim is not None:
             self._book.finish(claim.claim_id, end.answer)
             await self._holds.notify()
 
-    def _check(self, order: ClaimOrder) -> Failure | None:
+    def _check(self, order: ClaimRequest) -> Failure | None:
         if order.timeout_ms > self._settings.max_deadline_ms:
             detail = (
                 "a call that may not be repeated has a deadline of at most "
@@ -129,7 +129,7 @@
             return Failure(Reason.KEY_FINISHED, Ran.UNKNOWN, detail=detail)
         return None
 
-    async def _decide(self, order: ClaimOrder, deadline_ms: float) -> ClaimDecision:
+    async def _decide(self, order: ClaimRequest, deadline_ms: float) -> ClaimDecision:
         for n_round in range(MAX_ROUNDS):
             started_ms = self._clock.now_ms()
             counted = await self._hold_round(order, n_round)
@@ -152,25 +152,25 @@
             await asyncio.sleep(self._random.uniform(0.2, 1) * BACKOFF_MS / 1_000)
         return self._refuse(_no_quorum(counted))
 
-    async def _hold_round(self, order: ClaimOrder, n_round: int) -> ClaimRound:
+    async def _hold_round(self, order: ClaimRequest, n_round: int) -> ClaimRound:
         """Ask the voters; a round that is not won is given up at once."""
         claim = Claim(
             hash_claim_key(order.customer, order.key),
             order.body_digest,
-            f"{order.order_id}.{n_round}",
+            f"{order.claim_request_id}.{n_round}",
             self._vm,
         )
         while len(self._orders) >= self._settings.max_claims:
             # Orders whose gateway ended before it could say so.
             del self._orders[next(iter(self._orders))]
-        self._orders[order.order_id] = claim
+        self._orders[order.claim_request_id] = claim
         self._book.begin(claim)
         counted = ClaimRound(claim)
         request = VoteRequest(claim, read_key_time(order.key))
         counted.add(self._groups.find(claim.key).vote(request))
         await self._ask_voters(counted, request)
         if not counted.is_won:
-            await self._abandon(order.order_id)
+            await self._abandon(order.claim_request_id)
         return counted
 
     async def _ask_voters(self, counted: ClaimRound, request: VoteRequest) -> None:
@@ -187,9 +187,9 @@
                     return
             wanted = counted.list_unasked(asked)
 
-    async def _abandon(self, order_id: str) -> None:
+    async def _abandon(self, claim_request_id: str) -> None:
         """Give up the claim of an order; voters are told, but need not hear it."""
-        claim = self._orders.pop(order_id, None)
+        claim = self._orders.pop(claim_request_id, None)
         if claim is None:
             return
         self._book.abandon(claim.claim_id)
@@ -245,4 +245,4 @@
     return Failure(Reason.NO_QUORUM, Ran.NO, retry_after_ms, detail)
 
 
-__all__ = ("ClaimDesk",)
+__all__ = ("ClaimCoordinator",)
--- a/src/quetzaldeck/agent/claim_part.py
+++ b/src/quetzaldeck/agent/claim_part.py
@@ -5,7 +5,7 @@
 from contextlib import AsyncExitStack
 from typing import TYPE_CHECKING
 
-from quetzaldeck.agent.claim_desk import ClaimDesk
+from quetzaldeck.agent.claim_coordinator import ClaimCoordinator
 from quetzaldeck.agent.claim_peers import ClaimPeers
 from quetzaldeck.agent.voter_groups import VoterGroups
 from quetzaldeck.agent.voter_task import VoterTask
@@ -48,7 +48,7 @@
         self._peers = ClaimPeers(channel, read_view, find_member)
         self.groups = VoterGroups(identity, clock, settings, read_view=read_view)
         self._task = VoterTask(self.groups, self._peers, settings, metrics)
-        self.desk = ClaimDesk(
+        self.coordinator = ClaimCoordinator(
             vm=identity.vm,
             groups=self.groups,
             peers=self._peers,
@@ -73,7 +73,7 @@
 
     async def hand_over(self) -> None:
         """Give the answers kept to peers; called once no call is in progress."""
-        await self.desk.holds.hand_over()
+        await self.coordinator.holds.hand_over()
 
     async def leave(self) -> None:
         """Have the peers go on without this VM's votes."""
--- a/src/quetzaldeck/agent/service.py
+++ b/src/quetzaldeck/agent/service.py
@@ -11,7 +11,7 @@
 from quetzaldeck.agent.status import build_status
 from quetzaldeck.clock import Clock
 from quetzaldeck.exchange import GatewayReport
-from quetzaldeck.exchange.claim_messages import ClaimEnd, ClaimOrder
+from quetzaldeck.exchange.claim_messages import ClaimEnd, ClaimRequest
 from quetzaldeck.http import (
     BodyError,
     HttpServiceBase,
@@ -28,7 +28,7 @@
     from quetzaldeck.agent.settings import AgentSettings
 
 _REPORT_DECODER = msgspec.json.Decoder(GatewayReport)
-_ORDER_DECODER = msgspec.json.Decoder(ClaimOrder)
+_ORDER_DECODER = msgspec.json.Decoder(ClaimRequest)
 _END_DECODER = msgspec.json.Decoder(ClaimEnd)
 
 
@@ -117,14 +117,14 @@
             order = decode_body(await request.read(), _ORDER_DECODER)
         except BodyError as error:
             return json_response({"error": str(error)}, status=400)
-        return json_response(await self._session.claims.desk.decide(order))
+        return json_response(await self._session.claims.coordinator.decide(order))
 
     async def _end_claim(self, request: web.Request) -> web.Response:
         try:
             end = decode_body(await request.read(), _END_DECODER)
         except BodyError as error:
             return json_response({"error": str(error)}, status=400)
-        await self._session.claims.desk.end(end)
+        await self._session.claims.coordinator.end(end)
         return json_response({})
 
     async def _answer_peer(self, request: web.Request) -> web.Response:
--- a/src/quetzaldeck/exchange/__init__.py
+++ b/src/quetzaldeck/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""The exchange between the gateway and the agent of one VM."""
+"""Messages between the gateway and the agent of one VM."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/exchange/claim_messages.py
+++ b/src/quetzaldeck/exchange/claim_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the gateway and the agent of one VM about claims."""
+"""Messages about claims between the gateway and the agent of one VM."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from quetzaldeck.outcomes import Failure
 
 
-class ClaimOrder(NamedTuple):
-    """The gateway asks for the right to run a call once.
+class ClaimRequest(NamedTuple):
+    """Asks the agent for the exclusive right to run a call once.
 
-    :param order_id: chosen by the gateway, so that it can end an order whose
-        answer it never received
+    :param claim_request_id: chosen by the gateway, so that it can end a claim request
+        whose answer it never received
     :param body_digest: digest of method, path and body
     :param timeout_ms: time left until the call's deadline
     """
 
-    order_id: str
+    claim_request_id: str
     customer: str
     key: str
     body_digest: str
@@ -26,7 +26,7 @@
 
 
 class ClaimVerdict(StrEnum):
-    """What became of an order."""
+    """Outcome of a claim request."""
 
     GRANTED = "granted"
     ANSWERED = "answered"
@@ -34,12 +34,12 @@
 
 
 class ClaimDecision(NamedTuple):
-    """The agent's answer.
+    """The agent's answer to a claim request.
 
-    :param lease_ms: dispatch is allowed for this long, counted from the moment
-        before the order was sent; set if it was granted
-    :param answer: the answer of the VM that ran the call
-    :param failure: what the caller is told if it was refused
+    :param lease_ms: how long the call may be dispatched, counted from just before
+        the claim request was sent; set if it was granted
+    :param answer: the stored answer of the call, if another VM has run it
+    :param failure: reported to the caller if the claim request was refused
     """
 
     verdict: ClaimVerdict
@@ -49,14 +49,14 @@
 
 
 class ClaimEnd(NamedTuple):
-    """The gateway is done with an order.
+    """Tells the agent that the gateway has finished with a claim request.
 
     :param has_run: whether any byte of the call may have reached an upstream
     """
 
-    order_id: str
+    claim_request_id: str
     has_run: bool
     answer: KeptAnswer | None = None
 
 
-__all__ = ("ClaimDecision", "ClaimEnd", "ClaimOrder", "ClaimVerdict")
+__all__ = ("ClaimDecision", "ClaimEnd", "ClaimRequest", "ClaimVerdict")
--- a/src/quetzaldeck/exchange/messages.py
+++ b/src/quetzaldeck/exchange/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the gateway and the agent of one VM."""
+"""The periodic exchange between the gateway and the agent of one VM."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class GatewayReport(NamedTuple):
-    """What the gateway tells the agent at each exchange.
+    """Sent by the gateway to the agent at each exchange.
 
-    :param incarnation: id of this start of the gateway
+    :param incarnation: id of the gateway process, new after each restart
     :param bundle_version: version in force in the gateway; 0: none
-    :param n_running: attempts that run
-    :param records: facts of this gateway to spread to the other VMs
+    :param n_running: attempts in progress
+    :param records: records of this gateway for the other VMs
     :param records_cursor: as in the last view; 0 for all records
     :param agent_incarnation: as in the last view; ``""`` if there was none
-    :param is_stopped: whether it has drained and asks for nothing any more
+    :param is_stopped: whether the gateway has drained and needs the agent no longer
     """
 
     vm: str
@@ -32,15 +32,15 @@
 
 
 class AgentView(NamedTuple):
-    """What the agent tells the gateway at each exchange.
+    """The agent's answer to the gateway at each exchange.
 
-    :param bundle: the bundle in force, if the gateway's is older; the agent has
-        verified and checked it, so that it travels in the quickest form
+    :param bundle: the bundle in force, if the gateway's is older; sent decoded and
+        without its signature, because the agent has verified it
     :param leaving: upstreams that get no new work
-    :param n_vms: entry VMs believed to be live, this one included
-    :param records: facts of other VMs, changed since the report's cursor
+    :param n_vms: entry VMs considered live, this one included
+    :param records: records of other VMs changed since the report's cursor
     :param records_cursor: to be sent back with the next report
-    :param agent_incarnation: start of the agent that the cursor belongs to
+    :param agent_incarnation: incarnation of the agent that the cursor belongs to
     """
 
     bundle_version: int
--- a/src/quetzaldeck/gateway/claimed_call.py
+++ b/src/quetzaldeck/gateway/claimed_call.py
@@ -13,7 +13,7 @@
 from quetzaldeck.exchange.claim_messages import (
     ClaimDecision,
     ClaimEnd,
-    ClaimOrder,
+    ClaimRequest,
 )
 from quetzaldeck.gateway.errors import RequestError
 from quetzaldeck.outcomes import Failure, Ran, Reason
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, state: GatewayState, client: aiohttp.ClientSession, order: ClaimOrder
+        self, state: GatewayState, client: aiohttp.ClientSession, order: ClaimRequest
     ) -> None:
         self._state = state
         self._client = client
@@ -140,7 +140,9 @@
         Unheard, the claim stays held until the window has passed: resends are then
         told ``ran: unknown``, which is true.
         """
-        end = ClaimEnd(self._order.order_id, self._has_run, _to_kept(self._answer))
+        end = ClaimEnd(
+            self._order.claim_request_id, self._has_run, _to_kept(self._answer)
+        )
         try:
             async with (
                 asyncio.timeout(END_TIMEOUT_MS / 1_000),
--- a/src/quetzaldeck/gateway/services.py
+++ b/src/quetzaldeck/gateway/services.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from quetzaldeck.decisions import AttemptEnd, Request
-from quetzaldeck.exchange.claim_messages import ClaimOrder
+from quetzaldeck.exchange.claim_messages import ClaimRequest
 from quetzaldeck.gateway.body import read_body
 from quetzaldeck.gateway.claimed_call import ClaimedCall, new_order_id
 from quetzaldeck.gateway.errors import RequestError
@@ -93,7 +93,7 @@
         self, request: Request, call: ServiceCall, key: str
     ) -> ServiceAnswer:
         """Serve a call that may not be repeated, or relay its earlier answer."""
-        order = ClaimOrder(
+        order = ClaimRequest(
             new_order_id(),
             request.customer,
             key,
--- a/tests/gateway/test_claimed_call.py
+++ b/tests/gateway/test_claimed_call.py
@@ -14,7 +14,7 @@
 from quetzaldeck.exchange.claim_messages import (
     ClaimDecision,
     ClaimEnd,
-    ClaimOrder,
+    ClaimRequest,
     ClaimVerdict,
 )
 from quetzaldeck.gateway.claimed_call import (
@@ -82,7 +82,7 @@
     agent = FakeAgent()
     await agent.start()
     state: GatewayState = FakeState(agent.address, clock)  # type: ignore[assignment]
-    order = ClaimOrder(new_order_id(), "club", "key", "digest", LEASE_MS)
+    order = ClaimRequest(new_order_id(), "club", "key", "digest", LEASE_MS)
     try:
         async with ClientSession() as client, ClaimedCall(state, client, order) as call:
             clock.advance(pause_ms)
