--- a/src/quetzaldeck/agent/session.py
+++ b/src/quetzaldeck/agent/session.py
@@ -88,7 +88,7 @@
         self.channel = HmacPeerChannel(
             Authenticator(self._identity, self._settings.peers),
             client,
-            on_heard=lambda peer, is_answer: self.membership.hear(
+            on_message=lambda peer, is_answer: self.membership.hear(
                 *peer, is_answer=is_answer
             ),
             metrics=PeerMetrics(self.metrics.registry),
--- a/src/quetzaldeck/peers/__init__.py
+++ b/src/quetzaldeck/peers/__init__.py
@@ -1,27 +1,27 @@
 """The authenticated channel between agents.
 
-``HmacPeerChannel`` asks and answers over HTTP; ``Authenticator`` holds the rules
-alone, for another transport. See docs/design/membership.md.
+``HmacPeerChannel`` sends and answers requests over HTTP. ``Authenticator`` signs and
+verifies messages independently of the transport. See docs/design/membership.md.
 
 >>> from quetzaldeck.peers import (
 ...     Authenticator, PeerIdentity, PeerSettings, RefusedMessageError)
 >>> keys = PeerSettings({"k1": "a shared secret of the fleet"})
 >>> a = Authenticator(PeerIdentity("a", "a.1"), keys)
 >>> b = Authenticator(PeerIdentity("b", "b.1"), keys)
->>> first = a.seal_ask("b", "gossip", b"hello")
+>>> first = a.seal_request("b", "gossip", b"hello")
 >>> try:
-...     b.open_ask(first, "gossip", b"hello")
-... except RefusedMessageError as error:  # a does not know b's epoch yet
+...     b.verify_request(first, "gossip", b"hello")
+... except RefusedMessageError as error:  # a has not learned b's epoch yet
 ...     print(error.refusal.value)
 ...     answer = b.seal_answer(first, 409, b"")
 wrong_epoch
->>> a.open_answer(first, answer, 409, b"").vm
+>>> a.verify_answer(first, answer, 409, b"").vm
 'b'
->>> second = a.seal_ask("b", "gossip", b"hello")
->>> b.open_ask(second, "gossip", b"hello").vm
+>>> second = a.seal_request("b", "gossip", b"hello")
+>>> b.verify_request(second, "gossip", b"hello").vm
 'a'
 >>> try:
-...     b.open_ask(second, "gossip", b"hello")
+...     b.verify_request(second, "gossip", b"hello")
 ... except RefusedMessageError as error:
 ...     print(error.refusal.value)
 replayed
--- a/src/quetzaldeck/peers/api.py
+++ b/src/quetzaldeck/peers/api.py
@@ -16,31 +16,31 @@
 
 
 class PeerIdentity(NamedTuple):
-    """Who sent a message, as its authentication proves."""
+    """Authenticated sender of a message."""
 
     vm: str
     incarnation: str
 
 
 class PeerChannel(ABC):
-    """Asks peers and answers them; every message is authenticated."""
+    """Sends requests to peers and answers theirs; every message is authenticated."""
 
     @abstractmethod
     async def ask(
         self, vm: str, address: str, kind: str, body: bytes, timeout_ms: float
     ) -> tuple[PeerIdentity, bytes]:
-        """Send a message and wait for the answer.
+        """Send a request and wait for the answer.
 
-        :param vm: the VM that must answer
+        :param vm: id of the VM that has to answer
         :param address: base URL of its agent
         :param kind: message kind, e.g. ``gossip`` or ``claim``
-        :returns: who answered, and the answer
-        :raises PeerError: if there is no authentic answer in time
+        :returns: the identity of the answering peer, and the body of its answer
+        :raises PeerError: if no authentic answer arrives in time
         """
 
     @abstractmethod
     def register(self, kind: str, handler: PeerHandler) -> None:
-        """Answer messages of ``kind`` with ``handler``."""
+        """Answer requests of ``kind`` with ``handler``."""
 
 
 __all__ = ("PeerChannel", "PeerError", "PeerIdentity")
--- a/src/quetzaldeck/peers/authenticator.py
+++ b/src/quetzaldeck/peers/authenticator.py
@@ -1,12 +1,14 @@
 """Authenticates messages between agents; no I/O, no clock.
 
-Each agent draws an epoch at its start. A message names the recipient's epoch and
-a number that the sender uses once in it. So a copy is refused for as long as the
-recipient lives, and after its restart the epoch is another one. A sender that does
-not know the epoch is told it, in an authentic answer, and asks again.
-
-Without it a copy of an old gossip or leave message would bring back a dead VM or
-take a live one out; a nonce memory bounded by time would need clocks that agree.
+Each agent draws a random epoch when it starts. A request carries the recipient's
+epoch and a sequence number that the sender uses only once within that epoch. A
+replayed request is therefore refused while the recipient runs, and after its restart
+because the epoch has changed. A sender that does not know the epoch learns it from
+an authenticated answer and repeats the request.
+
+Without replay protection, a copy of an old gossip or leave message would bring back
+a dead VM or remove a live one. Nonces that expire by time would need synchronised
+clocks.
 """
 
 from __future__ import annotations
@@ -21,9 +23,9 @@
 from quetzaldeck.peers.seal import (
     Seal,
     is_answer_authentic,
-    is_ask_authentic,
+    is_request_authentic,
     sign_answer,
-    sign_ask,
+    sign_request,
 )
 
 if TYPE_CHECKING:
@@ -34,13 +36,13 @@
 
 
 class PeerKeyError(ValueError):
-    """The peer keys in the settings cannot be used."""
+    """The peer keys in the settings are invalid."""
 
 
 def check_peer_settings(settings: PeerSettings) -> None:
-    """Check the keys.
+    """Check the peer keys.
 
-    :raises PeerKeyError: if a secret is short or ``key_id`` names none
+    :raises PeerKeyError: if a secret is too short or ``key_id`` is unknown
     """
     for key_id, secret in settings.keys.items():
         if len(secret) < MIN_SECRET_CHARACTERS:
@@ -56,11 +58,11 @@
 
 
 class Authenticator:
-    """Signs what this agent sends and checks what it receives.
+    """Signs the messages that this agent sends and verifies those it receives.
 
     :param identity: this agent
     :param settings: the fleet's keys
-    :raises PeerKeyError: if the keys cannot be used
+    :raises PeerKeyError: if the keys are invalid
     """
 
     def __init__(self, identity: PeerIdentity, settings: PeerSettings) -> None:
@@ -80,15 +82,15 @@
 
     @property
     def epoch(self) -> str:
-        """:returns: the epoch that senders must name"""
+        """:returns: the epoch that requests to this agent must carry"""
         return self._epoch
 
     @property
     def has_keys(self) -> bool:
-        """:returns: whether peers can be talked to at all"""
+        """:returns: whether keys are configured; no peers are contacted without"""
         return bool(self._keys)
 
-    def seal_ask(self, recipient: str, kind: str, body: bytes) -> Seal:
+    def seal_request(self, recipient: str, kind: str, body: bytes) -> Seal:
         """:returns: the seal of a new request to the agent on ``recipient``"""
         self._numbers[recipient] += 1
         seal = Seal(
@@ -99,16 +101,16 @@
             self._peer_epochs.get(recipient, ""),
             self._numbers[recipient],
         )
-        return sign_ask(seal, kind, body, self._keys[self._key_id])
+        return sign_request(seal, kind, body, self._keys[self._key_id])
 
-    def open_ask(self, seal: Seal, kind: str, body: bytes) -> PeerIdentity:
-        """Check a request; only one that passes may change anything.
+    def verify_request(self, seal: Seal, kind: str, body: bytes) -> PeerIdentity:
+        """Verify a request before it is processed.
 
-        :returns: who sent it
-        :raises RefusedMessageError: if it must change nothing
+        :returns: the sender
+        :raises RefusedMessageError: if the request must be ignored
         """
-        secret = self._secret_of(seal)
-        if not is_ask_authentic(seal, kind, body, secret):
+        secret = self._find_secret(seal)
+        if not is_request_authentic(seal, kind, body, secret):
             raise RefusedMessageError(PeerRefusal.BAD_SIGNATURE, f"from {seal.vm!r}")
         if seal.recipient != self._identity.vm:
             detail = f"meant for {seal.recipient!r}"
@@ -121,7 +123,7 @@
         return sender
 
     def seal_answer(self, request: Seal, status: int, body: bytes) -> Seal:
-        """:returns: the seal of the answer to ``request``, with the request's key"""
+        """:returns: the seal of the answer to ``request``, signed with the same key"""
         seal = Seal(
             request.key_id,
             self._identity.vm,
@@ -133,15 +135,15 @@
         secret = self._keys[request.key_id]
         return sign_answer(seal, request.signature, status, body, secret)
 
-    def open_answer(
+    def verify_answer(
         self, request: Seal, seal: Seal, status: int, body: bytes
     ) -> PeerIdentity:
-        """Check the answer to ``request`` and learn the answerer's epoch.
+        """Verify the answer to ``request`` and store the epoch of the answering peer.
 
-        :returns: who answered
-        :raises RefusedMessageError: if it is not the asked VM's answer to it
+        :returns: the answering peer
+        :raises RefusedMessageError: if it is not the recipient's answer to ``request``
         """
-        secret = self._secret_of(seal)
+        secret = self._find_secret(seal)
         if not is_answer_authentic(seal, request.signature, status, body, secret):
             detail = f"answer of {request.recipient!r}"
             raise RefusedMessageError(PeerRefusal.BAD_SIGNATURE, detail)
@@ -153,11 +155,11 @@
         return PeerIdentity(seal.vm, seal.incarnation)
 
     def forget(self, vm: str) -> None:
-        """Forget the epoch of a VM that is no member any more."""
+        """Forget the epoch of a VM that is no longer a member."""
         self._peer_epochs.pop(vm, None)
         self._numbers.pop(vm, None)
 
-    def _secret_of(self, seal: Seal) -> str:
+    def _find_secret(self, seal: Seal) -> str:
         secret = self._keys.get(seal.key_id)
         if secret is None:
             raise RefusedMessageError(PeerRefusal.UNKNOWN_KEY, repr(seal.key_id))
@@ -167,11 +169,11 @@
         window = self._windows.get(sender)
         if window is None:
             if len(self._windows) >= MAX_SENDERS:
-                # Dropping one sender's window alone would let copies of its
-                # messages in again; with a new epoch no old message passes.
+                # Evicting a single sender's window would accept replays of its
+                # messages; a new epoch invalidates all earlier messages.
                 self._windows.clear()
                 self._epoch = _draw_epoch()
-                detail = "the memory of senders is full; ask again"
+                detail = f"replay windows of {MAX_SENDERS} senders are in use; retry"
                 raise RefusedMessageError(PeerRefusal.WRONG_EPOCH, detail)
             window = self._windows[sender] = ReplayWindow()
         return window
--- a/src/quetzaldeck/peers/errors.py
+++ b/src/quetzaldeck/peers/errors.py
@@ -1,4 +1,4 @@
-"""Why a peer message is not taken."""
+"""Reasons for refusing a peer message."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PeerRefusal(StrEnum):
-    """Reasons, as counted in ``quetzaldeck_agent_peer_refused``."""
+    """Label values of the metric ``quetzaldeck_agent_peer_refused``."""
 
     UNREADABLE = "unreadable"
     UNKNOWN_KEY = "unknown_key"
@@ -18,9 +18,9 @@
 
 
 class RefusedMessageError(ValueError):
-    """A message that changes nothing.
+    """A peer message was refused and has no effect.
 
-    :param refusal: the reason that is counted
+    :param refusal: the reason, as counted in the metrics
     """
 
     def __init__(self, refusal: PeerRefusal, detail: str) -> None:
@@ -29,7 +29,7 @@
 
     @property
     def refusal(self) -> PeerRefusal:
-        """:returns: the reason that is counted"""
+        """:returns: the reason, as counted in the metrics"""
         return self._refusal
 
 
--- a/src/quetzaldeck/peers/hmac_channel.py
+++ b/src/quetzaldeck/peers/hmac_channel.py
@@ -1,4 +1,4 @@
-"""The peer channel over HTTP, authenticated by shared keys."""
+"""Peer channel over HTTP, authenticated with shared keys."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 HTTP_UNAUTHORIZED = 401
 HTTP_CONFLICT = 409
 HTTP_FAILED = 500
-# Headers that aiohttp adds by itself and that no agent reads; at one exchange a
-# second they would be a tenth of the control traffic.
+# Headers that aiohttp adds by default and no agent reads; at one exchange per second
+# they would account for a tenth of the control traffic.
 _UNUSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class PeerAnswer(NamedTuple):
-    """What the HTTP side sends back.
+    """Parts of the HTTP response to a peer request.
 
     :param seal: value of the seal header; ``""`` if the request was not authentic
     """
@@ -42,12 +42,12 @@
 
 
 class HmacPeerChannel(PeerChannel):
-    """Asks by HTTP POST; :meth:`answer` is called by the agent's HTTP side.
+    """Sends requests by HTTP POST; the agent's HTTP server calls :meth:`answer`.
 
-    :param authenticator: signs and checks every message
+    :param authenticator: signs and verifies every message
     :param session: connection pool, owned by the caller
-    :param on_heard: called with every peer that an authentic message came from, and
-        whether the message answers one of this agent
+    :param on_message: called for every authentic message with its sender, and whether
+        the message is an answer to this agent
     :param metrics: counts messages, bytes and refusals
     """
 
@@ -56,12 +56,12 @@
         authenticator: Authenticator,
         session: aiohttp.ClientSession,
         *,
-        on_heard: Callable[[PeerIdentity, bool], None] | None = None,
+        on_message: Callable[[PeerIdentity, bool], None] | None = None,
         metrics: PeerMetrics | None = None,
     ) -> None:
         self._authenticator = authenticator
         self._session = session
-        self._on_heard = on_heard or _ignore
+        self._on_message = on_message or _ignore
         self._handlers: dict[str, PeerHandler] = {}
         self.metrics = metrics or PeerMetrics()
 
@@ -72,49 +72,50 @@
 
     @property
     def has_keys(self) -> bool:
-        """:returns: whether peers can be talked to at all"""
+        """:returns: whether keys are configured; no peers are contacted without"""
         return self._authenticator.has_keys
 
     def register(self, kind: str, handler: PeerHandler) -> None:
-        """Answer messages of a kind; see :meth:`PeerChannel.register`."""
+        """Answer requests of a kind; see :meth:`PeerChannel.register`."""
         if kind in self._handlers:
-            msg = f"peer messages of kind {kind!r} have a handler; choose another kind"
+            msg = f"peer message kind {kind!r} already has a handler; use another kind"
             raise ValueError(msg)
         self._handlers[kind] = handler
 
     async def ask(
         self, vm: str, address: str, kind: str, body: bytes, timeout_ms: float
     ) -> tuple[PeerIdentity, bytes]:
-        """Send a message and wait; see :meth:`PeerChannel.ask`."""
+        """Send a request and wait; see :meth:`PeerChannel.ask`."""
         if not self._authenticator.has_keys:
             msg = "no peer keys are set; add peers.keys to the agent's settings"
             raise PeerError(msg)
         try:
             async with asyncio.timeout(timeout_ms / 1_000):
-                return await self._ask_twice(vm, address, kind, body)
+                return await self._ask_with_retry(vm, address, kind, body)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             if isinstance(error, RefusedMessageError):
                 self.metrics.count_refused(error.refusal)
-            msg = f"{kind} to {vm}: {error!r}"
+            msg = f"{kind} request to {vm} failed: {error!r}"
             raise PeerError(msg) from error
 
-    async def _ask_twice(
+    async def _ask_with_retry(
         self, vm: str, address: str, kind: str, body: bytes
     ) -> tuple[PeerIdentity, bytes]:
         status, identity, answer = await self._ask_once(vm, address, kind, body)
         if status == HTTP_CONFLICT:
-            # The peer has restarted, or was never asked: its epoch is known now.
+            # The peer has restarted or was never asked before. Its answer carried
+            # the epoch, so the repeated request can name it.
             status, identity, answer = await self._ask_once(vm, address, kind, body)
         if status != HTTP_OK:
-            msg = f"{kind} to {vm}: status {status}"
+            msg = f"{kind} request to {vm} failed: status {status}"
             raise PeerError(msg)
-        self._on_heard(identity, True)  # noqa: FBT003 - a callback's own signature
+        self._on_message(identity, True)  # noqa: FBT003 - signature of the callback
         return identity, answer
 
     async def _ask_once(
         self, vm: str, address: str, kind: str, body: bytes
     ) -> tuple[int, PeerIdentity, bytes]:
-        request = self._authenticator.seal_ask(vm, kind, body)
+        request = self._authenticator.seal_request(vm, kind, body)
         header = encode_seal(request)
         async with self._session.post(
             address + PEER_PATH + kind,
@@ -127,27 +128,27 @@
             self.metrics.count_message("sent", len(header) + len(body))
             self.metrics.count_message("received", len(seal_value) + len(answer))
             seal = decode_seal(seal_value)
-            identity = self._authenticator.open_answer(
+            identity = self._authenticator.verify_answer(
                 request, seal, response.status, answer
             )
             return response.status, identity, answer
 
     async def answer(self, kind: str, header: str, body: bytes) -> PeerAnswer:
-        """Check a request and let its handler answer it.
+        """Verify a request and have its handler answer it.
 
         :param header: value of the request's seal header
         """
         self.metrics.count_message("received", len(header) + len(body))
         try:
             seal = decode_seal(header)
-            sender = self._authenticator.open_ask(seal, kind, body)
+            sender = self._authenticator.verify_request(seal, kind, body)
         except RefusedMessageError as error:
             return self._refuse(error, header)
         handler = self._handlers.get(kind)
         if handler is None:
             self.metrics.count_refused(PeerRefusal.UNKNOWN_KIND)
             return self._seal(seal, HTTP_FAILED, b"")
-        self._on_heard(sender, False)  # noqa: FBT003 - a callback's own signature
+        self._on_message(sender, False)  # noqa: FBT003 - signature of the callback
         try:
             return self._seal(seal, HTTP_OK, await handler(sender, body))
         except ValueError as error:
@@ -157,7 +158,8 @@
     def _refuse(self, error: RefusedMessageError, header: str) -> PeerAnswer:
         self.metrics.count_refused(error.refusal)
         if error.refusal is PeerRefusal.WRONG_EPOCH:
-            # Authentic, but from before this start: the sender is told the epoch.
+            # The request is authentic but names an earlier or unknown epoch; the
+            # sealed answer tells the sender the current one.
             return self._seal(decode_seal(header), HTTP_CONFLICT, b"")
         log_event("peer_message_refused", level="WARNING", why=error)
         return PeerAnswer(HTTP_UNAUTHORIZED, "", b"")
--- a/src/quetzaldeck/peers/metrics.py
+++ b/src/quetzaldeck/peers/metrics.py
@@ -9,14 +9,14 @@
 if TYPE_CHECKING:
     from quetzaldeck.peers.errors import PeerRefusal
 
-# Request or status line, Host, Content-Length and the seal's name.
+# Request or status line, Host, Content-Length and the name of the seal header.
 N_HTTP_BYTES = 120
 
 
 class PeerMetrics:
     """Counts messages, bytes and refusals.
 
-    :param registry: where the counters appear; a fresh one if not given
+    :param registry: registry of the counters; a new one if not given
     """
 
     def __init__(self, registry: CollectorRegistry | None = None) -> None:
@@ -24,7 +24,7 @@
         self._registry = registry
         self._refused = Counter(
             "quetzaldeck_agent_peer_refused",
-            "Peer messages that changed nothing, by reason",
+            "Peer messages that were refused, by reason",
             ["why"],
             registry=registry,
         )
@@ -47,25 +47,25 @@
         return self._total("bytes")
 
     def n_refused(self, refusal: PeerRefusal) -> float:
-        """:returns: messages refused for one reason"""
+        """:returns: number of messages refused for one reason"""
         name = "quetzaldeck_agent_peer_refused_total"
         return self._registry.get_sample_value(name, {"why": refusal.value}) or 0.0
 
     def count_refused(self, refusal: PeerRefusal) -> None:
-        """Count a message that changed nothing."""
+        """Count a refused message."""
         self._refused.labels(refusal.value).inc()
 
     def count_message(self, direction: str, n_bytes: int) -> None:
         """Count a message.
 
         :param direction: ``sent`` or ``received``
-        :param n_bytes: of seal and body
+        :param n_bytes: size of seal and body
         """
         self._messages.labels(direction).inc()
         self._bytes.labels(direction).inc(n_bytes + N_HTTP_BYTES)
 
-    def _total(self, what: str) -> float:
-        name = f"quetzaldeck_agent_peer_{what}_total"
+    def _total(self, quantity: str) -> float:
+        name = f"quetzaldeck_agent_peer_{quantity}_total"
         return sum(
             self._registry.get_sample_value(name, {"direction": direction}) or 0.0
             for direction in ("sent", "received")
--- a/src/quetzaldeck/peers/replay_window.py
+++ b/src/quetzaldeck/peers/replay_window.py
@@ -1,4 +1,4 @@
-"""Which message numbers of one sender have been seen."""
+"""Replay protection by sequence numbers of one sender."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ReplayWindow:
-    """Accepts each number once, in any order within the window.
+    """Accepts each sequence number once, in any order within the window.
 
-    Numbers rather than times: two VMs whose clocks disagree still talk, and no
-    window of time is left open in which a copy is taken for the original.
+    Sequence numbers, unlike timestamps, need no synchronised clocks, and leave no
+    period in which a replayed message is accepted.
     """
 
     def __init__(self) -> None:
@@ -17,7 +17,10 @@
         self._seen = 0
 
     def accept(self, number: int) -> bool:
-        """:returns: whether ``number`` is new; it is not from now on"""
+        """Mark ``number`` as seen.
+
+        :returns: whether it had not been seen before
+        """
         if number <= 0:
             return False
         if number > self._highest:
@@ -26,7 +29,7 @@
             self._highest = number
             return True
         bit = 1 << (self._highest - number)
-        # A number below the window may have been seen: it counts as seen.
+        # A number below the window may have been seen and is therefore refused.
         if self._highest - number >= WINDOW_SIZE or self._seen & bit:
             return False
         self._seen |= bit
--- a/src/quetzaldeck/peers/seal.py
+++ b/src/quetzaldeck/peers/seal.py
@@ -1,4 +1,4 @@
-"""The header that proves who sent a message, to whom, and that it is new."""
+"""The signed header that authenticates a peer message and prevents replays."""
 
 from __future__ import annotations
 
@@ -16,13 +16,15 @@
 
 
 class Seal(NamedTuple):
-    """Origin of a message and its signature.
+    """Sender, recipient and signature of a message.
 
     :param vm: id of the sender's VM
-    :param incarnation: start of the sender's agent
-    :param recipient: id of the VM that it is meant for
-    :param epoch: recipient's epoch as the sender knows it; ``""`` if unknown
-    :param number: of the message, from this sender to this epoch
+    :param incarnation: incarnation of the sender's agent
+    :param recipient: id of the recipient's VM
+    :param epoch: recipient's epoch as far as the sender knows; ``""`` if unknown; in
+        an answer, the epoch of the answering agent
+    :param number: sequence number of the sender's request to the recipient; an answer
+        repeats it
     :param signature: HMAC-SHA256 in hex
     """
 
@@ -43,7 +45,7 @@
 def decode_seal(value: str) -> Seal:
     """:returns: the seal in a header's value
 
-    :raises RefusedMessageError: if there is none
+    :raises RefusedMessageError: if the value is not a seal
     """
     try:
         return msgspec.json.decode(value, type=Seal)
@@ -51,7 +53,7 @@
         raise RefusedMessageError(PeerRefusal.UNREADABLE, str(error)) from error
 
 
-def sign_ask(seal: Seal, kind: str, body: bytes, secret: str) -> Seal:
+def sign_request(seal: Seal, kind: str, body: bytes, secret: str) -> Seal:
     """:returns: ``seal`` with the signature of a request"""
     return seal._replace(signature=_sign(secret, (_ASK, kind, seal), body))
 
@@ -61,16 +63,16 @@
 ) -> Seal:
     """:returns: ``seal`` with the signature of the answer to one request
 
-    The request's signature is part of what is signed: an answer to another
-    request, though authentic, does not pass for the answer to this one.
+    The signature covers the request's signature, so that an authentic answer to
+    another request is not accepted for this one.
     """
     parts = (_ANSWER, request_signature, status, seal)
     return seal._replace(signature=_sign(secret, parts, body))
 
 
-def is_ask_authentic(seal: Seal, kind: str, body: bytes, secret: str) -> bool:
+def is_request_authentic(seal: Seal, kind: str, body: bytes, secret: str) -> bool:
     """:returns: whether the holder of ``secret`` signed this request"""
-    expected = sign_ask(seal, kind, body, secret).signature
+    expected = sign_request(seal, kind, body, secret).signature
     return hmac.compare_digest(expected, seal.signature)
 
 
@@ -83,7 +85,7 @@
 
 
 def _sign(secret: str, parts: tuple[object, ...], body: bytes) -> str:
-    # JSON quotes each part, so no part can reach over into its neighbour.
+    # JSON delimits the parts, so no two different sequences of parts encode alike.
     *heads, seal = parts
     assert isinstance(seal, Seal)
     head = msgspec.json.encode((*heads, *seal._replace(signature="")))
@@ -97,7 +99,7 @@
     "decode_seal",
     "encode_seal",
     "is_answer_authentic",
-    "is_ask_authentic",
+    "is_request_authentic",
     "sign_answer",
-    "sign_ask",
+    "sign_request",
 )
--- a/src/quetzaldeck/peers/settings.py
+++ b/src/quetzaldeck/peers/settings.py
@@ -8,17 +8,18 @@
 
 
 class PeerSettings(NamedTuple):
-    """Keys that the agents of a fleet share.
+    """Secret keys shared by the agents of a fleet.
 
-    A key is rotated in three steps, each rolled over the whole fleet: add the new
-    key to ``keys``, name it in ``key_id``, take the old key out of ``keys``.
+    A key is rotated in three steps, each rolled out to the whole fleet: add the new
+    key to ``keys``, set ``key_id`` to it, remove the old key from ``keys``.
     """
 
     keys: Annotated[
         dict[str, str], Option("Shared secrets (text, 16 characters or more) by id.")
     ] = {}  # noqa: RUF012 - settings are never changed in place
     key_id: Annotated[
-        str, Option("Key that signs what this agent asks; empty: the first.")
+        str,
+        Option("Id of the key that signs requests of this agent; empty: the first."),
     ] = ""
 
 
