--- a/src/quetzaldeck/pauses/__init__.py
+++ b/src/quetzaldeck/pauses/__init__.py
@@ -1,4 +1,4 @@
-"""Pauses: re-validation before every effect.
+"""Detection of process pauses between a decision and its effect.
 
 >>> from quetzaldeck.clock import ManualClock
 >>> from quetzaldeck.pauses import PauseError, PauseGuard
@@ -16,6 +16,6 @@
 
 from __future__ import annotations
 
-from quetzaldeck.pauses.guard import Moment, PauseError, PauseGuard
+from quetzaldeck.pauses.guard import DecisionTime, PauseError, PauseGuard
 
-__all__ = ("Moment", "PauseError", "PauseGuard")
+__all__ = ("DecisionTime", "PauseError", "PauseGuard")
--- a/src/quetzaldeck/pauses/guard.py
+++ b/src/quetzaldeck/pauses/guard.py
@@ -1,4 +1,4 @@
-"""Detects that a process stood still between a decision and its effect."""
+"""Detects that a process was paused between a decision and its effect."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
     from quetzaldeck.clock import Clock
 
 
-class Moment(NamedTuple):
-    """When a decision was made, by both clocks, in milliseconds."""
+class DecisionTime(NamedTuple):
+    """Time of a decision by the monotonic and the wall clock, in milliseconds."""
 
     monotonic_ms: float
     wall_ms: float
 
 
 class PauseError(Exception):
-    """A decision is too old to act on; make it anew.
+    """A decision is too old to act on and must be made again.
 
     :param elapsed_ms: time since the decision
     """
@@ -26,7 +26,7 @@
     def __init__(self, elapsed_ms: float, max_ms: float) -> None:
         super().__init__(
             f"{elapsed_ms:.0f} ms have passed since the decision, more than "
-            f"{max_ms:.0f}; decide anew on what is known now"
+            f"{max_ms:.0f}; decide again with current data"
         )
         self._elapsed_ms = elapsed_ms
 
@@ -37,20 +37,21 @@
 
 
 class PauseGuard:
-    """Brackets each decision that has an effect outside of the process.
+    """Rejects decisions that became too old before they took effect.
 
-    A process that is stopped, swapped out or moved to another machine wakes up and
-    goes on where it stood: it sends a command that another has overruled, or runs a
-    call whose claim has ended. Nobody can wake it in time, so it looks at the clock
-    itself, as the last thing before the effect. What remains is a pause between the
-    look and the effect; a lease must outlast that by its margin.
+    A process that is stopped, swapped out or migrated to another machine resumes
+    where it was paused: it would send a command that another VM has superseded, or
+    run a call whose claim has expired. Nothing outside the process can prevent that,
+    so the process checks the clock itself as the last step before the effect. A pause
+    between the check and the effect goes undetected; the margin of a lease has to
+    cover it.
 
-    The monotonic clock stands still while a whole VM is suspended, the wall clock
-    does not, so the longer of both counts. A wall clock that is set forward then
-    looks like a pause: the decision is made anew, which does no harm.
+    The monotonic clock stops while a whole VM is suspended and the wall clock does
+    not, so the larger of the two differences counts. A wall clock that is set forward
+    looks like a pause; the decision is then made again, which is harmless.
 
-    :param max_pause_ms: age at which a decision is void
-    :param on_pause: told the length of each pause that was found
+    :param max_pause_ms: age from which a decision is rejected
+    :param on_pause: called with the length of each detected pause
     """
 
     def __init__(
@@ -64,22 +65,22 @@
         self._max_pause_ms = max_pause_ms
         self._on_pause = on_pause
 
-    def begin(self) -> Moment:
-        """:returns: the moment of a decision, to be checked before its effect"""
-        return Moment(self._clock.now_ms(), self._clock.wall_ms())
+    def begin(self) -> DecisionTime:
+        """:returns: the time of a decision, to be checked before its effect"""
+        return DecisionTime(self._clock.now_ms(), self._clock.wall_ms())
 
-    def elapsed_ms(self, since: Moment) -> float:
-        """:returns: time since a moment, suspensions of the VM included"""
+    def elapsed_ms(self, since: DecisionTime) -> float:
+        """:returns: time since a decision, suspensions of the VM included"""
         return max(
             self._clock.now_ms() - since.monotonic_ms,
             self._clock.wall_ms() - since.wall_ms,
         )
 
-    def check(self, since: Moment, *, max_ms: float | None = None) -> None:
+    def check(self, since: DecisionTime, *, max_ms: float | None = None) -> None:
         """Check that a decision may still take effect.
 
-        :param max_ms: age at which it is void; the guard's own if not given
-        :raises PauseError: if it is void
+        :param max_ms: age from which it is rejected; ``max_pause_ms`` if not given
+        :raises PauseError: if it is too old
         """
         max_ms = self._max_pause_ms if max_ms is None else max_ms
         elapsed_ms = self.elapsed_ms(since)
@@ -90,4 +91,4 @@
         raise PauseError(elapsed_ms, max_ms)
 
 
-__all__ = ("Moment", "PauseError", "PauseGuard")
+__all__ = ("DecisionTime", "PauseError", "PauseGuard")
--- a/tests/pauses/test_guard.py
+++ b/tests/pauses/test_guard.py
@@ -1,4 +1,4 @@
-"""Decisions that are too old take no effect."""
+"""Decisions that are too old are rejected before they take effect."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
         guard.check(decided)
         print("sent", flush=True)
     except PauseError:
-        print("void", flush=True)
+        print("rejected", flush=True)
 """
 
 
 class SuspendedClock(ManualClock):
-    """A VM that was suspended: only its wall clock has moved on."""
+    """Clock of a suspended VM: only the wall clock advances."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,7 +44,7 @@
         return super().wall_ms() + self.suspended_ms
 
 
-def test_check_passes_what_is_fresh() -> None:
+def test_check_accepts_recent_decision() -> None:
     clock = ManualClock()
     guard = PauseGuard(clock, max_pause_ms=100)
     decided = guard.begin()
@@ -52,7 +52,7 @@
     guard.check(decided)
 
 
-def test_check_refuses_and_tells_of_a_pause() -> None:
+def test_check_rejects_old_decision_and_reports_pause() -> None:
     clock = ManualClock()
     pauses: list[float] = []
     guard = PauseGuard(clock, max_pause_ms=100, on_pause=pauses.append)
@@ -63,24 +63,23 @@
     assert pauses == [3_600_000]
 
 
-def test_check_sees_a_suspended_vm() -> None:
-    """The hypervisor suspends a VM for a minute; its monotonic clock stands still.
+def test_check_detects_a_suspended_vm() -> None:
+    """The hypervisor suspends a VM for a minute and its monotonic clock stops.
 
-    Woken up, it would send what it decided a minute ago.
+    With the monotonic clock alone, the VM would act on a decision made a minute ago.
     """
     clock = SuspendedClock()
     guard = PauseGuard(clock, max_pause_ms=100)
     decided = guard.begin()
     clock.suspended_ms = 60_000
-    with pytest.raises(PauseError, match="decide anew"):
+    with pytest.raises(PauseError, match="decide again with current data"):
         guard.check(decided)
 
 
-def test_stopped_process_sends_nothing_stale() -> None:
-    """A process is stopped between its decision and the effect, then continued.
+def test_stopped_process_rejects_its_old_decision() -> None:
+    """A process is stopped (SIGSTOP) between a decision and its effect, then continued.
 
-    It goes on where it stood, and knows of the pause only by its clock; what it
-    decided before must not be sent.
+    It can detect the pause only by its clock, and must not act on the old decision.
     """
     with subprocess.Popen(
         [sys.executable, "-c", CHILD],
@@ -97,7 +96,7 @@
         child.send_signal(signal.SIGCONT)
         child.stdin.write("\n")
         child.stdin.flush()
-        assert child.stdout.readline() == "void\n"
+        assert child.stdout.readline() == "rejected\n"
         assert child.stdout.readline() == "decided\n"
         child.kill()
 
