--- a/src/quetzaldeck/agent/__init__.py
+++ b/src/quetzaldeck/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent: the control path of one VM."""
+"""The agent: the control plane process of one VM."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/agent/build_tasks.py
+++ b/src/quetzaldeck/agent/build_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of the agent, built from its session."""
+"""Builds the agent's tasks from its session."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def build_load_task(session: AgentSession, client: aiohttp.ClientSession) -> LoadTask:
-    """:returns: the task that reads what upstreams report"""
+    """:returns: the task that reads the load reports of upstreams"""
     return LoadTask(
         session.store,
         client,
@@ -67,11 +67,11 @@
 def build_command_task(
     session: AgentSession, client: aiohttp.ClientSession
 ) -> CommandTask:
-    """:returns: the task that commands engines"""
+    """:returns: the task that sends commands to engines"""
     sources = CommandSources(
         read_view=lambda: session.view,
-        # What a fresh agent has read first may be stale: it commands by it only
-        # once its peers know of nothing newer.
+        # The first bundle that a new agent reads may be stale; no commands are sent
+        # by it before the peers were asked for a newer one.
         read_bundle=lambda: session.store.bundle if session.is_ready else None,
         read_loads=session.list_loads,
         read_leaving=lambda: session.leaving_upstreams,
@@ -90,7 +90,7 @@
 def build_reclaim_task(
     session: AgentSession, client: aiohttp.ClientSession
 ) -> ReclaimTask:
-    """:returns: the task that gives engines their memory back"""
+    """:returns: the task that releases orphaned memory on engines"""
     sources = ReclaimSources(
         read_view=lambda: session.view,
         read_bundle=lambda: session.store.bundle,
--- a/src/quetzaldeck/agent/bundle_task.py
+++ b/src/quetzaldeck/agent/bundle_task.py
@@ -1,4 +1,4 @@
-"""The task that reads the configuration service."""
+"""The task that reads the bundle from the configuration service."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     from quetzaldeck.directory import ConfigurationService, Published
     from quetzaldeck.telemetry import AgentMetrics
 
-# All other calls ask for a newer revision only. A bundle may have a megabyte, so
-# reading it whole must be rare.
-FULL_READ_MS = 3_600_000.0
-_SLICE_MS = 1_000.0
+# Interval of full reads; all other calls ask for newer revisions only. A bundle may
+# have a megabyte, so full reads must be rare.
+FULL_READ_INTERVAL_MS = 3_600_000.0
+_WATCHER_CHECK_MS = 1_000.0
 
 
 class BundleTask:
-    """Watches the bundle's key, or reads it now and then while others watch.
+    """Watches the bundle's key, or polls it rarely while other VMs watch it.
 
     :param service: the configuration service
-    :param exchange: takes what was read, and spreads it
-    :param is_watcher: whether this VM is one of the few that watch at present
+    :param exchange: receives the envelopes read, and distributes them to peers
+    :param is_watcher: whether this VM is currently one of the few that watch
     """
 
     def __init__(
@@ -64,20 +64,20 @@
             except PlatformError as error:
                 self._metrics.platform_errors.labels("bundle").inc()
                 log_event("bundle_watch_failed", level="WARNING", error=error)
-                # A service that comes back from a restore may show lower revisions
-                # than before; asked for newer ones only, it would be mute for ever.
+                # A service restored from a backup may have lower revisions than
+                # before; a watch for newer ones would then never return.
                 self._full_read_due_ms = self._clock.now_ms()
                 await asyncio.sleep(self._settings.retry_ms / 1_000)
                 continue
             if not is_watcher:
-                await self._sleep_while_others_watch()
+                await self._wait_as_non_watcher()
 
     async def _call(self, *, is_watcher: bool) -> None:
         key = self._settings.bundle_key
         self._metrics.platform_calls.labels("bundle").inc()
         if self._clock.now_ms() >= self._full_read_due_ms:
             published = await self._service.read(key)
-            self._full_read_due_ms = self._clock.now_ms() + FULL_READ_MS
+            self._full_read_due_ms = self._clock.now_ms() + FULL_READ_INTERVAL_MS
             self._revision = 0 if published is None else published.revision
         else:
             timeout_ms = self._settings.watch_timeout_ms if is_watcher else 0
@@ -87,13 +87,13 @@
         elif is_watcher:
             await asyncio.sleep(self._settings.retry_ms / 1_000)
 
-    async def _sleep_while_others_watch(self) -> None:
-        # Spread at random, so that a fleet that started together does not read
-        # together; cut short when this VM becomes a watcher.
-        left_ms = self._settings.read_interval_ms * self._random.uniform(0.5, 1.5)
-        while left_ms > 0 and not self._is_watcher():
-            await asyncio.sleep(min(left_ms, _SLICE_MS) / 1_000)
-            left_ms -= _SLICE_MS
+    async def _wait_as_non_watcher(self) -> None:
+        # Randomised so that VMs started together do not read at the same time; ends
+        # early if this VM becomes a watcher.
+        remaining_ms = self._settings.read_interval_ms * self._random.uniform(0.5, 1.5)
+        while remaining_ms > 0 and not self._is_watcher():
+            await asyncio.sleep(min(remaining_ms, _WATCHER_CHECK_MS) / 1_000)
+            remaining_ms -= _WATCHER_CHECK_MS
 
     def _take(self, published: Published) -> None:
         self._revision = published.revision
--- a/src/quetzaldeck/agent/gateway_watch.py
+++ b/src/quetzaldeck/agent/gateway_watch.py
@@ -1,4 +1,4 @@
-"""What the agent knows of its VM's gateway, and how long it waits for it."""
+"""Tracks whether this VM's gateway is running, so that the agent stops after it."""
 
 from __future__ import annotations
 
@@ -13,37 +13,39 @@
 
 
 class GatewayWatch:
-    """Remembers the gateway's last report.
+    """Keeps the gateway's last report and the time it arrived.
 
-    A VM is stopped with both programs at once. The agent ends last: requests that
-    are still in progress need it, e.g. to claim a key or to learn of a leaving
-    upstream. A gateway that died says no goodbye, so silence ends the wait too.
+    Both programs of a VM are stopped at the same time. The agent has to end last:
+    requests still in progress need it, e.g. to claim a key or to learn of a leaving
+    upstream. A crashed gateway sends no final report, so the wait also ends when
+    reports have stopped arriving.
 
-    :param quiet_ms: silence after which the gateway is taken for gone
+    :param quiet_ms: time without a report after which the gateway counts as gone
     """
 
     def __init__(self, clock: Clock, *, quiet_ms: float) -> None:
         self._clock = clock
         self._quiet_ms = quiet_ms
-        self._last: GatewayReport | None = None
-        self._heard_ms = 0.0
-        self._is_given_up = False
+        self._last_report: GatewayReport | None = None
+        self._last_report_ms = 0.0
+        self._is_wait_cancelled = False
 
     @property
     def is_gone(self) -> bool:
-        """:returns: whether the gateway has stopped, died, or never came"""
-        if self._last is None or self._last.is_stopped or self._is_given_up:
+        """:returns: whether the gateway has stopped, crashed, or never reported"""
+        last = self._last_report
+        if last is None or last.is_stopped or self._is_wait_cancelled:
             return True
-        return self._clock.now_ms() - self._heard_ms > self._quiet_ms
+        return self._clock.now_ms() - self._last_report_ms > self._quiet_ms
 
-    def note(self, report: GatewayReport) -> None:
-        """Take a report."""
-        self._last = report
-        self._heard_ms = self._clock.now_ms()
+    def note_report(self, report: GatewayReport) -> None:
+        """Record a report of the gateway."""
+        self._last_report = report
+        self._last_report_ms = self._clock.now_ms()
 
-    def give_up(self) -> None:
-        """Wait no longer for the gateway."""
-        self._is_given_up = True
+    def cancel_wait(self) -> None:
+        """Consider the gateway gone from now on."""
+        self._is_wait_cancelled = True
 
     async def wait_gone(self) -> None:
         """Wait until the gateway is gone."""
--- a/src/quetzaldeck/agent/leaving.py
+++ b/src/quetzaldeck/agent/leaving.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave, as this agent and its peers have read them."""
+"""Upstreams that are leaving, as read by this agent and its peers."""
 
 from __future__ import annotations
 
@@ -14,45 +14,46 @@
 
 LEAVING_KIND = "leaving"
 LEAVING_TTL_MS = 120_000
-RENEW_MS = LEAVING_TTL_MS / 4
+RENEWAL_INTERVAL_MS = LEAVING_TTL_MS / 4
 
 
 class LeavingUpstreams:
-    """Tells peers at once which upstreams the list has begun to name as leaving.
+    """Announces to peers which upstreams the platform's list shows as leaving.
 
-    In a large fleet each agent reads the list seldom. The first one that sees an
-    upstream leave tells all, so none sends it new work for a whole interval more.
+    In a large fleet each agent reads the list rarely. The first agent that reads that
+    an upstream is leaving announces it to all, so that the others don't send it new
+    work until their own next read.
     """
 
     def __init__(self, records: RecordStore, clock: Clock) -> None:
         self._records = records
         self._clock = clock
-        self._told_ms: dict[str, float] = {}
+        self._announced_ms: dict[str, float] = {}
 
     @property
     def names(self) -> tuple[str, ...]:
         """:returns: upstreams that get no new work"""
-        told = {record.key for record in self._records.list_since(0, LEAVING_KIND)}
-        return tuple(sorted(told | set(self._told_ms)))
+        shared = {record.key for record in self._records.list_since(0, LEAVING_KIND)}
+        return tuple(sorted(shared | set(self._announced_ms)))
 
     def apply_list(self, vms: tuple[VmEntry, ...]) -> bool:
-        """Take the list as just read.
+        """Update the announced upstreams from a new read of the list.
 
-        :returns: whether there is something to tell at once
+        :returns: whether there is a new one, to be sent to peers at once
         """
         leaving = {
             vm.vm
             for vm in vms
             if vm.role == VmRole.UPSTREAM and vm.state == VmState.LEAVING
         }
-        for name in set(self._told_ms) - leaving:
-            del self._told_ms[name]
-        new = leaving - set(self._told_ms)
+        for name in set(self._announced_ms) - leaving:
+            del self._announced_ms[name]
+        new = leaving - set(self._announced_ms)
         now_ms = self._clock.now_ms()
         for name in leaving:
-            told_ms = self._told_ms.get(name)
-            if told_ms is None or now_ms - told_ms >= RENEW_MS:
-                self._told_ms[name] = now_ms
+            announced_ms = self._announced_ms.get(name)
+            if announced_ms is None or now_ms - announced_ms >= RENEWAL_INTERVAL_MS:
+                self._announced_ms[name] = now_ms
                 self._records.put(
                     RecordDraft(LEAVING_KIND, name, 1, LEAVING_TTL_MS, name in new)
                 )
--- a/src/quetzaldeck/agent/load_plan.py
+++ b/src/quetzaldeck/agent/load_plan.py
@@ -1,19 +1,19 @@
-"""Which upstreams an agent reads the load of. No I/O.
-
-Load pattern: 410 agents before 780 upstreams. If each read each, a node alone
-would spend 780 reads an interval, and each upstream would answer 410 of them.
-
-Each upstream has one agent that reads it often, chosen by rendezvous hashing over
-the live VMs, and that tells the others through gossip. Half of an agent's reads go
-to the other upstreams in rotation, so that what gossip tells late is also read
-first-hand in a small fleet. Agents that disagree about the live VMs only
-read an upstream twice; an upstream whose agent died is read by another one as soon
-as the death is suspected.
-
-Grounds for the figures: 140 reads a second over the whole fleet are 20 for each of
-7 VMs: it reads its own two or three of 17 upstreams several times a second and each
-other one about once in 1.4 s. From 70 VMs on each has 2 a second: it reads its two
-of 780 upstreams every two seconds.
+"""Selects the upstreams whose load an agent reads. No I/O.
+
+In a fleet of 410 agents and 780 upstreams, if every agent read every upstream, each
+agent would make 780 reads per interval and each upstream would answer 410.
+
+Instead, each upstream is assigned to one agent by rendezvous hashing over the live
+VMs; this agent reads it often and shares the reports by gossip. Half of an agent's
+reads go to the other upstreams in rotation, so that in a small fleet every agent also
+reads directly what gossip delivers late. Agents that disagree about the live VMs
+merely read an upstream twice. An upstream whose agent died is taken over by another
+one as soon as that agent is suspected.
+
+The budget of 140 reads per second for the whole fleet gives each of 7 VMs 20 per
+second: it reads its own two or three of 17 upstreams several times per second and
+each other one about once in 1.4 s. From 70 VMs on, the minimum of 2 per second
+applies: with 780 upstreams a VM reads its own two every two seconds.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class LoadPlan:
-    """Chooses what one agent reads next.
+    """Chooses the upstreams that one agent reads next.
 
     :param vm: the agent's VM
     """
@@ -49,9 +49,9 @@
     def choose(
         self, upstreams: Collection[str], live_vms: Collection[str], elapsed_ms: float
     ) -> tuple[str, ...]:
-        """:returns: upstreams to read now, this agent's own ones first
+        """:returns: upstreams to read now, those assigned to this agent first
 
-        :param elapsed_ms: time since the last call
+        :param elapsed_ms: time since the previous call
         """
         vms = frozenset((*live_vms, self._vm))
         names = frozenset(upstreams)
@@ -63,7 +63,8 @@
         return tuple(chosen)
 
     def _find_own(self, vms: frozenset[str], names: frozenset[str]) -> frozenset[str]:
-        # 410 VMs and 780 upstreams are 320,000 hashes: once a change, not a round.
+        # 410 VMs and 780 upstreams take 320,000 hashes, so they are computed only when
+        # the VMs or upstreams have changed.
         if (vms, names) != self._owned_among:
             self._owned_among = (vms, names)
             self._owned = frozenset(
@@ -74,7 +75,7 @@
     def _rotate(
         self, rotation: deque[str], names: frozenset[str], max_names: int
     ) -> list[str]:
-        """:returns: names from the front of ``rotation``, as the budget allows"""
+        """:returns: names from the front of ``rotation``, within the budget"""
         if set(rotation) != names:
             kept = [name for name in rotation if name in names]
             added = sorted(names.difference(kept))
--- a/src/quetzaldeck/agent/load_task.py
+++ b/src/quetzaldeck/agent/load_task.py
@@ -1,4 +1,4 @@
-"""The task that reads the load of upstreams and shares it."""
+"""The task that reads the load of engines and shares the reports with peers."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
     from quetzaldeck.telemetry import AgentMetrics
 
 LOAD_KIND = "load"
-# A report that nobody renews is forgotten: placement then takes the upstream's
-# load for unknown, which is better than an old low figure that draws all work.
+# A report that is not renewed expires: placement then treats the upstream's load as
+# unknown, whereas an outdated low load would attract all requests.
 LOAD_TTL_MS = 10_000
 
 
 class LoadTask:
-    """Reads a share of the upstreams; holds what it and its peers have read.
+    """Reads the load of some engines and keeps the reports of this VM and its peers.
 
     :param records: shares the reports with the other VMs
-    :param read_view: which VMs share the reads
+    :param read_view: current membership; the live VMs divide the reads among them
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._reports: dict[str, tuple[float, LoadReport]] = {}
 
     def list_reports(self) -> tuple[LoadReport, ...]:
-        """:returns: the newest report of each engine, with its age as of now"""
+        """:returns: the newest report of each engine, with its current age"""
         now_ms = self._clock.now_ms()
         reports = {
             name: report._replace(age_ms=report.age_ms + now_ms - read_ms)
--- a/src/quetzaldeck/agent/pause_detector.py
+++ b/src/quetzaldeck/agent/pause_detector.py
@@ -1,4 +1,4 @@
-"""Detects that this process, or its whole VM, has been paused."""
+"""Detects that this process or its whole VM was paused."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class PauseDetector:
-    """Compares the time between two steps of a task with what it should be.
+    """Compares the time between two steps of a periodic task with its upper bound.
 
-    Both clocks are read: the monotonic one of some hosts stands still while a VM is
-    suspended, the wall clock may be set back while it runs.
+    Both clocks are read: on some hosts the monotonic clock stops while a VM is
+    suspended, and the wall clock may be set back.
 
     :param max_gap_ms: a longer time between two calls of :meth:`check` is a pause
     """
--- a/src/quetzaldeck/agent/service.py
+++ b/src/quetzaldeck/agent/service.py
@@ -1,4 +1,4 @@
-"""The agent's HTTP side."""
+"""The agent's HTTP service."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 
 class AgentService(HttpServiceBase):
-    """The control path of one VM.
+    """Serves the gateway of this VM, peer agents and operators over HTTP.
 
-    :param middlewares: of the HTTP side, e.g. to cut peers off in tests
+    :param middlewares: of the HTTP server, e.g. to simulate partitions in tests
     """
 
     def __init__(
@@ -53,7 +53,7 @@
 
     @property
     def session(self) -> AgentSession:
-        """:returns: the run that the service serves"""
+        """:returns: the session behind the service"""
         return self._session
 
     async def open(self) -> web.Application:
@@ -77,9 +77,9 @@
         return application
 
     async def drain(self) -> int:
-        """Wait for the gateway to finish, then leave.
+        """Wait for the gateway to finish, then leave the fleet.
 
-        :returns: 0: callers' requests are the gateway's to count
+        :returns: 0: aborted requests of callers are counted by the gateway
         """
         self._session.begin_leaving()
         await self._session.gateway_watch.wait_gone()
@@ -87,22 +87,22 @@
         return 0
 
     def cut_off(self) -> None:
-        """Wait no longer for the gateway."""
-        self._session.gateway_watch.give_up()
+        """Stop waiting for the gateway."""
+        self._session.gateway_watch.cancel_wait()
 
     async def start(self) -> None:
-        """Listen, then meet the peers at the address listened on."""
+        """Start to listen, then to gossip under the address listened on."""
         await super().start()
         await self._session.meet_peers(self.address)
 
     async def stop(self, exception: BaseException | None = None) -> None:
-        """Tell the peers, then stop listening."""
+        """Leave the fleet, then stop listening."""
         if self.leaves_on_stop and exception is None:
             await self._session.leave()
         await super().stop(exception)
 
     async def close(self) -> None:
-        """End the session."""
+        """Close the session."""
         await self._session.__aexit__(None, None, None)
 
     async def _exchange(self, request: web.Request) -> web.Response:
--- a/src/quetzaldeck/agent/session.py
+++ b/src/quetzaldeck/agent/session.py
@@ -220,7 +220,7 @@
 
     def exchange(self, report: GatewayReport) -> AgentView:
         """:returns: what the gateway that sent ``report`` must know"""
-        self.gateway_watch.note(report)
+        self.gateway_watch.note_report(report)
         self.owners.note_report(report.incarnation, is_stopped=report.is_stopped)
         for draft in report.records:
             try:
--- a/src/quetzaldeck/agent/status.py
+++ b/src/quetzaldeck/agent/status.py
@@ -1,4 +1,4 @@
-"""What an agent says about itself at ``GET /v1/status``."""
+"""The agent's status at ``GET /v1/status``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 class AgentStatus(TypedDict):
     """State of one agent.
 
-    ``bundle_digest`` tells two contents of one version apart.
+    :param bundle_digest: tells bundles of the same version with different contents
+        apart
     """
 
     program: str
@@ -28,7 +29,7 @@
 
 
 def build_status(session: AgentSession) -> AgentStatus:
-    """:returns: the agent's state now"""
+    """:returns: the agent's current state"""
     store = session.store
     return {
         "program": "agent",
--- a/src/quetzaldeck/agent/vm_list_task.py
+++ b/src/quetzaldeck/agent/vm_list_task.py
@@ -16,18 +16,19 @@
     from quetzaldeck.directory import VmEntry, VmList
     from quetzaldeck.telemetry import AgentMetrics
 
-# Up to so many entry VMs read the list at every interval; more of them share as
-# many reads. The list grows with the fleet, so its reads must not as well: at 410
-# VMs and 780 upstreams it has about 120 KB, far over what a node may spend a second.
-N_FULL_RATE = 4
+# Up to this many entry VMs read the list at every interval; in a larger fleet each
+# reads more rarely, so that the total rate stays the same. The list grows with the
+# fleet: at 410 VMs and 780 upstreams it has about 120 KB, far more than a VM may spend
+# on control traffic per second.
+N_FULL_RATE_VMS = 4
 
 
 class VmListTask:
-    """Reads the list and passes it on.
+    """Polls the platform's list of VMs.
 
     :param vm_list: the platform's list
     :param on_read: called with the VMs after each read
-    :param count_live: entry VMs that share the reads
+    :param count_live: returns the number of live entry VMs, which divide the reads
     """
 
     def __init__(
@@ -59,10 +60,10 @@
             await asyncio.sleep(self._choose_wait_ms() / 1_000)
 
     def _choose_wait_ms(self) -> float:
-        factor = max(1.0, self._count_live() / N_FULL_RATE)
-        # At random, so that the reads of the fleet are spread over the time.
+        factor = max(1.0, self._count_live() / N_FULL_RATE_VMS)
+        # Random, so that the VMs do not all read at the same time.
         jitter = self._random.uniform(0.5, 1.5) if factor > 1 else 1.0
         return self._settings.vm_list_interval_ms * factor * jitter
 
 
-__all__ = ("N_FULL_RATE", "VmListTask")
+__all__ = ("N_FULL_RATE_VMS", "VmListTask")
--- a/tests/agent/test_gateway_watch.py
+++ b/tests/agent/test_gateway_watch.py
@@ -22,20 +22,20 @@
     """A gateway that dies says no goodbye; the agent must not wait for ever."""
     watch = GatewayWatch(clock, quiet_ms=1_000)
     assert watch.is_gone
-    watch.note(REPORT)
+    watch.note_report(REPORT)
     assert not watch.is_gone
     clock.advance(1_001)
     assert watch.is_gone
-    watch.note(REPORT)
+    watch.note_report(REPORT)
     assert not watch.is_gone
-    watch.note(REPORT._replace(is_stopped=True))
+    watch.note_report(REPORT._replace(is_stopped=True))
     assert watch.is_gone
 
 
 def test_give_up_ends_the_wait(clock: ManualClock) -> None:
     watch = GatewayWatch(clock, quiet_ms=1_000)
-    watch.note(REPORT)
-    watch.give_up()
+    watch.note_report(REPORT)
+    watch.cancel_wait()
     assert watch.is_gone
 
 
