--- a/src/quetzaldeck/agent/settings.py
+++ b/src/quetzaldeck/agent/settings.py
@@ -14,7 +14,7 @@
 
 
 class PlatformSettings(NamedTuple):
-    """Where the platform publishes."""
+    """Services of the platform that the agent reads, and how often."""
 
     configuration_address: Annotated[
         str, Option("Base URL of the configuration service.")
@@ -24,36 +24,40 @@
         str, Option("Adapter for the configuration service.")
     ] = "http"
     vm_list_protocol: Annotated[str, Option("Adapter for the list of VMs.")] = "http"
-    bundle_key: Annotated[str, Option("Key of the bundle.")] = "bundle"
+    bundle_key: Annotated[
+        str, Option("Key of the bundle in the configuration service.")
+    ] = "bundle"
     watch_timeout_ms: Annotated[
-        int, Option("Length of one watch.", unit="ms", minimum=100)
+        int, Option("Timeout of one watch call.", unit="ms", minimum=100)
     ] = 20_000
     retry_ms: Annotated[
-        int, Option("Pause after a failed call.", unit="ms", minimum=10)
+        int, Option("Wait after a failed call.", unit="ms", minimum=10)
     ] = 500
     read_interval_ms: Annotated[
         int,
         Option(
-            "Time between reads of a VM that does not watch.", unit="ms", minimum=50
+            "Time between bundle reads of a VM that does not watch.",
+            unit="ms",
+            minimum=50,
         ),
     ] = 600_000
     max_watchers: Annotated[
-        int, Option("VMs of the fleet that watch at a time.", minimum=1)
+        int, Option("VMs of the fleet that watch at the same time.", minimum=1)
     ] = 8
     vm_list_interval_ms: Annotated[
-        int, Option("Time between reads of the list.", unit="ms", minimum=50)
+        int, Option("Time between reads of the list of VMs.", unit="ms", minimum=50)
     ] = 1_000
 
 
 class AgentSettings(NamedTuple):
-    """The agent of one VM."""
+    """Settings of the agent of one VM."""
 
     vm: Annotated[str, Option("Id of this VM.", minimum=1)]
-    availability_zone: Annotated[str, Option("Zone of this VM.")]
-    listen: Annotated[ListenAddress, Option("Where the agent listens.")]
-    platform: Annotated[PlatformSettings, Option("What the platform publishes.")]
+    availability_zone: Annotated[str, Option("Availability zone of this VM.")]
+    listen: Annotated[ListenAddress, Option("Address on which the agent listens.")]
+    platform: Annotated[PlatformSettings, Option("Services of the platform.")]
     bundle_keys: Annotated[
-        dict[str, str], Option("Trusted public keys (base64) by key id.")
+        dict[str, str], Option("Trusted public keys of bundles (base64) by key id.")
     ]
     load_interval_ms: Annotated[
         int, Option("Time between reads of an upstream's load.", unit="ms", minimum=50)
@@ -61,7 +65,7 @@
     gateway_quiet_ms: Annotated[
         int,
         Option(
-            "At a stop, silence after which the gateway is taken for gone.",
+            "At a stop, time without a report after which the gateway counts as gone.",
             unit="ms",
             minimum=100,
         ),
@@ -69,32 +73,32 @@
     leave_timeout_ms: Annotated[
         int,
         Option(
-            "For each part of leaving: telling peers, handing claims over.",
+            "Timeout of each step of leaving: notifying peers, handing claims over.",
             unit="ms",
             minimum=10,
         ),
     ] = 2_000
     advertise: Annotated[
-        str, Option("Base URL at which peers reach the agent; empty: where it listens.")
+        str, Option("Base URL at which peers reach the agent; empty: that of listen.")
     ] = ""
     peers: Annotated[PeerSettings, Option("Keys shared by all agents.")] = (
         PeerSettings()
     )
-    membership: Annotated[MembershipSettings, Option("Probes and their times.")] = (
+    membership: Annotated[MembershipSettings, Option("Probes and their timing.")] = (
         MembershipSettings()
     )
-    claims: Annotated[ClaimSettings, Option("Claims on calls that run once.")] = (
-        ClaimSettings()
-    )
+    claims: Annotated[
+        ClaimSettings, Option("Claims on calls that run at most once.")
+    ] = ClaimSettings()
     commands: Annotated[CommandSettings, Option("Commands to engines.")] = (
         CommandSettings()
     )
-    reclaim: Annotated[ReclaimSettings, Option("Memory left behind on engines.")] = (
+    reclaim: Annotated[ReclaimSettings, Option("Orphaned memory on engines.")] = (
         ReclaimSettings()
     )
     join_timeout_ms: Annotated[
         int,
-        Option("Longest wait for peers before a fresh agent is ready.", unit="ms"),
+        Option("Longest wait of a new agent for peers before it is ready.", unit="ms"),
     ] = 5_000
 
 
--- a/tests/agent/test_bundles_in_fleet.py
+++ b/tests/agent/test_bundles_in_fleet.py
@@ -1,4 +1,4 @@
-"""Bundles reach every VM and never step back."""
+"""Bundles reach every VM and are never replaced by older ones."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 SMALL = FleetSettings(n_vms=3, n_engines=1)
 
 
-def versions(fleet: Fleet) -> set[int]:
+def list_versions(fleet: Fleet) -> set[int]:
     return {vm.agent.session.store.version for vm in fleet.vms.values()}
 
 
-def n_refused(fleet: Fleet, vm: str, why: str) -> float:
+def count_refused(fleet: Fleet, vm: str, why: str) -> float:
     registry = fleet.vms[vm].agent.session.metrics.registry
     name = "quetzaldeck_agent_bundles_refused_total"
     return registry.get_sample_value(name, {"why": why}) or 0.0
 
 
-def n_errors(fleet: Fleet) -> float:
+def count_errors(fleet: Fleet) -> float:
     registry = fleet.vms["entry-1"].agent.session.metrics.registry
     name = "quetzaldeck_agent_platform_errors_total"
     return registry.get_sample_value(name, {"what": "bundle"}) or 0.0
 
 
-async def roll(fleet: Fleet, version: int) -> None:
+async def roll_out(fleet: Fleet, version: int) -> None:
     await fleet.publish(fleet.build_bundle(version))
-    await wait_for(lambda: versions(fleet) == {version})
+    await wait_for(lambda: list_versions(fleet) == {version})
 
 
-async def gateway_versions(fleet: Fleet, vm: str, *, until: int) -> list[int]:
-    """:returns: the versions that the VM's gateway had in force, in turn"""
+async def record_versions(fleet: Fleet, vm: str, *, until: int) -> list[int]:
+    """:returns: the versions that the VM's gateway had in force, in order"""
     state = fleet.vms[vm].gateway.session.state
     seen: list[int] = []
     while not seen or seen[-1] != until:
@@ -47,29 +47,29 @@
 
 async def run_stale_service() -> None:
     async with Fleet(SMALL) as fleet:
-        await roll(fleet, 5)
+        await roll_out(fleet, 5)
         await fleet.meet()
         await fleet.publish(fleet.build_bundle(4))
         await fleet.start_vm("entry-9")
         async with asyncio.timeout(20):
-            seen = await gateway_versions(fleet, "entry-9", until=5)
+            seen = await record_versions(fleet, "entry-9", until=5)
         assert seen == [0, 5]
-        assert versions(fleet) == {5}
-        assert n_refused(fleet, "entry-1", "older") >= 1
+        assert list_versions(fleet) == {5}
+        assert count_refused(fleet, "entry-1", "older") >= 1
 
 
-def test_a_fresh_vm_beside_a_stale_service_starts_with_the_fleets_bundle() -> None:
-    """The configuration service serves version 4 again after version 5 was rolled.
+def test_a_new_vm_takes_the_fleets_bundle_over_a_stale_one() -> None:
+    """The configuration service serves version 4 again after 5 was rolled out.
 
-    A VM that is replaced at that moment reads 4. Were it to serve it, callers
-    would meet the old models on one VM in seven, until the service recovers.
+    A VM that is replaced at that moment reads 4. If it put 4 in force, callers would
+    get the old models from one VM in seven until the service recovers.
     """
     uvloop.run(run_stale_service())
 
 
 async def run_replacement() -> None:
     async with Fleet(SMALL) as fleet:
-        await roll(fleet, 2)
+        await roll_out(fleet, 2)
         await fleet.meet()
         fleet.configuration.is_down = True
         for index in (1, 2, 3):
@@ -77,39 +77,39 @@
             fresh = fleet.vms[f"entry-{index + 10}"].agent.session
             await wait_for(lambda fresh=fresh: fresh.is_ready)  # type: ignore[misc]
             await fleet.leave_vm(f"entry-{index}")
-        assert versions(fleet) == {2}
+        assert list_versions(fleet) == {2}
         assert set(fleet.vms) == {"entry-11", "entry-12", "entry-13"}
 
 
-def test_the_bundle_outlives_every_vm_that_read_it() -> None:
+def test_the_bundle_survives_the_replacement_of_all_vms() -> None:
     """All VMs are replaced one by one while the configuration service is down.
 
-    Nothing is kept on disks: the bundle lives on only if each fresh VM gets it
-    from a peer before the last VM that has read it goes.
+    Nothing is stored on disk: the bundle survives only if each new VM gets it from a
+    peer before the last VM that has read it is gone.
     """
     uvloop.run(run_replacement())
 
 
 async def run_conflict() -> None:
     async with Fleet(SMALL) as fleet:
-        await roll(fleet, 2)
+        await roll_out(fleet, 2)
         first = fleet.build_bundle(2)
         second = first._replace(models=(*first.models, ModelSpec("other", "1")))
         await fleet.publish(second)
-        await wait_for(lambda: n_refused(fleet, "entry-1", "conflict") >= 1)
+        await wait_for(lambda: count_refused(fleet, "entry-1", "conflict") >= 1)
         bundles = [vm.agent.session.store.bundle for vm in fleet.vms.values()]
         assert bundles == [first] * 3
-        await roll(fleet, 3)
+        await roll_out(fleet, 3)
 
 
-def test_a_version_with_two_contents_is_reported_and_the_first_stays() -> None:
+def test_a_second_bundle_of_the_same_version_is_refused_and_reported() -> None:
     uvloop.run(run_conflict())
 
 
 async def run_retired_key() -> None:
     new_private, new_public = generate_key()
     async with Fleet(SMALL) as fleet:
-        await roll(fleet, 2)
+        await roll_out(fleet, 2)
         await fleet.meet()
         settings = fleet.build_agent_settings("entry-9")
         agent = fleet.build_agent(settings._replace(bundle_keys={"new": new_public}))
@@ -125,80 +125,80 @@
         await fleet.configuration.publish(encode_envelope(envelope))
         await wait_for(lambda: agent.session.store.version == 3)
         await wait_for(lambda: agent.session.is_ready)
-        assert versions(fleet) == {2}
+        assert list_versions(fleet) == {2}
         agent.leaves_on_stop = False
         await agent.stop()
 
 
-def test_a_bundle_of_a_retired_key_does_not_come_in_force() -> None:
-    """A fresh VM's settings no longer trust the key that signed the fleet's bundle.
+def test_a_bundle_of_a_retired_key_is_refused() -> None:
+    """A new VM's settings no longer trust the key that signed the fleet's bundle.
 
-    It neither takes the bundle from the service nor from peers and stays not
-    ready, until a bundle signed by a trusted key is rolled; VMs that do not know
-    the new key keep what they have, for it is not theirs to trust.
+    The VM accepts the bundle neither from the service nor from peers, and is not
+    ready until a bundle signed with a trusted key is published. VMs that do not trust
+    the new key keep their bundle.
     """
     uvloop.run(run_retired_key())
 
 
-async def run_silent_watch() -> None:
+async def run_hanging_watch() -> None:
     settings = SMALL._replace(n_vms=1, watch_timeout_ms=300)
     async with Fleet(settings) as fleet:
         await wait_for(lambda: fleet.configuration.n_calls >= 2)
         fleet.configuration.silence_watches()
-        await roll(fleet, 2)
+        await roll_out(fleet, 2)
 
 
-def test_a_watch_that_goes_silent_is_given_up() -> None:
-    """Something on the way lost the open watch: no answer and no end ever come.
+def test_a_watch_without_an_answer_times_out() -> None:
+    """The network drops the connection of an open watch without closing it.
 
-    Without a bound of its own the agent would wait on it for ever, and every
-    later bundle would pass this VM by.
+    Without a timeout of its own the agent would wait for ever and miss every later
+    bundle.
     """
-    uvloop.run(run_silent_watch())
+    uvloop.run(run_hanging_watch())
 
 
 async def run_restored_service() -> None:
     async with Fleet(SMALL._replace(n_vms=1)) as fleet:
         for version in (2, 3, 4):
-            await roll(fleet, version)
+            await roll_out(fleet, version)
         fleet.configuration.is_down = True
         fleet.configuration.restore(fleet.sign(fleet.build_bundle(2)))
 
         fleet.configuration.break_connections()
-        await wait_for(lambda: n_errors(fleet) >= 1)
+        await wait_for(lambda: count_errors(fleet) >= 1)
         fleet.configuration.is_down = False
-        await wait_for(lambda: n_refused(fleet, "entry-1", "older") >= 1)
-        await roll(fleet, 5)
+        await wait_for(lambda: count_refused(fleet, "entry-1", "older") >= 1)
+        await roll_out(fleet, 5)
 
 
 def test_a_service_restored_to_lower_revisions_is_read_again() -> None:
-    """The configuration service comes back from a backup, its revisions too.
+    """The configuration service is restored from a backup, with lower revisions.
 
-    A watch for revisions above the last one seen would not return, until as many
+    A watch for revisions above the last one seen would not return until as many
     bundles were published as the backup had lost.
     """
     uvloop.run(run_restored_service())
 
 
 async def run_few_watchers() -> None:
-    # A probe answered late on a busy machine must not make another VM a watcher.
+    # A late probe answer on a busy machine must not make another VM a watcher.
     membership = FAST_MEMBERSHIP._replace(probe_timeout_ms=10_000)
     settings = SMALL._replace(n_vms=5, max_watchers=1, membership=membership)
     async with Fleet(settings) as fleet:
         await fleet.meet()
-        await roll(fleet, 2)
+        await roll_out(fleet, 2)
         await wait_for(lambda: fleet.configuration.n_waiting == 1)
         n_calls = fleet.configuration.n_calls
-        await roll(fleet, 3)
+        await roll_out(fleet, 3)
         assert fleet.configuration.n_calls - n_calls <= 3
 
 
-def test_few_vms_watch_and_peers_tell_the_others() -> None:
-    """A waiting watch is a call: one from each of 410 VMs would grow with them."""
+def test_few_vms_watch_and_the_others_get_bundles_from_peers() -> None:
+    """If each of 410 VMs held a watch open, the calls would grow with the fleet."""
     uvloop.run(run_few_watchers())
 
 
-async def run_alone() -> None:
+async def run_isolated_vm() -> None:
     settings = SMALL._replace(join_timeout_ms=600)
     async with Fleet(settings) as fleet:
         await fleet.meet()
@@ -210,10 +210,10 @@
         await wait_for(lambda: fresh.is_ready)
 
 
-def test_a_fresh_vm_without_peers_waits_its_bound_and_serves() -> None:
-    """A VM starts on the far side of a partition: no peer answers it.
+def test_a_new_vm_without_peers_serves_after_the_join_timeout() -> None:
+    """A VM starts during a partition and no peer answers it.
 
-    It cannot know whether its bundle is the newest; waiting for ever would turn a
-    partition into an outage. So it waits a stated time and then serves.
+    It cannot know whether its bundle is the newest, but waiting for ever would turn a
+    partition into an outage. It waits for ``join_timeout_ms`` and then serves.
     """
-    uvloop.run(run_alone())
+    uvloop.run(run_isolated_vm())
--- a/tests/agent/test_commands_in_fleet.py
+++ b/tests/agent/test_commands_in_fleet.py
@@ -1,4 +1,4 @@
-"""A new model version reaches the engines while calls go on."""
+"""A new model version is rolled out to the engines while requests are served."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from quetzaldeck.load import LoadReport
 
 
-async def roll_under_load() -> LoadReport:
+async def roll_out_under_load() -> LoadReport:
     settings = FleetSettings(n_vms=3, n_engines=4, n_services=0)
     async with Fleet(settings) as fleet:
         await fleet.meet()
@@ -42,18 +42,18 @@
         return build_report(await calls, {})
 
 
-def test_a_model_version_is_rolled_under_load() -> None:
+def test_a_model_version_is_rolled_out_under_load() -> None:
     """The bundle names a new version of the model while callers use the old one.
 
-    Each engine gets the weights once, from one commander, and gives the old ones up
-    only then; no call is lost over it.
+    Each engine loads the new weights once, commanded by one VM, and unloads the old
+    ones only afterwards; no request fails.
     """
-    report = uvloop.run(roll_under_load())
+    report = uvloop.run(roll_out_under_load())
     assert report.is_clean
     assert set(report.verdicts) == {"answered"}
 
 
-async def roll_with_one_vm_lost() -> None:
+async def roll_out_with_one_vm_lost() -> None:
     settings = FleetSettings(n_vms=3, n_engines=4, n_services=0)
     async with Fleet(settings) as fleet:
         await fleet.meet()
@@ -67,28 +67,30 @@
         )
 
 
-def test_a_roll_out_goes_on_when_a_commander_dies() -> None:
-    uvloop.run(roll_with_one_vm_lost())
+def test_a_roll_out_continues_when_a_commander_dies() -> None:
+    uvloop.run(roll_out_with_one_vm_lost())
 
 
-async def roll_without_room() -> None:
+async def roll_out_without_spare_capacity() -> None:
     settings = FleetSettings(n_vms=3, n_engines=3, n_services=0, max_models=1)
     async with Fleet(settings) as fleet:
         await fleet.meet()
         bundle = fleet.build_bundle(2)
         await fleet.publish(bundle._replace(models=(ModelSpec(MODEL, "2"),)))
         engines = list(fleet.engines.values())
-        least = len(engines)
+        min_serving = len(engines)
         async with asyncio.timeout(30):
             while not all(e.commands.models == [f"{MODEL}:2"] for e in engines):
-                least = min(least, sum(bool(e.commands.models) for e in engines))
+                min_serving = min(
+                    min_serving, sum(bool(e.commands.models) for e in engines)
+                )
                 await asyncio.sleep(0.002)
-        assert least >= 1
+        assert min_serving >= 1
 
 
-def test_engines_without_room_give_up_the_old_version_in_turn() -> None:
-    """Engines hold one version at a time, so each serves nobody while it loads.
+def test_engines_with_one_model_slot_are_upgraded_one_after_another() -> None:
+    """Engines hold one version at a time and serve no requests while they load.
 
-    Were they all unloaded at once, callers of the model would find no engine.
+    If all were unloaded at the same time, the model would be unavailable.
     """
-    uvloop.run(roll_without_room())
+    uvloop.run(roll_out_without_spare_capacity())
--- a/tests/agent/test_gateway_watch.py
+++ b/tests/agent/test_gateway_watch.py
@@ -1,4 +1,4 @@
-"""The agent of a VM that is stopped ends after its gateway."""
+"""When a VM is stopped, its agent ends after its gateway."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 REPORT = GatewayReport("v", "i", 1)
 
 
-def test_is_gone_after_a_goodbye_or_silence(clock: ManualClock) -> None:
-    """A gateway that dies says no goodbye; the agent must not wait for ever."""
+def test_is_gone_after_final_report_or_silence(clock: ManualClock) -> None:
+    """A crashed gateway sends no final report; the agent must not wait for ever."""
     watch = GatewayWatch(clock, quiet_ms=1_000)
     assert watch.is_gone
     watch.note_report(REPORT)
@@ -32,19 +32,19 @@
     assert watch.is_gone
 
 
-def test_give_up_ends_the_wait(clock: ManualClock) -> None:
+def test_cancel_wait_marks_the_gateway_gone(clock: ManualClock) -> None:
     watch = GatewayWatch(clock, quiet_ms=1_000)
     watch.note_report(REPORT)
     watch.cancel_wait()
     assert watch.is_gone
 
 
-def test_agent_stays_until_its_gateway_has_answered_everybody() -> None:
-    """Both programs of a VM get SIGTERM while a long answer is half way.
+def test_agent_runs_until_its_gateway_has_answered_all_requests() -> None:
+    """Both programs of a VM get SIGTERM while a long answer is being streamed.
 
-    Were the agent to end at once, the gateway could claim no key and learn of no
-    leaving upstream for what it still has to finish. And a response given
-    meanwhile must not keep the balancer's connection to this VM.
+    If the agent ended at once, the gateway could claim no key and learn of no leaving
+    upstream for its remaining requests. Responses sent meanwhile must also close the
+    load balancer's connection to this VM.
     """
 
     async def check() -> None:
--- a/tests/agent/test_load_plan.py
+++ b/tests/agent/test_load_plan.py
@@ -1,4 +1,4 @@
-"""Which upstreams an agent reads the load of."""
+"""Selection of the upstreams whose load an agent reads."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 INTERVAL_MS = 250.0
 N_ROUNDS = 40
-SECONDS = INTERVAL_MS * N_ROUNDS / 1_000
+DURATION_S = INTERVAL_MS * N_ROUNDS / 1_000
 
 
-def read(n_vms: int, n_upstreams: int) -> list[Counter[str]]:
-    """:returns: how often each VM reads each upstream in ten seconds"""
+def count_reads(n_vms: int, n_upstreams: int) -> list[Counter[str]]:
+    """:returns: how often each of up to 7 VMs reads each upstream in ten seconds"""
     vms = [f"entry-{index}" for index in range(n_vms)]
     upstreams = [f"engine-{index}" for index in range(n_upstreams)]
     reads = []
@@ -30,20 +30,23 @@
 @pytest.mark.parametrize(
     ("n_vms", "n_upstreams", "reads_per_s"), [(7, 17, 20), (410, 780, 2)]
 )
-def test_reads_of_a_node_do_not_grow_with_the_fleet(
+def test_reads_of_a_vm_do_not_grow_with_the_fleet(
     n_vms: int, n_upstreams: int, reads_per_s: float
 ) -> None:
-    for counter in read(n_vms, n_upstreams):
-        assert counter.total() / SECONDS <= reads_per_s
+    for counter in count_reads(n_vms, n_upstreams):
+        assert counter.total() / DURATION_S <= reads_per_s
 
 
-def test_a_small_fleet_reads_every_upstream_first_hand() -> None:
-    for counter in read(7, 17):
+def test_each_vm_of_a_small_fleet_reads_every_upstream() -> None:
+    for counter in count_reads(7, 17):
         assert len(counter) == 17
 
 
-def test_every_upstream_has_a_reader_among_the_live() -> None:
-    """The agent that read engine-3 dies; no one reads it until another takes over."""
+def test_every_upstream_is_assigned_to_a_live_vm() -> None:
+    """An agent dies, and its upstreams have to be assigned to the remaining ones.
+
+    Otherwise nobody would read their load.
+    """
     vms = ["entry-1", "entry-2", "entry-3"]
     upstreams = [f"engine-{index}" for index in range(12)]
     for live in (vms, vms[1:], vms[:1]):
@@ -51,8 +54,8 @@
         assert set().union(*first) == set(upstreams)
 
 
-def test_an_agent_alone_keeps_to_its_rate() -> None:
-    """A VM is cut off: by its own belief it has to read all 780 upstreams."""
-    (counter,) = read(1, 780)
-    assert counter.total() / SECONDS <= 140
+def test_an_isolated_agent_stays_within_its_budget() -> None:
+    """A partitioned VM sees no other live VM, so all 780 upstreams are its own."""
+    (counter,) = count_reads(1, 780)
+    assert counter.total() / DURATION_S <= 140
     assert max(counter.values()) - min(counter.values()) <= 1
