--- a/src/quetzaldeck/commands/slots.py
+++ b/src/quetzaldeck/commands/slots.py
@@ -1,22 +1,22 @@
-"""Which VM may start a load, or take a replica away, at what time. No I/O.
+"""Time slots: which VM may send an order at what time. No I/O.
 
-Load pattern: a new model version is rolled to every engine, from a weight store
-that allows so many loads a minute, by commanders that share no state. Without
-slots each commander would start its loads at once, and two of them could unload
-the last two replicas of a model together.
+Load pattern: commanders that share no state roll a new model version out to every
+engine, from a weight store that allows a limited number of loads per minute. Without
+slots each commander would start all its loads at once, and two commanders could
+unload the last two replicas of a model at the same time.
 
-Time is cut into slots, one for each load that the store allows. The wall clock
-tells every commander the number of the slot, and a hash of the number tells whose
-it is. In a fleet where all know the same members, each slot has one owner:
+Time is divided into slots, one for each load that the store allows. The wall clock
+gives every commander the number of the current slot, and a hash of the number selects
+its owner. While all VMs know the same members, each slot has exactly one owner:
 
-* the hash first picks a member among all that are not dead, suspected ones too. If
-  the member is out of contact the slot belongs to the other side of a partition;
-  so the sides share the rate instead of each using all of it;
-* among the VMs in contact it goes to one that has announced that it needs a slot,
-  so that none is left unused while one commander alone has loads to start.
+* the hash first selects one of the members that are not dead, suspected ones included.
+  If that member is out of contact, the slot belongs to the other side of a partition;
+  so the sides share the rate, rather than each of them using all of it;
+* of the VMs in contact, one that has announced that it needs a slot becomes the owner,
+  so that no slot is wasted while only one commander has loads to start.
 
-An order is started in the middle of a slot only: clocks that differ by less than a
-quarter of a slot never put two orders into one.
+Orders are sent in the middle half of a slot only, so two orders never fall into the
+same slot as long as clocks differ by less than a quarter of a slot.
 """
 
 from __future__ import annotations
@@ -31,32 +31,33 @@
     from quetzaldeck.membership import MembershipView
 
 MS_PER_MINUTE = 60_000.0
-GUARD_SHARE = 0.25
+GUARD_FRACTION = 0.25
+"""Part of a slot at its start, and again at its end, in which no order is sent."""
 
 
 class SlotPlan:
-    """Slots of one length.
+    """Assigns slots of equal length to VMs.
 
-    :param loads_per_minute: of the weight store, over the whole fleet
+    :param loads_per_minute: limit of the weight store for the whole fleet
     """
 
     def __init__(self, loads_per_minute: float) -> None:
         self._slot_ms = MS_PER_MINUTE / loads_per_minute
 
-    def number_at(self, wall_ms: float) -> int | None:
-        """:returns: number of the slot that may be used now, ``None`` near an edge"""
+    def find_usable_slot(self, wall_ms: float) -> int | None:
+        """:returns: number of the current slot, ``None`` close to its start or end"""
         number, offset_ms = divmod(wall_ms, self._slot_ms)
-        guard_ms = GUARD_SHARE * self._slot_ms
+        guard_ms = GUARD_FRACTION * self._slot_ms
         if guard_ms <= offset_ms < self._slot_ms - guard_ms:
             return int(number)
         return None
 
     def is_owner(
-        self, number: int, view: MembershipView, announced: Collection[str]
+        self, number: int, view: MembershipView, needing_slot: Collection[str]
     ) -> bool:
-        """:returns: whether the slot is this VM's
+        """:returns: whether this VM owns the slot
 
-        :param announced: VMs that need a slot, this one included or not
+        :param needing_slot: VMs that need a slot; this VM counts as one in any case
         """
         states = {
             member.vm: member.state
@@ -65,13 +66,13 @@
         }
         if not states:
             return False
-        side = choose_owner(f"side:{number}", states)
-        if states[side] is MemberState.SUSPECTED:
+        side_owner = choose_owner(f"side:{number}", states)
+        if states[side_owner] is MemberState.SUSPECTED:
             return False
         in_contact = {
             vm for vm, state in states.items() if state is not MemberState.SUSPECTED
         }
-        candidates = (set(announced) | {view.vm}) & in_contact
+        candidates = (set(needing_slot) | {view.vm}) & in_contact
         return choose_owner(f"slot:{number}", candidates) == view.vm
 
 
