--- a/src/quetzaldeck/agent/claim_holds.py
+++ b/src/quetzaldeck/agent/claim_holds.py
@@ -1,4 +1,4 @@
-"""How claims ended: here, or at the VM that holds them."""
+"""Outcomes of claims held by this VM or by others, and the answers kept of them."""
 
 from __future__ import annotations
 
@@ -19,83 +19,83 @@
     from quetzaldeck.clock import Clock
     from quetzaldeck.peers import PeerIdentity
 
-ATTACH_MARGIN_MS = 100.0
-"""Left of a deadline for the way back, when a holder is asked to wait for an end."""
+WAIT_MARGIN_MS = 100.0
+"""Part of the deadline reserved for the way back of an answer that is waited for."""
 
-N_ANSWER_KEEPERS = 2
-"""VMs that take over the answers of one that leaves: one may leave right after it."""
+N_ANSWER_COPIES = 2
+"""VMs that receive the answers of a leaving VM; one of them may leave right after."""
 
-_HOLD = msgspec.json.Decoder(ClaimStatus)
-_HOLD_REQUEST = msgspec.json.Decoder(ClaimStatusRequest)
+_STATUS = msgspec.json.Decoder(ClaimStatus)
+_STATUS_REQUEST = msgspec.json.Decoder(ClaimStatusRequest)
 _HANDOVER = msgspec.json.Decoder(AnswerHandover)
 _encode = msgspec.json.encode
 
 
 class ClaimHolds:
-    """Waits for the ends of claims, and tells other VMs of those held here.
+    """Waits for the ends of claims, and answers other VMs about claims held here.
 
-    :param vm: this VM
-    :param book: the claims of this VM
+    :param vm: id of this VM
+    :param tracker: the claims of this VM
     """
 
     def __init__(
         self,
         *,
         vm: str,
-        book: ClaimTracker,
+        tracker: ClaimTracker,
         peers: ClaimPeers,
         clock: Clock,
         settings: ClaimSettings,
         random_state: random.Random,
     ) -> None:
         self._vm = vm
-        self._book = book
+        self._tracker = tracker
         self._peers = peers
         self._clock = clock
         self._settings = settings
         self._random = random_state
         self._changed = asyncio.Condition()
-        peers.register("claim-hold", self._answer_hold)
-        peers.register("claim-answers", self._take_answers)
+        peers.register("claim-hold", self._answer_status_request)
+        peers.register("claim-answers", self._import_answers)
 
     async def hand_over(self) -> None:
-        """Give the answers kept here to peers, for resends that come later."""
-        answers = self._book.list_finished()
+        """Copy the answers kept here to peers, which then answer later resends."""
+        answers = self._tracker.list_finished()
         if not answers:
             return
         body = _encode(AnswerHandover(answers))
-        n_keepers = 0
+        n_copies = 0
         peers = sorted(self._peers.list_live())
         self._random.shuffle(peers)
         for vm in peers:
             reply = await self._peers.ask(
                 vm, "claim-answers", body, self._settings.vote_timeout_ms
             )
-            n_keepers += reply is not None
-            if n_keepers == N_ANSWER_KEEPERS:
+            n_copies += reply is not None
+            if n_copies == N_ANSWER_COPIES:
                 return
 
-    async def read(self, holder: Claim, deadline_ms: float) -> ClaimStatus:
-        """:returns: where a claim stands, once its call has ended or time is up"""
-        left_ms = deadline_ms - self._clock.now_ms() - 2 * ATTACH_MARGIN_MS
-        request = ClaimStatusRequest(holder.claim_id, max(0.0, left_ms))
+    async def wait_for_end(self, holder: Claim, deadline_ms: float) -> ClaimStatus:
+        """:returns: the status of a claim once its call has ended or time is up"""
+        remaining_ms = deadline_ms - self._clock.now_ms() - 2 * WAIT_MARGIN_MS
+        request = ClaimStatusRequest(holder.claim_id, max(0.0, remaining_ms))
         if holder.vm == self._vm:
-            return await self._wait_hold(request)
-        timeout_ms = request.wait_ms + ATTACH_MARGIN_MS
+            return await self._wait_locally(request)
+        timeout_ms = request.wait_ms + WAIT_MARGIN_MS
         body = _encode(request)
         reply = await self._peers.ask(holder.vm, "claim-hold", body, timeout_ms)
-        hold = (
+        status = (
             ClaimStatus(ClaimState.UNKNOWN)
             if reply is None
-            else decode_body(reply, _HOLD)
+            else decode_body(reply, _STATUS)
         )
-        if hold.state is not ClaimState.UNKNOWN:
-            return hold
-        return await self._find_kept(holder)
+        if status.state is not ClaimState.UNKNOWN:
+            return status
+        return await self._find_copy(holder)
 
-    async def _find_kept(self, holder: Claim) -> ClaimStatus:
-        """:returns: the claim's end from a VM that took it over, if there is one"""
-        own = self._book.find(holder.claim_id)
+    async def _find_copy(self, holder: Claim) -> ClaimStatus:
+        """:returns: the claim's status from a VM that has a copy of its answer"""
+        own = self._tracker.find(holder.claim_id)
         if own.answer is not None:
             return own
         replies = await self._peers.ask_all(
@@ -104,11 +104,11 @@
             _encode(ClaimStatusRequest(holder.claim_id)),
             self._settings.vote_timeout_ms,
         )
-        holds = [decode_body(reply, _HOLD) for reply in replies]
-        kept = [hold for hold in holds if hold.answer is not None]
-        return kept[0] if kept else ClaimStatus(ClaimState.UNKNOWN)
+        statuses = [decode_body(reply, _STATUS) for reply in replies]
+        copies = [status for status in statuses if status.answer is not None]
+        return copies[0] if copies else ClaimStatus(ClaimState.UNKNOWN)
 
-    async def _wait_hold(self, request: ClaimStatusRequest) -> ClaimStatus:
+    async def _wait_locally(self, request: ClaimStatusRequest) -> ClaimStatus:
         try:
             async with asyncio.timeout(request.wait_ms / 1_000), self._changed:
                 await self._changed.wait_for(
@@ -116,23 +116,23 @@
                 )
         except TimeoutError:
             pass
-        return self._book.find(request.claim_id)
+        return self._tracker.find(request.claim_id)
 
     def _is_open(self, claim_id: str) -> bool:
-        state = self._book.find(claim_id).state
+        state = self._tracker.find(claim_id).state
         return state in (ClaimState.CLAIMING, ClaimState.WON)
 
     async def notify(self) -> None:
-        """Wake those who wait for the end of a claim held here."""
+        """Wake the tasks that wait for the end of a claim held here."""
         async with self._changed:
             self._changed.notify_all()
 
-    async def _answer_hold(self, sender: PeerIdentity, body: bytes) -> bytes:
-        return _encode(await self._wait_hold(decode_body(body, _HOLD_REQUEST)))
+    async def _answer_status_request(self, sender: PeerIdentity, body: bytes) -> bytes:
+        return _encode(await self._wait_locally(decode_body(body, _STATUS_REQUEST)))
 
-    async def _take_answers(self, sender: PeerIdentity, body: bytes) -> bytes:
+    async def _import_answers(self, sender: PeerIdentity, body: bytes) -> bytes:
         for claim, answer in decode_body(body, _HANDOVER).answers:
-            self._book.import_answer(claim, answer)
+            self._tracker.import_answer(claim, answer)
         return b""
 
 
--- a/src/quetzaldeck/agent/claim_part.py
+++ b/src/quetzaldeck/agent/claim_part.py
@@ -1,4 +1,4 @@
-"""The agent's part in claims: its voter, its desk, and how they leave."""
+"""The agent's part in claims: its voters, its claimant, and how they leave."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 class ClaimPart:
-    """Runs the voter for as long as the context is open.
+    """Runs the voters of this agent while the context is open.
 
-    :param identity: this VM and this start of its agent
+    :param identity: this VM and the incarnation of its agent
     :param channel: authenticated messages to peers
-    :param read_view: which VMs there are, as of now
-    :param find_member: what is believed of one other VM
+    :param read_view: current membership
+    :param find_member: current state of one other VM
     """
 
     def __init__(
@@ -72,11 +72,11 @@
         await self._stack.aclose()
 
     async def hand_over(self) -> None:
-        """Give the answers kept to peers; called once no call is in progress."""
+        """Copy the answers kept here to peers; called when no call is in progress."""
         await self.coordinator.holds.hand_over()
 
     async def leave(self) -> None:
-        """Have the peers go on without this VM's votes."""
+        """Have this VM's voters removed from the voter sets."""
         await self._task.leave()
 
 
--- a/src/quetzaldeck/agent/claim_peers.py
+++ b/src/quetzaldeck/agent/claim_peers.py
@@ -1,4 +1,4 @@
-"""Asks peers about claims, by VM id."""
+"""Sends messages about claims to peers by VM id."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class ClaimPeers:
-    """The peer channel with the addresses that membership knows.
+    """Peer channel that finds the addresses of VMs in the membership.
 
-    A message needs the address of one VM, so one is looked up: a list of all grows with
-    the fleet.
+    The address for a message is looked up by VM, because building the list of all
+    members takes time in proportion to the fleet.
 
-    :param read_view: which VMs there are, as of now
-    :param find_member: what is believed of one other VM
+    :param read_view: current membership
+    :param find_member: current state of one other VM
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def register(self, kind: str, handler: PeerHandler) -> None:
-        """Answer messages of ``kind`` with ``handler``."""
+        """Answer requests of ``kind`` with ``handler``."""
         self._channel.register(kind, handler)
 
     def list_vms(self) -> frozenset[str]:
@@ -47,14 +47,14 @@
         return frozenset(m.vm for m in view.members if m.address) - {view.vm}
 
     def list_live(self) -> frozenset[str]:
-        """:returns: the other VMs that are believed to be live"""
+        """:returns: the other VMs that are considered live"""
         view = self._read_view()
         return frozenset(m.vm for m in view.list_live() if m.address) - {view.vm}
 
     async def ask(
         self, vm: str, kind: str, body: bytes, timeout_ms: float
     ) -> bytes | None:
-        """:returns: the answer of one VM, ``None`` if there is none in time"""
+        """:returns: the answer of one VM, ``None`` if it does not answer in time"""
         member = self._find_member(vm)
         if member is None or not member.address:
             return None
@@ -67,7 +67,7 @@
     async def ask_all(
         self, vms: Collection[str], kind: str, body: bytes, timeout_ms: float
     ) -> list[bytes]:
-        """:returns: the answers that came in time"""
+        """:returns: the answers that arrived in time"""
         answers = await asyncio.gather(
             *(self.ask(vm, kind, body, timeout_ms) for vm in sorted(vms))
         )
@@ -76,7 +76,10 @@
     async def ask_each(
         self, vms: Collection[str], kind: str, body: bytes, timeout_ms: float
     ) -> AsyncIterator[bytes]:
-        """Yield answers as they come; the rest go on if the reader has enough."""
+        """Yield answers as they arrive.
+
+        Requests in progress continue if the reader stops early.
+        """
         tasks = [self.start(self.ask(vm, kind, body, timeout_ms)) for vm in sorted(vms)]
         for next_answer in asyncio.as_completed(tasks):
             answer = await next_answer
@@ -84,14 +87,14 @@
                 yield answer
 
     def start(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """:returns: a task that is held until it ends"""
+        """:returns: a running task, referenced here until it ends"""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def close(self) -> None:
-        """Cancel what is still under way."""
+        """Cancel the running tasks."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/src/quetzaldeck/agent/service.py
+++ b/src/quetzaldeck/agent/service.py
@@ -28,8 +28,8 @@
     from quetzaldeck.agent.settings import AgentSettings
 
 _REPORT_DECODER = msgspec.json.Decoder(GatewayReport)
-_ORDER_DECODER = msgspec.json.Decoder(ClaimRequest)
-_END_DECODER = msgspec.json.Decoder(ClaimEnd)
+_CLAIM_REQUEST_DECODER = msgspec.json.Decoder(ClaimRequest)
+_CLAIM_END_DECODER = msgspec.json.Decoder(ClaimEnd)
 
 
 class AgentService(HttpServiceBase):
@@ -93,7 +93,7 @@
     async def start(self) -> None:
         """Start to listen, then to gossip under the address listened on."""
         await super().start()
-        await self._session.meet_peers(self.address)
+        await self._session.start_gossip(self.address)
 
     async def stop(self, exception: BaseException | None = None) -> None:
         """Leave the fleet, then stop listening."""
@@ -114,14 +114,16 @@
 
     async def _claim(self, request: web.Request) -> web.Response:
         try:
-            order = decode_body(await request.read(), _ORDER_DECODER)
+            claim_request = decode_body(await request.read(), _CLAIM_REQUEST_DECODER)
         except BodyError as error:
             return json_response({"error": str(error)}, status=400)
-        return json_response(await self._session.claims.coordinator.decide(order))
+        return json_response(
+            await self._session.claims.coordinator.decide(claim_request)
+        )
 
     async def _end_claim(self, request: web.Request) -> web.Response:
         try:
-            end = decode_body(await request.read(), _END_DECODER)
+            end = decode_body(await request.read(), _CLAIM_END_DECODER)
         except BodyError as error:
             return json_response({"error": str(error)}, status=400)
         await self._session.claims.coordinator.end(end)
--- a/src/quetzaldeck/agent/voter_groups.py
+++ b/src/quetzaldeck/agent/voter_groups.py
@@ -1,4 +1,4 @@
-"""The voters of one agent, one for each group of keys that it votes on."""
+"""The voters of one agent, one for each group of keys."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     from quetzaldeck.peers import PeerIdentity
 
 MAX_MISSING_MS = 10_000.0
-"""Time after which a voter that membership does not know counts as gone."""
+"""Time after which a voter unknown to the membership counts as gone."""
 
 
 class VoterGroups:
-    """Makes voters when they are needed and tells each who should be its peers.
+    """Creates voters on demand and gives each of them its view of the fleet.
 
-    :param identity: this VM and this start of its agent
-    :param read_view: which VMs there are, as of now
+    :param identity: this VM and the incarnation of its agent
+    :param read_view: current membership
     """
 
     def __init__(
@@ -45,35 +45,35 @@
 
     @property
     def voters(self) -> tuple[Voter, ...]:
-        """:returns: the voters made so far"""
+        """:returns: the voters created so far"""
         return tuple(self._voters.values())
 
     @property
     def can_vote_on_new_keys(self) -> bool:
-        """:returns: whether this VM votes wherever it should"""
+        """:returns: whether this VM can vote in each group in which it should"""
         wanted = self.list_wanted()
         return bool(self._zones) and all(
-            self._make(group).can_vote_on_new_keys for group in wanted
+            self._find_or_create(group).can_vote_on_new_keys for group in wanted
         )
 
     def find(self, key: str) -> Voter:
-        """:returns: the voter for a claim's key; perhaps one without a seat"""
+        """:returns: the voter for a claim's key; it may not be in a voter set"""
         return self.get(group_of(key, self._settings.n_groups))
 
     def get(self, group: int) -> Voter:
         """:returns: the voter of a group
 
-        :raises ValueError: if there is no such group here
+        :raises ValueError: if the group number is not below ``n_groups``
         """
         if not 0 <= group < self._settings.n_groups:
-            msg = f"group {group}: give all VMs the same claims.n_groups"
+            msg = f"no group {group} here; set claims.n_groups alike on all VMs"
             raise ValueError(msg)
-        voter = self._make(group)
+        voter = self._find_or_create(group)
         voter.update_view(self.build_view(group))
         return voter
 
     def list_active(self) -> tuple[int, ...]:
-        """:returns: groups in which this VM votes, is waited for, or should vote"""
+        """:returns: groups in which this VM votes, is awaited, or should vote"""
         needed = {group for group, voter in self._voters.items() if voter.must_sync}
         return tuple(sorted(needed.union(self.list_wanted())))
 
@@ -84,9 +84,9 @@
         return tuple(group for group in groups if self._is_wanted(group))
 
     def build_view(self, group: int) -> FleetView:
-        """:returns: membership's beliefs in the terms of a group's voter
+        """:returns: the current membership as a group's voter needs it
 
-        A VM that lost its place to another is as good as gone from the group.
+        A VM that was replaced by another one in the group counts as gone.
         """
         self._refresh()
         chosen = self._choose(group)
@@ -94,25 +94,27 @@
         listed = frozenset(m.vm for m in view.members if m.is_listed)
         if view.list_read_ms is None:
             return FleetView(listed, wanted=chosen)
-        demands = self._make(group).chain.required_sets
-        seated = {seat.vm for item in demands for seat in item.members}
-        alive = self._list_alive(view, seated)
+        required_sets = self._find_or_create(group).chain.required_sets
+        voters = {
+            voter_id.vm for voter_set in required_sets for voter_id in voter_set.members
+        }
+        alive = self._list_alive(view, voters)
         is_small = len(self._zones) <= self._settings.max_voters
         kept = alive if is_small else alive & chosen
-        return FleetView(listed, frozenset(seated - kept), chosen)
+        return FleetView(listed, frozenset(voters - kept), chosen)
 
-    def _list_alive(self, view: MembershipView, seated: set[str]) -> set[str]:
-        """:returns: members not known to be dead, and voters not heard of yet
+    def _list_alive(self, view: MembershipView, voters: set[str]) -> set[str]:
+        """:returns: members not known to be dead, and voters not yet known
 
-        An agent that has just started hears of its peers one after the other, and
-        may be told who votes before it has heard of them all. Were it to take these
-        for gone, each start would throw live voters out.
+        A newly started agent learns of its peers one by one and may receive a voter
+        set before it knows all its members. If it counted these as gone, each start
+        would remove live voters.
         """
         now_ms = self._clock.now_ms()
         known = {member.vm for member in view.members}
         for vm in self._missing_since_ms.keys() & known:
             del self._missing_since_ms[vm]
-        for vm in seated - known:
+        for vm in voters - known:
             self._missing_since_ms.setdefault(vm, now_ms)
         alive = {m.vm for m in view.members if m.state is not MemberState.DEAD}
         return alive.union(
@@ -121,7 +123,7 @@
             if now_ms - since_ms < MAX_MISSING_MS
         )
 
-    def _make(self, group: int) -> Voter:
+    def _find_or_create(self, group: int) -> Voter:
         voter = self._voters.get(group)
         if voter is None:
             voter = self._voters[group] = Voter(
@@ -144,7 +146,7 @@
         return chosen
 
     def _refresh(self) -> None:
-        """Rank anew only if VMs came or went: that costs a hash for each of them."""
+        """Discard the chosen voters if VMs have changed; choosing hashes every VM."""
         listed = [m for m in self._read_view().members if m.is_listed]
         zones = {m.vm: m.availability_zone for m in self._list_eligible(listed)}
         if zones != self._zones:
--- a/src/quetzaldeck/agent/voter_task.py
+++ b/src/quetzaldeck/agent/voter_task.py
@@ -1,4 +1,4 @@
-"""The task that votes on claims and agrees with peers on who votes."""
+"""The task that votes on claims and agrees with peers on the voter sets."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     from quetzaldeck.telemetry import AgentMetrics
 
 N_IDLE_INTERVALS = 60
-"""A settled voter still asks its peers once in so many intervals."""
+"""Intervals between two rounds of a settled voter."""
 
 MAX_STUCK_INTERVALS = 4
-"""A voter whose rounds change nothing waits up to so many intervals."""
+"""Most intervals between rounds of an unsettled voter if they change nothing."""
 
 _SYNC = msgspec.json.Decoder(SyncRequest)
 _REPLY = msgspec.json.Decoder(SyncReply)
@@ -31,36 +31,36 @@
 _encode = msgspec.json.encode
 
 
-class _GroupPace:
-    """When the next round of a group is due, in intervals."""
+class _RoundSchedule:
+    """Decides in which intervals a group holds a round."""
 
     def __init__(self) -> None:
-        self.seen: FleetView | None = None
+        self.last_view: FleetView | None = None
         self.n_waited = 0
         self.n_stuck = 0
 
     def is_due(self, voter: Voter, view: FleetView) -> bool:
         """:returns: whether to hold a round in this interval"""
         self.n_waited += 1
-        if view != self.seen:
+        if view != self.last_view:
             return True
         if voter.is_settled:
             return self.n_waited >= N_IDLE_INTERVALS
         return self.n_waited >= min(self.n_stuck, MAX_STUCK_INTERVALS)
 
     def note_round(self, view: FleetView, *, has_changed: bool) -> None:
-        """Note that a round was held."""
-        self.seen = view
+        """Record a round."""
+        self.last_view = view
         self.n_waited = 0
         self.n_stuck = 0 if has_changed else self.n_stuck + 1
 
 
 class VoterTask:
-    """Holds rounds with peers, and answers their messages.
+    """Holds rounds with peers and answers their messages.
 
-    Rounds are held while something changes, and more rarely while they lead
-    nowhere, as in the smaller part of a partition. A settled fleet is silent but
-    for a rare round that finds what a lost message left behind.
+    Rounds are held while the membership or the voter sets change, and less often while
+    they have no effect, e.g. in the minority side of a partition. In a settled fleet
+    rounds are rare and only repair the effects of lost messages.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self._peers = peers
         self._settings = settings
         self._metrics = metrics
-        self._paces: dict[int, _GroupPace] = {}
+        self._schedules: dict[int, _RoundSchedule] = {}
         self._wake = asyncio.Event()
         peers.register("claim-sync", self._answer_sync)
         peers.register("claim-vote", self._answer_vote)
@@ -87,7 +87,7 @@
                 await self.step()
             except BodyError as error:
                 log_event("claim_round_failed", level="ERROR", error=error)
-            await self._pause()
+            await self._wait_for_interval()
 
     async def step(self) -> None:
         """Hold the rounds that are due."""
@@ -95,17 +95,17 @@
         for group in self._groups.list_active():
             voter = self._groups.get(group)
             view = self._groups.build_view(group)
-            pace = self._paces.setdefault(group, _GroupPace())
-            if pace.is_due(voter, view):
-                due.append(self._hold_paced(voter, pace, view))
+            schedule = self._schedules.setdefault(group, _RoundSchedule())
+            if schedule.is_due(voter, view):
+                due.append(self._hold_scheduled_round(voter, schedule, view))
         await asyncio.gather(*due)
-        self._note_state()
+        self._update_metrics()
 
     async def leave(self) -> None:
-        """Have the peers go on without this VM's voters, with all they granted.
+        """Have the voters of this VM removed from the voter sets, grants handed over.
 
-        A VM that just vanished would be missed by every later majority until the
-        others were sure of its end, and a rolling replacement would refuse calls.
+        If a VM left without this, it would count in every majority until the others
+        were sure that it is dead, and calls would be refused in a rolling replacement.
         """
         await asyncio.gather(*(self._leave(voter) for voter in self._groups.voters))
 
@@ -116,7 +116,7 @@
             if not voter.has_left:
                 await asyncio.sleep(self._settings.sync_interval_ms / 4_000)
 
-    async def _pause(self) -> None:
+    async def _wait_for_interval(self) -> None:
         self._wake.clear()
         try:
             async with asyncio.timeout(self._settings.sync_interval_ms / 1_000):
@@ -124,12 +124,12 @@
         except TimeoutError:
             return
 
-    async def _hold_paced(
-        self, voter: Voter, pace: _GroupPace, view: FleetView
+    async def _hold_scheduled_round(
+        self, voter: Voter, schedule: _RoundSchedule, view: FleetView
     ) -> None:
         before = voter.state
         await self._hold_round(voter)
-        pace.note_round(view, has_changed=voter.state != before)
+        schedule.note_round(view, has_changed=voter.state != before)
 
     async def _hold_round(self, voter: Voter) -> None:
         request = voter.build_sync()
@@ -143,35 +143,35 @@
         voter.process_replies(
             request, [decode_body(reply, _REPLY) for reply in replies]
         )
-        base = voter.chain.committed
-        if base is not None and base != before:
-            vms = ",".join(sorted(seat.vm for seat in base.members))
+        committed = voter.chain.committed
+        if committed is not None and committed != before:
+            vms = ",".join(sorted(voter_id.vm for voter_id in committed.members))
             log_event("claim_voters_changed", group=voter.group, vms=vms)
             self._metrics.claim_voter_sets.inc()
 
-    def _note_state(self) -> None:
-        seated = [voter for voter in self._groups.voters if voter.can_vote]
+    def _update_metrics(self) -> None:
+        active = [voter for voter in self._groups.voters if voter.can_vote]
         sizes = [
             len(v.chain.committed.members)
-            for v in seated
+            for v in active
             if v.chain.committed is not None
         ]
         self._metrics.claim_voters.set(min(sizes, default=0))
-        is_settled = bool(seated) and all(voter.is_settled for voter in seated)
+        is_settled = bool(active) and all(voter.is_settled for voter in active)
         self._metrics.claim_is_settled.set(is_settled)
-        n_claims = sum(len(voter.table) for voter in seated)
+        n_claims = sum(len(voter.table) for voter in active)
         self._metrics.claims_held.set(n_claims)
 
     async def _answer_sync(self, sender: PeerIdentity, body: bytes) -> bytes:
         request = decode_body(body, _SYNC)
         if request.voter_id.vm != sender.vm:
-            msg = f"{sender.vm} speaks for the seat of {request.voter_id.vm}"
+            msg = f"VM {sender.vm} sent a round for a voter of {request.voter_id.vm}"
             raise ValueError(msg)
         voter = self._groups.get(request.group)
         before = voter.state
         reply = voter.answer_sync(request)
         if voter.state != before:
-            self._paces.pop(request.group, None)
+            self._schedules.pop(request.group, None)
             self._wake.set()
         return _encode(reply)
 
--- a/tests/agent/test_voter_groups.py
+++ b/tests/agent/test_voter_groups.py
@@ -1,4 +1,4 @@
-"""What a voter is told of the fleet."""
+"""The view of the fleet that a voter gets, and the groups in which a VM votes."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
     )
 
 
-def seat(groups: VoterGroups, base: VoterSet) -> None:
-    """Have the voter begin with ``base``, as its peers do."""
-    listed = frozenset(member.vm for member in base.members)
+def start_voting(groups: VoterGroups, first_set: VoterSet) -> None:
+    """Have the voter of VM a start with the same voter set as its peers."""
+    listed = frozenset(member.vm for member in first_set.members)
     replies = [
         SyncReply(member, None, (), listed, listed)
-        for member in sorted(base.members)
+        for member in sorted(first_set.members)
         if member.vm != "a"
     ]
     voter = groups.get(0)
@@ -46,25 +46,25 @@
     assert voter.can_vote
 
 
-def test_build_view_does_not_take_unheard_voters_for_gone(clock: ManualClock) -> None:
-    """An agent starts and is told who votes before it has heard of VM c.
+def test_build_view_does_not_count_unknown_voters_as_gone(clock: ManualClock) -> None:
+    """An agent starts and receives a voter set before it knows its member VM c.
 
-    If it proposed to remove what it does not know, each start would throw live
-    voters out, and calls would be refused meanwhile.
+    If it proposed to remove unknown voters, each start of an agent would remove live
+    ones, and calls would be refused meanwhile.
     """
     members = [make_member("a"), make_member("b"), make_member("c")]
     groups = make_groups(clock, members)
-    seat(groups, first_voter_set("abc"))
+    start_voting(groups, first_voter_set("abc"))
     members.pop()
     assert not groups.build_view(0).gone
     clock.advance(MAX_MISSING_MS)
     assert groups.build_view(0).gone == {"c"}
 
 
-def test_build_view_takes_dead_voters_for_gone(clock: ManualClock) -> None:
+def test_build_view_counts_dead_voters_as_gone(clock: ManualClock) -> None:
     members = [make_member("a"), make_member("b"), make_member("c")]
     groups = make_groups(clock, members)
-    seat(groups, first_voter_set("abc"))
+    start_voting(groups, first_voter_set("abc"))
     members[2] = make_member("c", MemberState.DEAD)
     assert groups.build_view(0).gone == {"c"}
 
@@ -72,10 +72,10 @@
 def test_list_active_keeps_a_group_whose_voters_wait_for_this_vm(
     clock: ManualClock,
 ) -> None:
-    """A VM asked for a seat; then the group fell to others, and the seat came.
+    """A VM is added to a voter set after its group was assigned to other VMs.
 
-    If it held no more rounds there, the VM that granted the seat would wait for its
-    vote for good and refuse every booking of the group.
+    If it held no more rounds there, the VM that added it would wait for its vote for
+    ever and refuse every call of the group that must run at most once.
     """
     members = [make_member("a"), make_member("b")]
     settings = ClaimSettings(n_groups=1, max_voters=1)
