--- a/src/quetzaldeck/agent/bundle_exchange.py
+++ b/src/quetzaldeck/agent/bundle_exchange.py
@@ -29,14 +29,14 @@
 
 BUNDLE_KIND = "bundle"
 FETCH_TIMEOUT_MS = 3_000.0
-N_REFUSED_KEPT = 64
-# Payloads that a change can be made from: peers are hardly ever further behind.
-N_FORMER_KEPT = 2
+MAX_REFUSED = 64
+# Previous payloads kept as bases of diffs; peers are hardly ever further behind.
+MAX_PREVIOUS_PAYLOADS = 2
 _REQUEST_DECODER = msgspec.json.Decoder(BundleRequest)
 
 
-class Offered(NamedTuple):
-    """A bundle that a peer has."""
+class PeerBundle(NamedTuple):
+    """A bundle that a peer has in force, as announced by gossip."""
 
     vm: str
     address: str
@@ -45,9 +45,10 @@
 
 
 class BundleExchange:
-    """Fetches what a peer has in force and this VM has not, one at a time.
+    """Fetches newer bundles from peers, one at a time, and serves this VM's bundle.
 
-    :param on_accepted: called when a bundle has come in force, from any side
+    :param on_accepted: called when a bundle has come in force, whether it came from
+        the configuration service or from a peer
     """
 
     def __init__(
@@ -62,36 +63,36 @@
         self._store = store
         self._metrics = metrics
         self._on_accepted = on_accepted
-        self._offered: dict[tuple[int, int], Offered] = {}
-        self._has_offers = asyncio.Event()
-        self._refused: deque[tuple[int, int]] = deque(maxlen=N_REFUSED_KEPT)
+        self._peer_bundles: dict[tuple[int, int], PeerBundle] = {}
+        self._has_peer_bundles = asyncio.Event()
+        self._refused: deque[tuple[int, int]] = deque(maxlen=MAX_REFUSED)
         self._is_fetching = False
-        self._former: deque[str] = deque(maxlen=N_FORMER_KEPT)
+        self._previous_payloads: deque[str] = deque(maxlen=MAX_PREVIOUS_PAYLOADS)
         self._answers: dict[tuple[int, int], bytes] = {}
-        channel.register(BUNDLE_KIND, self._answer)
+        channel.register(BUNDLE_KIND, self._answer_request)
 
     @property
     def is_idle(self) -> bool:
-        """:returns: whether no peer is known to have a newer bundle"""
-        return not self._offered and not self._is_fetching
+        """:returns: whether no newer bundle of a peer is known or being fetched"""
+        return not self._peer_bundles and not self._is_fetching
 
-    def notice(self, gossip: GossipMessage) -> None:
-        """Note which bundle a peer has in force."""
+    def note_gossip(self, gossip: GossipMessage) -> None:
+        """Note which bundle a peer has in force, to fetch it if it is newer."""
         version, digest = gossip.bundle_version, gossip.bundle_digest
         is_wanted = version > self._store.version or (
-            # Two contents of one version are fetched once, to be reported.
+            # A different bundle of the same version is fetched once, to report it.
             version == self._store.version and digest != self._store.digest
         )
         if not version or not is_wanted or (version, digest) in self._refused:
             return
         sender = gossip.sender
-        self._offered[version, digest] = Offered(
+        self._peer_bundles[version, digest] = PeerBundle(
             sender.vm, sender.address, version, digest
         )
-        self._has_offers.set()
+        self._has_peer_bundles.set()
 
-    def take(self, envelope: Envelope, source: str) -> Offer:
-        """Offer an envelope to the store and report what became of it.
+    def offer_to_store(self, envelope: Envelope, source: str) -> Offer:
+        """Offer an envelope to the store and report the result.
 
         :param source: ``service`` or ``peer``
         """
@@ -99,17 +100,17 @@
         offer = self._store.offer(envelope)
         if offer is Offer.ACCEPTED:
             if held is not None:
-                self._former.append(held.payload)
+                self._previous_payloads.append(held.payload)
             self._metrics.bundle_version.set(self._store.version)
             self._metrics.bundles_accepted.labels(source).inc()
             log_event("bundle_in_force", version=self._store.version, source=source)
             self._on_accepted()
         elif offer is not Offer.KNOWN:
-            self.refuse(offer, self._store.detail)
+            self.report_refusal(offer, self._store.detail)
         return offer
 
-    def refuse(self, offer: Offer, detail: str) -> None:
-        """Report a bundle that does not come in force."""
+    def report_refusal(self, offer: Offer, detail: str) -> None:
+        """Report a refused bundle in metrics and log."""
         self._metrics.bundles_refused.labels(offer.value).inc()
         level = "WARNING" if offer is Offer.OLDER else "ERROR"
         log_event("bundle_refused", level=level, why=offer.value, detail=detail)
@@ -117,35 +118,37 @@
     async def run(self) -> None:
         """Fetch until cancelled."""
         while True:
-            await self._has_offers.wait()
-            while self._offered:
-                offered = self._offered.pop(max(self._offered))
-                if offered.version >= self._store.version:
+            await self._has_peer_bundles.wait()
+            while self._peer_bundles:
+                wanted = self._peer_bundles.pop(max(self._peer_bundles))
+                if wanted.version >= self._store.version:
                     self._is_fetching = True
-                    await self._fetch(offered)
+                    await self._fetch(wanted)
                     self._is_fetching = False
-            self._has_offers.clear()
+            self._has_peer_bundles.clear()
 
-    async def _fetch(self, offered: Offered) -> None:
-        # A change that does not lead to the bundle offered is no loss: asked again,
-        # without naming what is held, the peer sends the whole.
+    async def _fetch(self, wanted: PeerBundle) -> None:
+        # If the peer's diff does not result in the announced bundle, the request is
+        # repeated without a base, so that the peer sends the full bundle.
         held = self._store.envelope
-        envelope = await self._ask(offered, None if held is None else held.payload)
-        if held is not None and not _is_offered(envelope, offered):
-            envelope = await self._ask(offered, None)
+        envelope = await self._request(wanted, None if held is None else held.payload)
+        if held is not None and not _is_wanted_bundle(envelope, wanted):
+            envelope = await self._request(wanted, None)
         if envelope is None:
-            # The next exchange with any peer that has it offers it again.
+            # The next gossip message of a peer that has the bundle announces it again.
             return
-        if self.take(envelope, "peer") not in (Offer.ACCEPTED, Offer.KNOWN):
-            # What was refused is not fetched at each exchange again.
-            self._refused.append((offered.version, offered.digest))
+        if self.offer_to_store(envelope, "peer") not in (Offer.ACCEPTED, Offer.KNOWN):
+            # Otherwise it would be fetched again at every gossip message.
+            self._refused.append((wanted.version, wanted.digest))
 
-    async def _ask(self, offered: Offered, payload: str | None) -> Envelope | None:
+    async def _request(
+        self, wanted: PeerBundle, payload: str | None
+    ) -> Envelope | None:
         digest = 0 if payload is None else digest_payload(payload)
         request = msgspec.json.encode(BundleRequest(digest))
         try:
             _, answer = await self._channel.ask(
-                offered.vm, offered.address, BUNDLE_KIND, request, FETCH_TIMEOUT_MS
+                wanted.vm, wanted.address, BUNDLE_KIND, request, FETCH_TIMEOUT_MS
             )
             self._metrics.bundle_bytes.inc(len(answer))
             return decode_answer(answer, payload)
@@ -153,23 +156,25 @@
             log_event("bundle_fetch_failed", level="WARNING", error=error)
             return None
 
-    async def _answer(self, sender: PeerIdentity, body: bytes) -> bytes:
+    async def _answer_request(self, sender: PeerIdentity, body: bytes) -> bytes:
         envelope = self._store.envelope
         if envelope is None:
-            msg = "there is no bundle to hand over"
+            msg = "a peer requested a bundle, but none is in force here"
             raise ValueError(msg)
         request = _REQUEST_DECODER.decode(body)
         key = (request.digest, self._store.digest)
         if key not in self._answers:
-            # Many peers ask for the same change at the same time.
-            answer = encode_answer(envelope, request.digest, tuple(self._former))
+            # Cached because many peers request the same diff at the same time.
+            answer = encode_answer(
+                envelope, request.digest, tuple(self._previous_payloads)
+            )
             self._answers.clear()
             self._answers[key] = answer
         return self._answers[key]
 
 
-def _is_offered(envelope: Envelope | None, offered: Offered) -> bool:
-    return envelope is not None and digest_payload(envelope.payload) == offered.digest
+def _is_wanted_bundle(envelope: Envelope | None, wanted: PeerBundle) -> bool:
+    return envelope is not None and digest_payload(envelope.payload) == wanted.digest
 
 
 __all__ = ("BundleExchange",)
--- a/src/quetzaldeck/agent/bundle_task.py
+++ b/src/quetzaldeck/agent/bundle_task.py
@@ -100,9 +100,9 @@
         try:
             envelope = decode_envelope(published.value)
         except SignatureError as error:
-            self._exchange.refuse(Offer.BAD_SIGNATURE, str(error))
+            self._exchange.report_refusal(Offer.BAD_SIGNATURE, str(error))
             return
-        self._exchange.take(envelope, "service")
+        self._exchange.offer_to_store(envelope, "service")
 
 
 __all__ = ("BundleTask",)
--- a/src/quetzaldeck/agent/command_task.py
+++ b/src/quetzaldeck/agent/command_task.py
@@ -1,4 +1,4 @@
-"""The task that brings engines to what the bundle wants."""
+"""The task that commands engines to the models and roles that the bundle specifies."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 SLOT_KIND = "needs_slot"
 SLOT_TTL_MS = 20_000
-SLOT_RENEW_MS = 5_000.0
+SLOT_RENEWAL_INTERVAL_MS = 5_000.0
 _OUTCOMES = {
     AttemptFault.NO_ROOM: OrderOutcome.NO_ROOM,
     AttemptFault.OVERLOADED: OrderOutcome.BUSY,
@@ -53,7 +53,7 @@
 
 
 class CommandSources(NamedTuple):
-    """Where the task reads what it decides on."""
+    """Functions that return the state on which the task decides."""
 
     read_view: Callable[[], MembershipView]
     read_bundle: Callable[[], Bundle | None]
@@ -62,7 +62,7 @@
 
 
 class CommandTask:
-    """Carries out what a :class:`Commander` decides, one order at a time."""
+    """Sends the orders that a :class:`Commander` decides, one at a time."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         self._announced_ms: float | None = None
 
     async def run(self) -> None:
-        """Command until cancelled."""
+        """Send orders until cancelled."""
         max_gap_ms = self._settings.interval_ms + 2 * self._settings.authority_ms
         detector = PauseDetector(
             self._clock, max_gap_ms=max_gap_ms + 2 * self._settings.send_timeout_ms
@@ -103,24 +103,24 @@
         order = self._commander.decide(state)
         self._metrics.orders_repeated.set(self._commander.n_repeated)
         if self._commander.needs_slot:
-            self._announce()
+            self._announce_slot_need()
         if order is not None:
-            await self._carry_out(order, state)
+            await self._execute(order, state)
 
-    def _announce(self) -> None:
+    def _announce_slot_need(self) -> None:
         now_ms = self._clock.now_ms()
         if (
             self._announced_ms is not None
-            and now_ms - self._announced_ms < SLOT_RENEW_MS
+            and now_ms - self._announced_ms < SLOT_RENEWAL_INTERVAL_MS
         ):
             return
         self._announced_ms = now_ms
         self._records.put(RecordDraft(SLOT_KIND, "", value=1, ttl_ms=SLOT_TTL_MS))
 
     def _read_state(self, reports: Collection[LoadReport] = ()) -> FleetState | None:
-        """:returns: the state as of now
+        """:returns: the current state
 
-        :param reports: read just now; they go before what is known by gossip
+        :param reports: reports just read; they replace those known by gossip
         """
         bundle = self._sources.read_bundle()
         if bundle is None:
@@ -136,25 +136,28 @@
             frozenset(self._sources.read_leaving()),
         )
 
-    async def _carry_out(self, order: Order, state: FleetState) -> None:
-        concerned = list_engines_to_read(order, state.bundle)
+    async def _execute(self, order: Order, state: FleetState) -> None:
+        engines = list_engines_to_read(order, state.bundle)
         reports = await asyncio.gather(
-            *(self._read_engine(name, state.bundle) for name in concerned)
+            *(self._read_engine(name, state.bundle) for name in engines)
         )
-        read = [report for report in reports if report is not None]
-        missing = set(concerned) - {report.upstream for report in read}
-        now = self._read_state(read)
-        if now is None:
+        received = [report for report in reports if report is not None]
+        missing = set(engines) - {report.upstream for report in received}
+        latest = self._read_state(received)
+        if latest is None:
             return
-        # An engine that could not be read serves nothing, whatever gossip says.
-        statuses = {k: v for k, v in now.statuses.items() if k not in missing}
-        refusal = self._commander.find_refusal(order, now._replace(statuses=statuses))
+        # An engine that could not be read counts as not serving, even if its gossiped
+        # report says otherwise.
+        statuses = {k: v for k, v in latest.statuses.items() if k not in missing}
+        refusal = self._commander.find_refusal(
+            order, latest._replace(statuses=statuses)
+        )
         if refusal is not None:
             self._metrics.orders_withheld.labels(refusal.value).inc()
             return
         outcome = await self._send(order, state.bundle)
         if outcome is OrderOutcome.ACCEPTED and order.change.action not in LOAD_ACTIONS:
-            outcome = await self._read_back(order, state.bundle)
+            outcome = await self._verify(order, state.bundle)
         action = order.change.action.value
         self._metrics.orders.labels(action, outcome.value).inc()
         change = order.change
@@ -181,15 +184,18 @@
         try:
             async with asyncio.timeout(self._settings.send_timeout_ms / 1_000):
                 engine = self._open(order.engine, bundle)
-                is_taken = await engine.send_command(command, self._owner)
+                is_accepted = await engine.send_command(command, self._owner)
         except UpstreamError as error:
             return _OUTCOMES.get(error.fault, OrderOutcome.FAILED)
         except TimeoutError:
             return OrderOutcome.FAILED
-        return OrderOutcome.ACCEPTED if is_taken else OrderOutcome.FENCED
+        return OrderOutcome.ACCEPTED if is_accepted else OrderOutcome.FENCED
+
+    async def _verify(self, order: Order, bundle: Bundle) -> OrderOutcome:
+        """:returns: whether the engine reports the change that it has accepted
 
-    async def _read_back(self, order: Order, bundle: Bundle) -> OrderOutcome:
-        """:returns: whether the engine shows what it accepted; loads take longer"""
+        Only for changes that take effect at once; loading weights takes longer.
+        """
         report = await self._read_engine(order.engine, bundle)
         if report is not None and is_done(order.change, _to_status(report)):
             return OrderOutcome.ACCEPTED
--- a/src/quetzaldeck/agent/gossip_task.py
+++ b/src/quetzaldeck/agent/gossip_task.py
@@ -1,4 +1,4 @@
-"""The task that probes peers and exchanges news with them."""
+"""The task that probes peers and exchanges gossip with them."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class GossipState(NamedTuple):
-    """What the task reads and feeds; all owned by the session."""
+    """State that the task reads and updates; owned by the session."""
 
     membership: Membership
     records: RecordStore
@@ -44,10 +44,11 @@
 
 
 class GossipTask:
-    """Probes one peer an interval; urgent news goes to a few peers at once.
+    """Probes one peer per interval, and sends urgent updates to a few peers at once.
 
-    :param join_timeout_ms: how long a fresh agent hurries to meet its first peers
-    :param on_gossip: called with what each peer says, after it was merged
+    :param join_timeout_ms: how long a new agent probes at a higher rate until it has
+        reached its first peers
+    :param on_gossip: called with each message of a peer, after it was merged
     """
 
     def __init__(
@@ -69,29 +70,30 @@
         self._on_gossip = on_gossip
         self._join_until_ms = clock.now_ms() + join_timeout_ms
         self._is_urgent = asyncio.Event()
-        self._met: set[str] = set()
+        self._reached: set[str] = set()
         channel.register(GOSSIP_KIND, self._answer_gossip)
         channel.register(RELAY_KIND, self._answer_relay)
 
     @property
     def has_joined(self) -> bool:
-        """:returns: whether enough peers were met to know what the fleet knows
+        """:returns: whether enough peers have answered to know the fleet's state
 
-        All but this VM, at most three: any one of them may itself be fresh.
+        All listed VMs but this one, or three of them: a single peer may itself have
+        just started.
         """
         view = self._membership.view
         if view.list_read_ms is None:
             return False
         listed = [member.vm for member in view.members if member.is_listed]
         n_others = len([vm for vm in listed if vm != view.vm])
-        return len(self._met) >= min(N_JOIN_PEERS, n_others)
+        return len(self._reached) >= min(N_JOIN_PEERS, n_others)
 
     @property
     def _is_joining(self) -> bool:
         return not self.has_joined and self._clock.now_ms() < self._join_until_ms
 
-    def hurry(self) -> None:
-        """Tell a few peers at once."""
+    def send_soon(self) -> None:
+        """Have gossip sent to a few peers without waiting for the next probe."""
         self._is_urgent.set()
 
     async def run(self) -> None:
@@ -101,7 +103,7 @@
         while True:
             if self._is_urgent.is_set():
                 self._is_urgent.clear()
-                await self._tell(self._membership.choose_live(N_URGENT_PEERS))
+                await self._send_to(self._membership.choose_live(N_URGENT_PEERS))
             if self._clock.now_ms() >= due_ms:
                 due_ms = self._clock.now_ms() + interval_ms
                 await self._probe_next()
@@ -110,9 +112,9 @@
             await self._wait(due_ms)
 
     async def leave(self) -> None:
-        """Tell peers directly that this VM is leaving."""
+        """Announce directly to peers that this VM is leaving."""
         self._membership.leave()
-        await self._tell(self._membership.choose_live(N_LEAVE_PEERS))
+        await self._send_to(self._membership.choose_live(N_LEAVE_PEERS))
 
     async def _wait(self, due_ms: float) -> None:
         wait_s = max(0.0, due_ms - self._clock.now_ms()) / 1_000
@@ -130,7 +132,8 @@
             await self._probe_by_relays(member)
 
     async def _probe_by_relays(self, member: Member) -> None:
-        # The way from here may be broken and not the VM: others try theirs.
+        # The network path from here may be broken rather than the VM; other VMs probe
+        # it over their own paths.
         n_relays = self._settings.n_relays
         relays = self._membership.choose_live(n_relays, exclude=member.vm)
         request = RelayRequest(member.vm, member.address)
@@ -140,7 +143,7 @@
         if any(results):
             return
         self._membership.note_probe_failure(member.vm)
-        self._met.discard(member.vm)
+        self._reached.discard(member.vm)
         log_event("peer_missed", level="DEBUG", vm=member.vm, n_relays=len(relays))
 
     async def _ask_relay(self, relay: Member, request: RelayRequest) -> bool:
@@ -156,29 +159,29 @@
         except (PeerError, msgspec.DecodeError):
             return False
 
-    async def _tell(self, members: tuple[Member, ...]) -> None:
+    async def _send_to(self, members: tuple[Member, ...]) -> None:
         await asyncio.gather(
             *(self._exchange(member.vm, member.address) for member in members)
         )
 
     async def _exchange(self, vm: str, address: str) -> bool:
         """:returns: whether the peer answered"""
-        body = msgspec.json.encode(self._build(vm, wants_all=False))
+        body = msgspec.json.encode(self._build_message(vm, wants_all=False))
         try:
             identity, answer = await self._channel.ask(
                 vm, address, GOSSIP_KIND, body, self._settings.probe_timeout_ms
             )
-            self._take(identity, _GOSSIP_DECODER.decode(answer))
+            self._merge(identity, _GOSSIP_DECODER.decode(answer))
         except (PeerError, msgspec.DecodeError) as error:
             log_event("gossip_failed", level="DEBUG", vm=vm, error=error)
             return False
-        self._met.add(vm)
+        self._reached.add(vm)
         return True
 
     async def _answer_gossip(self, sender: PeerIdentity, body: bytes) -> bytes:
         gossip = _GOSSIP_DECODER.decode(body)
-        self._take(sender, gossip)
-        answer = self._build(sender.vm, wants_all=gossip.wants_all)
+        self._merge(sender, gossip)
+        answer = self._build_message(sender.vm, wants_all=gossip.wants_all)
         return msgspec.json.encode(answer)
 
     async def _answer_relay(self, sender: PeerIdentity, body: bytes) -> bytes:
@@ -186,7 +189,7 @@
         is_reached = await self._exchange(request.vm, request.address)
         return msgspec.json.encode(RelayAnswer(is_reached))
 
-    def _build(self, recipient: str, *, wants_all: bool) -> GossipMessage:
+    def _build_message(self, recipient: str, *, wants_all: bool) -> GossipMessage:
         membership = self._membership
         return GossipMessage(
             membership.own_update,
@@ -199,14 +202,14 @@
             self._records.take_records(membership.n_known, wants_all=wants_all),
         )
 
-    def _take(self, sender: PeerIdentity, gossip: GossipMessage) -> None:
+    def _merge(self, sender: PeerIdentity, gossip: GossipMessage) -> None:
         if (gossip.sender.vm, gossip.sender.incarnation) != sender:
             return
         self._membership.merge((gossip.sender, *gossip.updates))
         self._membership.note_message(*sender)
         new = self._records.merge(gossip.records)
         if any(record.is_urgent for record in new):
-            self.hurry()
+            self.send_soon()
         self._on_gossip(gossip)
 
 
--- a/src/quetzaldeck/agent/reclaim_task.py
+++ b/src/quetzaldeck/agent/reclaim_task.py
@@ -1,4 +1,4 @@
-"""The task that gives engines their memory back."""
+"""The task that releases engine memory whose owner is gone."""
 
 from __future__ import annotations
 
@@ -41,34 +41,34 @@
 OWNER_TIMEOUT_MS = 1_000.0
 
 
-class OwnerQuestion(NamedTuple):
-    """Asks an agent about one start of its VM's gateway."""
+class OwnerQuery(NamedTuple):
+    """Asks an agent for the state of one incarnation of its VM's gateway."""
 
     incarnation: str
 
 
 class OwnerAnswer(NamedTuple):
-    """What the agent vouches for."""
+    """The state that the agent confirms."""
 
     state: OwnerState
 
 
 class ReclaimSources(NamedTuple):
-    """Where the task reads what it decides on."""
+    """Functions that return the state on which the task decides."""
 
     read_view: Callable[[], MembershipView]
     read_bundle: Callable[[], Bundle | None]
     find_member: Callable[[str], Member | None]
 
 
-_QUESTION_DECODER = msgspec.json.Decoder(OwnerQuestion)
+_QUERY_DECODER = msgspec.json.Decoder(OwnerQuery)
 _ANSWER_DECODER = msgspec.json.Decoder(OwnerAnswer)
 
 
 class ReclaimTask:
-    """Looks at the engines that this VM reclaims for; answers peers that ask.
+    """Scans the engines assigned to this VM, and answers queries of peers.
 
-    :param owners: vouches for this VM's own gateway
+    :param owners: knows the incarnations of this VM's own gateway
     """
 
     def __init__(
@@ -91,17 +91,17 @@
         channel.register(OWNER_KIND, self._answer)
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Scan until cancelled."""
         while True:
             await asyncio.sleep(self._settings.interval_ms / 1_000)
             for spec in self._list_engines():
                 try:
-                    await self._look(spec)
+                    await self._scan(spec)
                 except UpstreamError as error:
                     log_event("reclaim_failed", level="DEBUG", error=error)
 
     def _list_engines(self) -> list[UpstreamSpec]:
-        """:returns: the engines that this VM reclaims for at present"""
+        """:returns: the engines that are currently assigned to this VM"""
         bundle = self._sources.read_bundle()
         view = self._sources.read_view()
         vms = {view.vm, *(member.vm for member in view.list_live())}
@@ -113,54 +113,54 @@
             if spec.kind == "engine" and choose_owner(spec.name, vms) == view.vm
         ]
 
-    async def _look(self, spec: UpstreamSpec) -> None:
+    async def _scan(self, spec: UpstreamSpec) -> None:
         engine = self._open(spec)
-        holdings = await engine.list_sequences()
-        for owner in self._reclaimer.list_owners_to_query(holdings):
-            self._reclaimer.note_owner_state(owner, await self._ask(owner))
-        releases = self._reclaimer.list_releases(holdings)
+        allocations = await engine.list_sequences()
+        for owner in self._reclaimer.list_owners_to_query(allocations):
+            self._reclaimer.note_owner_state(owner, await self._query_state(owner))
+        releases = self._reclaimer.list_releases(allocations)
         if releases:
-            listed_again = await engine.list_sequences()
-            for release in confirm_releases(releases, listed_again):
+            current = await engine.list_sequences()
+            for release in confirm_releases(releases, current):
                 await self._release(engine, spec.name, release)
 
     async def _release(
         self, engine: EngineUpstream, name: str, release: Release
     ) -> None:
-        holding: RunningSequence = release.allocation
-        await engine.cancel(holding.attempt_id)
+        allocation: RunningSequence = release.allocation
+        await engine.cancel(allocation.attempt_id)
         self._metrics.reclaimed.labels(release.why).inc()
-        self._metrics.reclaimed_tokens.inc(holding.n_kv_tokens)
+        self._metrics.reclaimed_tokens.inc(allocation.n_kv_tokens)
         log_event(
             "reclaimed",
             level="WARNING",
             engine=name,
-            id=holding.attempt_id,
-            vm=holding.owner.vm,
-            incarnation=holding.owner.incarnation,
-            n_tokens=holding.n_kv_tokens,
+            id=allocation.attempt_id,
+            vm=allocation.owner.vm,
+            incarnation=allocation.owner.incarnation,
+            n_tokens=allocation.n_kv_tokens,
             why=release.why,
         )
 
-    async def _ask(self, owner: Owner) -> OwnerState:
-        """:returns: what the agent on the owner's VM vouches for"""
+    async def _query_state(self, owner: Owner) -> OwnerState:
+        """:returns: the state that the agent on the owner's VM confirms"""
         if owner.vm == self._sources.read_view().vm:
             return self._owners.find_state(owner.incarnation)
         member = self._sources.find_member(owner.vm)
         if member is None or not member.address:
             return OwnerState.UNKNOWN
-        question = msgspec.json.encode(OwnerQuestion(owner.incarnation))
+        query = msgspec.json.encode(OwnerQuery(owner.incarnation))
         try:
             _, answer = await self._channel.ask(
-                owner.vm, member.address, OWNER_KIND, question, OWNER_TIMEOUT_MS
+                owner.vm, member.address, OWNER_KIND, query, OWNER_TIMEOUT_MS
             )
             return _ANSWER_DECODER.decode(answer).state
         except (PeerError, msgspec.DecodeError):
             return OwnerState.UNKNOWN
 
     async def _answer(self, sender: PeerIdentity, body: bytes) -> bytes:
-        question = _QUESTION_DECODER.decode(body)
-        state = self._owners.find_state(question.incarnation)
+        query = _QUERY_DECODER.decode(body)
+        state = self._owners.find_state(query.incarnation)
         return msgspec.json.encode(OwnerAnswer(state))
 
     def _open(self, spec: UpstreamSpec) -> EngineUpstream:
--- a/src/quetzaldeck/agent/session.py
+++ b/src/quetzaldeck/agent/session.py
@@ -1,4 +1,4 @@
-"""One run of the agent: it owns the tasks and the connections."""
+"""The session of an agent, which owns its state, tasks and connections."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class AgentSession:
-    """Watches the platform, keeps contact with peers, informs the gateway."""
+    """Runs the agent's tasks and answers the exchanges of its gateway."""
 
     def __init__(self, settings: AgentSettings, clock: Clock) -> None:
         self._settings = settings
@@ -94,7 +94,7 @@
             metrics=PeerMetrics(self.metrics.registry),
         )
         self.bundle_exchange = BundleExchange(
-            self.channel, self.store, self.metrics, on_accepted=self._hurry
+            self.channel, self.store, self.metrics, on_accepted=self._send_gossip_soon
         )
         self._gossip = GossipTask(
             self.channel,
@@ -102,7 +102,7 @@
             self._settings.membership,
             self.clock,
             join_timeout_ms=self._settings.join_timeout_ms,
-            on_gossip=self.bundle_exchange.notice,
+            on_gossip=self.bundle_exchange.note_gossip,
         )
         self.claims = ClaimPart(
             self._identity,
@@ -141,12 +141,12 @@
 
     @property
     def identity(self) -> PeerIdentity:
-        """:returns: this VM and this start of its agent"""
+        """:returns: this VM and the incarnation of its agent"""
         return self._identity
 
     @property
     def view(self) -> MembershipView:
-        """:returns: which entry VMs there are"""
+        """:returns: the entry VMs and their states"""
         return self.membership.view
 
     @property
@@ -156,11 +156,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """:returns: whether a bundle is in force that the peers do not know better
+        """:returns: whether a bundle is in force and no peer has a newer one
 
-        The first read of the configuration service may be stale. A fresh VM that
-        served it would step back behind what the fleet had before; so it asks peers
-        first, and after ``join_timeout_ms`` without peers it is alone and serves.
+        The first read of the configuration service may be stale. If a new VM served
+        it at once, it could use an older bundle than the rest of the fleet. So it
+        asks peers first; after ``join_timeout_ms`` without them it serves all the
+        same.
         """
         if self.store.bundle is None:
             return False
@@ -174,8 +175,8 @@
         assert self._gossip is not None
         return self._gossip.has_joined and self.bundle_exchange.is_idle
 
-    async def meet_peers(self, address: str) -> None:
-        """Start to exchange with peers, which reach this agent at ``address``."""
+    async def start_gossip(self, address: str) -> None:
+        """Start to gossip with peers, which reach this agent at ``address``."""
         assert self._gossip is not None
         self.membership.set_address(self._settings.advertise or address)
         if self.channel.has_keys:
@@ -197,16 +198,16 @@
         self._leave_hooks.append(hook)
 
     def begin_leaving(self) -> None:
-        """Note that this VM is being stopped; it still serves its gateway."""
+        """Mark this VM as being stopped; the agent still serves its gateway."""
         self._is_leaving = True
 
     async def leave(self) -> None:
-        """Tell peers that this VM is gone and hand over what it holds.
+        """Announce to peers that this VM is leaving, and hand over its claims.
 
-        Called when the gateway has finished every request, before the agent
-        ends; a second call does nothing. Hooks run one after the other, each
-        within its own bound; one that fails is logged and does not keep the
-        others from running: peers find out by themselves, only later.
+        Called when the gateway has finished every request, before the agent ends; a
+        second call does nothing. Hooks run one after the other, each with its own
+        timeout. A hook that fails is logged and the others still run, because peers
+        detect the loss of the VM by themselves, only later.
         """
         self._is_leaving = True
         hooks, self._leave_hooks = self._leave_hooks, []
@@ -219,7 +220,7 @@
                 log_event("leave_failed", level="ERROR", hook=name, error=repr(error))
 
     def exchange(self, report: GatewayReport) -> AgentView:
-        """:returns: what the gateway that sent ``report`` must know"""
+        """:returns: the answer to a gateway's report"""
         self.gateway_watch.note_report(report)
         self.owners.note_report(report.incarnation, is_stopped=report.is_stopped)
         for draft in report.records:
@@ -228,7 +229,7 @@
             except RecordError as error:
                 log_event("record_refused", level="ERROR", detail=error)
             if draft.is_urgent:
-                self._hurry()
+                self._send_gossip_soon()
         version = self.store.version if self.is_ready else 0
         is_newer = version > report.bundle_version
         is_same_agent = report.agent_incarnation == self._identity.incarnation
@@ -245,11 +246,11 @@
         )
 
     def list_loads(self) -> tuple[LoadReport, ...]:
-        """:returns: the newest load report of each engine, own or of a peer"""
+        """:returns: the newest load report of each engine, read here or by a peer"""
         return self._load_task.list_reports()
 
     def update_metrics(self) -> None:
-        """Set the gauges that are read rather than counted."""
+        """Set the metrics that are derived from the current state."""
         members = self.view.members
         for state in MemberState:
             n_members = sum(member.state is state for member in members)
@@ -262,19 +263,20 @@
             self.metrics.records_dropped.labels(kind).set(n_dropped)
 
     def apply_list(self, vms: tuple[VmEntry, ...]) -> None:
-        """Take the platform's list as just read."""
+        """Apply a new read of the platform's list of VMs."""
         self.membership.apply_list(vm for vm in vms if vm.role == VmRole.ENTRY)
         if self._leaving.apply_list(vms):
-            self._hurry()
+            self._send_gossip_soon()
 
-    def _hurry(self) -> None:
+    def _send_gossip_soon(self) -> None:
         if self._gossip is not None:
-            self._gossip.hurry()
+            self._gossip.send_soon()
 
     def is_watcher(self) -> bool:
-        """:returns: whether this VM is one of the few that watch the service"""
+        """:returns: whether this VM is one of those that watch the bundle"""
         live = [member.vm for member in self.view.list_live()]
-        # Another few each hour: who watches reads every bundle whole.
+        # The watchers change every hour, because each of them reads every bundle in
+        # full, which costs it more traffic than the other VMs.
         hour = int(self.clock.wall_ms() // MS_PER_HOUR)
         ranked = rank_members(f"bundle-watch:{hour}", {*live, self._settings.vm})
         return self._settings.vm in ranked[: self._settings.platform.max_watchers]
--- a/tests/agent/test_bundles_in_fleet.py
+++ b/tests/agent/test_bundles_in_fleet.py
@@ -74,8 +74,8 @@
         fleet.configuration.is_down = True
         for index in (1, 2, 3):
             await fleet.start_vm(f"entry-{index + 10}")
-            fresh = fleet.vms[f"entry-{index + 10}"].agent.session
-            await wait_for(lambda fresh=fresh: fresh.is_ready)  # type: ignore[misc]
+            new_session = fleet.vms[f"entry-{index + 10}"].agent.session
+            await wait_for(lambda new_session=new_session: new_session.is_ready)  # type: ignore[misc]
             await fleet.leave_vm(f"entry-{index}")
         assert list_versions(fleet) == {2}
         assert set(fleet.vms) == {"entry-11", "entry-12", "entry-13"}
@@ -204,10 +204,10 @@
         await fleet.meet()
         fleet.partition.cut({"entry-9"}, set(fleet.vms))
         await fleet.start_vm("entry-9")
-        fresh = fleet.vms["entry-9"].agent.session
-        await wait_for(lambda: fresh.store.version == 1)
-        assert not fresh.is_ready
-        await wait_for(lambda: fresh.is_ready)
+        new_session = fleet.vms["entry-9"].agent.session
+        await wait_for(lambda: new_session.store.version == 1)
+        assert not new_session.is_ready
+        await wait_for(lambda: new_session.is_ready)
 
 
 def test_a_new_vm_without_peers_serves_after_the_join_timeout() -> None:
--- a/tests/agent/test_peers_in_fleet.py
+++ b/tests/agent/test_peers_in_fleet.py
@@ -1,4 +1,4 @@
-"""Agents of a small fleet in one process."""
+"""Membership, gossip and records in a small fleet in one process."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     from quetzaldeck.agent.session import AgentSession
 
 
-def sessions_of(fleet: Fleet) -> list[AgentSession]:
+def list_sessions(fleet: Fleet) -> list[AgentSession]:
     return [vm.agent.session for vm in fleet.vms.values()]
 
 
-def all_believe(fleet: Fleet, vm: str, state: MemberState) -> bool:
-    members = [session.membership.find(vm) for session in sessions_of(fleet)]
+def all_see(fleet: Fleet, vm: str, state: MemberState) -> bool:
+    members = [session.membership.find(vm) for session in list_sessions(fleet)]
     return all(member is not None and member.state is state for member in members)
 
 
@@ -35,7 +35,7 @@
         await fleet.meet()
         before = fleet.vms["entry-3"].agent.session.membership.find("entry-2")
         await fleet.stop_vm("entry-2")
-        await wait_for(lambda: all_believe(fleet, "entry-2", MemberState.DEAD))
+        await wait_for(lambda: all_see(fleet, "entry-2", MemberState.DEAD))
         await fleet.start_vm("entry-2")
         await fleet.meet()
         after = fleet.vms["entry-3"].agent.session.membership.find("entry-2")
@@ -44,7 +44,7 @@
         assert before.incarnation != after.incarnation
 
 
-def test_leaving_dying_and_coming_back_are_seen_by_all() -> None:
+def test_all_vms_see_members_leave_die_and_return() -> None:
     uvloop.run(run_member_changes())
 
 
@@ -77,7 +77,7 @@
 async def run_record() -> None:
     async with Fleet(FleetSettings(n_vms=4, n_engines=1)) as fleet:
         await fleet.meet()
-        first, *others = sessions_of(fleet)
+        first, *others = list_sessions(fleet)
         first.records.put(RecordDraft("crash", "f00d", value=2, ttl_ms=60_000))
         await wait_for(
             lambda: all(s.records.list_values("crash", int) == (2,) for s in others)
@@ -95,7 +95,7 @@
         fleet.partition.cut(*sides)
         for side in sides:
             for vm in side:
-                await wait_for(lambda vm=vm, side=side: live(fleet, vm) == side)  # type: ignore[misc]
+                await wait_for(lambda vm=vm, side=side: list_live(fleet, vm) == side)  # type: ignore[misc]
         for side, other in (sides, sides[::-1]):
             for vm in side:
                 view = fleet.vms[vm].agent.session.view
@@ -105,22 +105,22 @@
         await fleet.meet()
 
 
-def live(fleet: Fleet, vm: str) -> set[str]:
+def list_live(fleet: Fleet, vm: str) -> set[str]:
     view = fleet.vms[vm].agent.session.view
     return {member.vm for member in view.list_live()}
 
 
-def test_both_sides_of_a_partition_go_on_and_meet_again() -> None:
-    """The fleet is cut in two while the list goes on naming all.
+def test_both_sides_of_a_partition_continue_and_rejoin() -> None:
+    """The fleet is partitioned while the platform's list still shows all VMs.
 
-    Each side counts only itself as live, neither declares the other dead, and
-    once the cut is gone they find each other again without anyone's help.
+    Each side must consider only its own VMs live without declaring the others dead,
+    and after the partition both must rejoin without intervention.
     """
     uvloop.run(run_partition())
 
 
 async def run_restart() -> None:
-    """A restarted agent refuses nothing authentic: it tells peers its epoch."""
+    """Restart an agent repeatedly; peers have to learn its new epoch each time."""
     async with Fleet(FleetSettings(n_vms=2, n_engines=1)) as fleet:
         await fleet.meet()
         for _ in range(3):
@@ -129,23 +129,24 @@
             await fleet.meet()
 
 
-def test_peers_meet_again_after_each_restart() -> None:
+def test_peers_regain_contact_after_each_restart() -> None:
     uvloop.run(run_restart())
 
 
 async def run_leaving_upstream() -> None:
     async with Fleet(FleetSettings(n_vms=3, n_engines=2)) as fleet:
         await fleet.meet()
-        first, *others = sessions_of(fleet)
+        first, *others = list_sessions(fleet)
         entry = VmEntry("engine-2", VmRole.UPSTREAM, state=VmState.LEAVING)
         first.apply_list((entry,))
         await wait_for(lambda: all("engine-2" in s.leaving_upstreams for s in others))
 
 
-def test_a_leaving_upstream_is_told_by_the_first_reader() -> None:
-    """One agent's copy of the list is ahead of the others' by many seconds.
+def test_the_first_reader_announces_a_leaving_upstream() -> None:
+    """One agent reads the list many seconds before the others.
 
-    Until each has read the change for itself it would send the upstream new work.
+    Without the announcement, the others would send new work to the leaving upstream
+    until their own next read.
     """
     uvloop.run(run_leaving_upstream())
 
@@ -157,11 +158,13 @@
         await wait_for(
             lambda: all(
                 {report.upstream for report in s.list_loads()} == engines
-                for s in sessions_of(fleet)
+                for s in list_sessions(fleet)
             )
         )
         assert all(
-            report.age_ms >= 0 for s in sessions_of(fleet) for report in s.list_loads()
+            report.age_ms >= 0
+            for s in list_sessions(fleet)
+            for report in s.list_loads()
         )
 
 
--- a/tests/agent/test_reclaim_in_fleet.py
+++ b/tests/agent/test_reclaim_in_fleet.py
@@ -1,4 +1,4 @@
-"""Engines get their memory back from gateways that are gone."""
+"""Engine memory of gateways that are gone is released."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 if TYPE_CHECKING:
     from quetzaldeck.standin import EngineStandin
 
-N_LOOKS_S = 1.0
+SCAN_WAIT_S = 1.0
 
 
-async def leave_behind(engine: EngineStandin, attempt_id: str, owner: Owner) -> None:
-    """Start a long sequence and lose its connection, unseen by the engine."""
+async def orphan(engine: EngineStandin, attempt_id: str, owner: Owner) -> None:
+    """Start a long sequence and drop its connection without notifying the engine."""
     control = {
         "attempt_id": attempt_id,
         "vm": owner.vm,
@@ -50,27 +50,27 @@
         await fleet.meet()
         engine = fleet.engines["engine-1"]
         vm = fleet.vms["entry-1"]
-        await leave_behind(engine, "left.1", vm.gateway.session.state.owner)
-        await asyncio.sleep(N_LOOKS_S)
+        await orphan(engine, "orphan.1", vm.gateway.session.state.owner)
+        await asyncio.sleep(SCAN_WAIT_S)
         assert engine.n_kv_tokens_used
         settings = vm.gateway.session.state.settings
         with suppress(aiohttp.ClientError):
             await vm.gateway.stop()
-        fresh = GatewayService(settings)
-        await fresh.start()
-        fleet.vms["entry-1"] = vm._replace(gateway=fresh)
+        new_gateway = GatewayService(settings)
+        await new_gateway.start()
+        fleet.vms["entry-1"] = vm._replace(gateway=new_gateway)
         await wait_for(lambda: engine.n_kv_tokens_used == 0)
         # The engine frees its memory before the agent has read the engine's answer.
         await wait_for(lambda: read_reclaimed(fleet, "owner_gone") > 0)
-        await asyncio.sleep(N_LOOKS_S)
+        await asyncio.sleep(SCAN_WAIT_S)
         assert read_reclaimed(fleet, "owner_gone") == 1
 
 
-def test_memory_of_a_replaced_gateway_is_given_back() -> None:
-    """A gateway dies while its connection to an engine has gone silent.
+def test_memory_of_a_replaced_gateway_is_released() -> None:
+    """A gateway dies after its connection to an engine was dropped without closing.
 
-    The engine never sees the end and generates for nobody, for minutes;
-    as long as the gateway lives the sequence is left alone.
+    The engine does not notice and generates for minutes for nobody. As long as the
+    gateway runs, the sequence must not be released.
     """
     uvloop.run(run_restarted_gateway())
 
@@ -81,14 +81,14 @@
         engine = fleet.engines["engine-1"]
         owner = Owner("entry-lost", "gateway.lost")
         wall_ms = fleet.vms["entry-1"].agent.session.clock.wall_ms()
-        await leave_behind(engine, mark_expiry("late.1", wall_ms + 60_000), owner)
-        await leave_behind(engine, mark_expiry("past.1", wall_ms - 60_000), owner)
+        await orphan(engine, mark_expiry("late.1", wall_ms + 60_000), owner)
+        await orphan(engine, mark_expiry("past.1", wall_ms - 60_000), owner)
         await wait_for(lambda: read_reclaimed(fleet, "deadline_passed") == 1)
-        await asyncio.sleep(N_LOOKS_S)
+        await asyncio.sleep(SCAN_WAIT_S)
         assert read_reclaimed(fleet, "deadline_passed") == 1
         assert engine.n_kv_tokens_used
 
 
-def test_memory_of_a_lost_vm_is_given_back_after_its_deadline() -> None:
-    """A VM is gone for good: nobody is left who could vouch for its gateway."""
+def test_memory_of_a_lost_vm_is_released_after_its_deadline() -> None:
+    """A VM is lost, so no agent can confirm that its gateway is gone."""
     uvloop.run(run_lost_vm())
