--- a/src/quetzaldeck/agent/gateway_watch.py
+++ b/src/quetzaldeck/agent/gateway_watch.py
@@ -33,8 +33,11 @@
     @property
     def is_gone(self) -> bool:
         """:returns: whether the gateway has stopped, crashed, or never reported"""
-        last = self._last_report
-        if last is None or last.is_stopped or self._is_wait_cancelled:
+        if (
+            self._last_report is None
+            or self._last_report.is_stopped
+            or self._is_wait_cancelled
+        ):
             return True
         return self._clock.now_ms() - self._last_report_ms > self._quiet_ms
 
