--- a/src/quetzaldeck/agent/bundle_task.py
+++ b/src/quetzaldeck/agent/bundle_task.py
@@ -83,7 +83,7 @@
             timeout_ms = self._settings.watch_timeout_ms if is_watcher else 0
             published = await self._service.watch(key, self._revision, timeout_ms)
         if published is not None:
-            self._take(published)
+            self._process(published)
         elif is_watcher:
             await asyncio.sleep(self._settings.retry_ms / 1_000)
 
@@ -95,7 +95,7 @@
             await asyncio.sleep(min(remaining_ms, _WATCHER_CHECK_MS) / 1_000)
             remaining_ms -= _WATCHER_CHECK_MS
 
-    def _take(self, published: Published) -> None:
+    def _process(self, published: Published) -> None:
         self._revision = published.revision
         try:
             envelope = decode_envelope(published.value)
--- a/src/quetzaldeck/agent/reclaim_task.py
+++ b/src/quetzaldeck/agent/reclaim_task.py
@@ -88,7 +88,7 @@
         self._owners = owners
         self._metrics = metrics
         self._reclaimer = Reclaimer(clock, settings)
-        channel.register(OWNER_KIND, self._answer)
+        channel.register(OWNER_KIND, self._answer_query)
 
     async def run(self) -> None:
         """Scan until cancelled."""
@@ -158,7 +158,7 @@
         except (PeerError, msgspec.DecodeError):
             return OwnerState.UNKNOWN
 
-    async def _answer(self, sender: PeerIdentity, body: bytes) -> bytes:
+    async def _answer_query(self, sender: PeerIdentity, body: bytes) -> bytes:
         query = _QUERY_DECODER.decode(body)
         state = self._owners.find_state(query.incarnation)
         return msgspec.json.encode(OwnerAnswer(state))
--- a/src/quetzaldeck/agent/session.py
+++ b/src/quetzaldeck/agent/session.py
@@ -114,8 +114,8 @@
             read_view=lambda: self.view,
             find_member=self.membership.find,
         )
-        self.on_leave(self.claims.hand_over)
-        self.on_leave(self.claims.leave)
+        self.add_leave_hook(self.claims.hand_over)
+        self.add_leave_hook(self.claims.leave)
         self._load_task = build_load_task(self, client)
         await self._stack.enter_async_context(self.claims)
         await self._stack.enter_async_context(
@@ -181,7 +181,7 @@
         self.membership.set_address(self._settings.advertise or address)
         if self.channel.has_keys:
             await self._stack.enter_async_context(run_tasks(self._gossip.run()))
-            self.on_leave(self._gossip.leave)
+            self.add_leave_hook(self._gossip.leave)
 
     @property
     def settings(self) -> AgentSettings:
@@ -193,7 +193,7 @@
         """:returns: whether this VM is being stopped"""
         return self._is_leaving
 
-    def on_leave(self, hook: LeaveHook) -> None:
+    def add_leave_hook(self, hook: LeaveHook) -> None:
         """Have ``hook`` awaited by :meth:`leave`, in the order of registration."""
         self._leave_hooks.append(hook)
 
