--- a/src/quetzaldeck/agent/bundle_exchange.py
+++ b/src/quetzaldeck/agent/bundle_exchange.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from quetzaldeck.bundle.signing import SignatureError
-from quetzaldeck.bundle.store import Offer, digest_payload
+from quetzaldeck.bundle.store import OfferResult, digest_payload
 from quetzaldeck.dissemination.bundle_answer import (
     BundleRequest,
     decode_answer,
@@ -91,28 +91,28 @@
         )
         self._has_peer_bundles.set()
 
-    def offer_to_store(self, envelope: Envelope, source: str) -> Offer:
+    def offer_to_store(self, envelope: Envelope, source: str) -> OfferResult:
         """Offer an envelope to the store and report the result.
 
         :param source: ``service`` or ``peer``
         """
         held = self._store.envelope
         offer = self._store.offer(envelope)
-        if offer is Offer.ACCEPTED:
+        if offer is OfferResult.ACCEPTED:
             if held is not None:
                 self._previous_payloads.append(held.payload)
             self._metrics.bundle_version.set(self._store.version)
             self._metrics.bundles_accepted.labels(source).inc()
             log_event("bundle_in_force", version=self._store.version, source=source)
             self._on_accepted()
-        elif offer is not Offer.KNOWN:
+        elif offer is not OfferResult.KNOWN:
             self.report_refusal(offer, self._store.detail)
         return offer
 
-    def report_refusal(self, offer: Offer, detail: str) -> None:
+    def report_refusal(self, offer: OfferResult, detail: str) -> None:
         """Report a refused bundle in metrics and log."""
         self._metrics.bundles_refused.labels(offer.value).inc()
-        level = "WARNING" if offer is Offer.OLDER else "ERROR"
+        level = "WARNING" if offer is OfferResult.OLDER else "ERROR"
         log_event("bundle_refused", level=level, why=offer.value, detail=detail)
 
     async def run(self) -> None:
@@ -137,7 +137,10 @@
         if envelope is None:
             # The next gossip message of a peer that has the bundle announces it again.
             return
-        if self.offer_to_store(envelope, "peer") not in (Offer.ACCEPTED, Offer.KNOWN):
+        if self.offer_to_store(envelope, "peer") not in (
+            OfferResult.ACCEPTED,
+            OfferResult.KNOWN,
+        ):
             # Otherwise it would be fetched again at every gossip message.
             self._refused.append((wanted.version, wanted.digest))
 
--- a/src/quetzaldeck/agent/service.py
+++ b/src/quetzaldeck/agent/service.py
@@ -86,7 +86,7 @@
         await self._session.leave()
         return 0
 
-    def cut_off(self) -> None:
+    def abort_drain(self) -> None:
         """Stop waiting for the gateway."""
         self._session.gateway_watch.cancel_wait()
 
--- a/src/quetzaldeck/bench/attempt_launcher.py
+++ b/src/quetzaldeck/bench/attempt_launcher.py
@@ -1,4 +1,4 @@
-"""Carries a VM's attempts to the upstreams of the bench, and calls them off."""
+"""Starts a VM's attempts at the simulated upstreams and cancels them."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from quetzaldeck.bench.model_engine import ModelEngine
 from quetzaldeck.bench.pass_engine import PassEngine
 from quetzaldeck.bench.prefill_group import PrefillGroup
-from quetzaldeck.bench.spread_group import SpreadGroup
-from quetzaldeck.bench.spread_read import SpreadRead
+from quetzaldeck.bench.split_prefill import SplitPrefill
+from quetzaldeck.bench.split_prefill_group import SplitPrefillGroup
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -22,11 +22,12 @@
 
 
 class AttemptLauncher:
-    """What lies between a VM and the upstreams.
+    """Simulates the network between a VM and the upstreams.
 
-    :param latency_ms: one way
-    :param groups: how memory is set aside for prompts above one engine's
-    :param watches_silence: whether silent attempts are left as an entry VM leaves them
+    :param latency_ms: one-way latency
+    :param groups: limits of group reservations, for prompts larger than one engine's
+        memory
+    :param abandons_silent: whether silent attempts are abandoned as by an entry VM
     """
 
     def __init__(
@@ -36,44 +37,44 @@
         *,
         latency_ms: float,
         groups: GroupBounds,
-        watches_silence: bool,
+        abandons_silent: bool,
     ) -> None:
         self._upstreams = upstreams
         self._events = events
         self._latency_ms = latency_ms
         self._groups = groups
-        self._watches_silence = watches_silence
+        self._abandons_silent = abandons_silent
 
     def launch(self, attempt: BenchAttempt) -> None:
-        """Send an attempt on its way."""
-        if self._watches_silence:
+        """Start an attempt; it reaches its upstream one latency later."""
+        if self._abandons_silent:
             attempt.watch = AttemptWatch(attempt, self._events)
             attempt.watch.begin()
-        attempt.spread = self._spread(attempt)
+        attempt.split = self._build_split(attempt)
         if attempt.dispatch.plan is not None:
             attempt.group = self._build_group(attempt, attempt.dispatch.plan)
             self._events.after(self._latency_ms, attempt.group.begin)
             return
         upstream = self._upstreams[attempt.dispatch.upstreams[0]]
-        self._events.after(self._latency_ms, partial(self._arrive, upstream, attempt))
+        self._events.after(self._latency_ms, partial(self._accept, upstream, attempt))
 
     def cancel(self, attempt: BenchAttempt) -> None:
-        """Release what an attempt holds, wherever it is."""
+        """Release everything that an attempt holds at upstreams."""
         if attempt.group is not None:
             attempt.group.release()
         for name in attempt.dispatch.upstreams:
             cancel = partial(self._upstreams[name].cancel, attempt.attempt_id)
             self._events.after(self._latency_ms, cancel)
 
-    def _arrive(self, upstream: BenchUpstream, attempt: BenchAttempt) -> None:
+    def _accept(self, upstream: BenchUpstream, attempt: BenchAttempt) -> None:
         if attempt.vm.is_running(attempt):
-            upstream.arrive(attempt)
+            upstream.accept(attempt)
 
     def _build_group(
         self, attempt: BenchAttempt, plan: GroupPlan
-    ) -> PrefillGroup | SpreadGroup:
+    ) -> PrefillGroup | SplitPrefillGroup:
         upstreams = [self._upstreams[name] for name in plan.upstreams]
-        kind = SpreadGroup if attempt.spread is not None else PrefillGroup
+        kind = SplitPrefillGroup if attempt.split is not None else PrefillGroup
         return kind(
             attempt,
             [upstream for upstream in upstreams if isinstance(upstream, ModelEngine)],
@@ -83,18 +84,18 @@
             bounds=self._groups,
         )
 
-    def _spread(self, attempt: BenchAttempt) -> SpreadRead | None:
-        """:returns: the parts of a prompt that engines read beside the one asked"""
+    def _build_split(self, attempt: BenchAttempt) -> SplitPrefill | None:
+        """:returns: the prompt's division among engines; ``None`` for one engine"""
         dispatch = attempt.dispatch
         names = (*reversed(dispatch.upstreams), *dispatch.helpers)
         engines = [self._upstreams[name] for name in names]
-        readers = [engine for engine in engines if isinstance(engine, PassEngine)]
-        if len(readers) <= 1:
+        pass_engines = [engine for engine in engines if isinstance(engine, PassEngine)]
+        if len(pass_engines) <= 1:
             return None
         plan = dispatch.plan
-        return SpreadRead(
+        return SplitPrefill(
             attempt,
-            readers,
+            pass_engines,
             self._events,
             latency_ms=self._latency_ms,
             n_reserved_tokens=0 if plan is None else sum(plan.reserved_tokens),
--- a/src/quetzaldeck/cli/exit_codes.py
+++ b/src/quetzaldeck/cli/exit_codes.py
@@ -6,14 +6,14 @@
 
 
 class ExitCode(IntEnum):
-    """What a program's exit code means."""
+    """Exit codes, as listed in the help of each program."""
 
     OK = 0
     FAILED = 1
     USAGE = 2
     BAD_SETTINGS = 3
     BAD_SIGNATURE = 4
-    CUT_OFF = 5
+    REQUESTS_ABORTED = 5
 
 
 __all__ = ("ExitCode",)
--- a/src/quetzaldeck/cli/log_commands.py
+++ b/src/quetzaldeck/cli/log_commands.py
@@ -12,7 +12,7 @@
 from quetzaldeck.telemetry.losses import (
     IN_TIME,
     count_outcomes,
-    find_moments,
+    find_loss_windows,
     read_outcomes,
 )
 from quetzaldeck.telemetry.predictions import compare_predictions
@@ -22,7 +22,7 @@
     from collections import Counter
     from typing import TextIO
 
-    from quetzaldeck.telemetry.losses import Moment
+    from quetzaldeck.telemetry.losses import LossWindow
     from quetzaldeck.telemetry.request_trace import TraceLine
 
 
@@ -33,16 +33,16 @@
 
 @click.group("logs")
 def logs_group() -> None:
-    """Work out figures from logs of entry VMs."""
+    """Analyse the logs of entry VMs."""
 
 
 @logs_group.command("predictions")
 @_files_argument
 def predictions_command(*, files: tuple[TextIO, ...]) -> None:
-    """Compare predicted and seen times to the first token, by length of prompt.
+    """Compare predicted and measured times to first token.
 
-    A median ratio far from 1 means that engines are not as fast as the configuration
-    says.
+    Prints a line for each length class of prompts. A median ratio of measured to
+    predicted time far from 1 means that the engines are not as fast as configured.
 
     Example: quetzaldeck logs predictions entry-a.log entry-b.log
     """
@@ -50,7 +50,7 @@
     click.echo("length        n  seen ms  ratio   p95  error ms")
     for row in rows:
         click.echo(
-            f"{row.length:8} {row.n_requests:6d} {row.seen_ms:8.0f} "
+            f"{row.length:8} {row.n_requests:6d} {row.measured_ms:8.0f} "
             f"{row.median_ratio:6.2f} {row.p95_ratio:5.2f} {row.median_error_ms:9.0f}"
         )
 
@@ -62,29 +62,31 @@
     type=click.FloatRange(min=1.0),
     default=2_000.0,
     show_default=True,
-    help="Length of the moments that are compared.",
+    help="Length of the compared time windows, in ms.",
 )
 @click.option(
     "--n-moments",
     type=click.IntRange(min=0),
     default=6,
     show_default=True,
-    help="How many of the worst are shown.",
+    help="Number of time windows to print, those with most losses first.",
 )
 def losses_command(
     *, files: tuple[TextIO, ...], moment_ms: float, n_moments: int
 ) -> None:
-    """Count what callers received, by route, and when most of them lost.
+    """Count late, refused and failed requests by route and time.
 
-    A caller that was refused and came back is counted each time.
+    Prints a line for each route, then one for each of the worst time windows.
+
+    A request that was refused and sent again is counted each time.
 
     Example: quetzaldeck logs losses entry-a.log entry-b.log
     """
     outcomes = read_outcomes(chain.from_iterable(files))
     for route, counts in sorted(count_outcomes(outcomes).items()):
         click.echo(_describe_route(route, counts))
-    for moment in find_moments(outcomes, moment_ms)[:n_moments]:
-        click.echo(_describe_moment(moment))
+    for window in find_loss_windows(outcomes, moment_ms)[:n_moments]:
+        click.echo(_describe_window(window))
 
 
 @logs_group.command("request")
@@ -95,15 +97,16 @@
     type=click.FloatRange(min=0.0),
     default=2_000.0,
     show_default=True,
-    help="How long before and after it faults of its upstreams are shown.",
+    help="Time before and after the request in which faults of its upstreams are "
+    "shown, in ms.",
 )
 def request_command(
     *, request_id: str, files: tuple[TextIO, ...], margin_ms: float
 ) -> None:
-    """Show what happened to one request, from the logs of all VMs.
+    """Print the log lines about one request from all VMs.
 
-    Faults of the upstreams that it was sent to, and of those that read parts of its
-    prompt, follow: how many lines tell of each, and the first one.
+    Then prints the faults of the upstreams that it was sent to, and of those that
+    prefilled parts of its prompt: number of lines and first line of each fault.
 
     Example: quetzaldeck logs request 9c41d07be2a35f68 logs/*.log
     """
@@ -115,7 +118,9 @@
     for line in trace.own:
         click.echo(_describe_line(line))
     if trace.faults:
-        click.echo("its upstreams meanwhile, the first line of each event:")
+        click.echo(
+            "its upstreams at the same time, number and first line of each fault:"
+        )
     for fault in trace.faults:
         click.echo(f"{fault.n_lines:4} x {_describe_line(fault.first)}")
 
@@ -131,11 +136,11 @@
     return f"{route or '-':20} {total:6d} {in_time:6.3f}  {_describe_counts(counts)}"
 
 
-def _describe_moment(moment: Moment) -> str:
-    began = datetime.fromtimestamp(moment.began_ms / MS_PER_SECOND, UTC)
-    n_lost = moment.n_lost.total()
-    counts = _describe_counts(moment.n_lost)
-    return f"{began:%H:%M:%S} {n_lost} of {moment.n_all}: {counts}"
+def _describe_window(window: LossWindow) -> str:
+    started = datetime.fromtimestamp(window.started_ms / MS_PER_SECOND, UTC)
+    n_lost = window.n_lost.total()
+    counts = _describe_counts(window.n_lost)
+    return f"{started:%H:%M:%S} {n_lost} of {window.n_all}: {counts}"
 
 
 def _describe_counts(counts: Counter[str]) -> str:
--- a/src/quetzaldeck/entry/attempt.py
+++ b/src/quetzaldeck/entry/attempt.py
@@ -17,7 +17,7 @@
 from quetzaldeck.entry.response_head import ResponseHead
 from quetzaldeck.entry.silence_watch import SilenceWatch
 from quetzaldeck.gateway.messages import ObserveLoad
-from quetzaldeck.platform import build_request_headers, read_answer_head
+from quetzaldeck.platform import build_request_headers, read_response_head
 from quetzaldeck.upstreams import UpstreamError
 from quetzaldeck.upstreams.http import translate_faults
 
@@ -87,7 +87,7 @@
             async with self._open_response(dispatch, last_event_id) as opened:
                 yield opened
         except UpstreamError as error:
-            if not error.has_reached:
+            if not error.may_have_run:
                 self._may_have_run = may_have_run_before
             raise
 
@@ -112,7 +112,7 @@
                 lambda: self._send(dispatch, helpers, last_event_id)
             )
             try:
-                head = read_answer_head(response.status, response.headers)
+                head = read_response_head(response.status, response.headers)
                 self._report_load(name, head)
                 self._check_head(name, head)
                 yield OpenResponse(head, response)
@@ -167,8 +167,8 @@
             raise UpstreamError(
                 AttemptFault.OVERLOADED,
                 f"{name}: the replica left after the request was dispatched to it",
-                has_reached=False,
-                has_arrived=False,
+                may_have_run=False,
+                was_sent=False,
                 upstream=name,
             )
         return replica
@@ -224,7 +224,7 @@
         raise UpstreamError(
             fault,
             f"{name}: status {head.status}, the request was not run",
-            has_reached=False,
+            may_have_run=False,
             upstream=faulty,
         )
 
--- a/src/quetzaldeck/entry/call_run.py
+++ b/src/quetzaldeck/entry/call_run.py
@@ -11,7 +11,7 @@
 from quetzaldeck.entry.attempt import AttemptRunner
 from quetzaldeck.entry.stream_relay import StreamRelay
 from quetzaldeck.gateway.errors import RequestError
-from quetzaldeck.platform import build_answer_headers
+from quetzaldeck.platform import build_response_headers
 from quetzaldeck.routing import RequestKind
 from quetzaldeck.telemetry import log_event
 from quetzaldeck.upstreams import UpstreamError
@@ -111,7 +111,7 @@
         response = web.Response(
             body=body,
             status=opened.head.status,
-            headers=build_answer_headers(opened.response.headers),
+            headers=build_response_headers(opened.response.headers),
         )
         if opened.head.status < SERVER_ERROR_STATUS:
             return response
@@ -143,7 +143,7 @@
             n_attempt=dispatch.n_attempt,
             upstream=error.upstream or dispatch.upstreams[-1],
             fault=error.fault.value,
-            may_have_run=error.has_reached,
+            may_have_run=error.may_have_run,
             error=error,
         )
         is_addressed = error.upstream in ("", dispatch.upstreams[-1])
@@ -151,8 +151,8 @@
             dispatch.attempt_id,
             error.fault,
             n_output_tokens=self._relay.n_events,
-            may_have_run=error.has_reached,
-            was_sent=error.has_arrived,
+            may_have_run=error.may_have_run,
+            was_sent=error.was_sent,
             upstream=error.upstream,
             incarnation=self._runner.incarnation if is_addressed else "",
         )
