--- a/src/quetzaldeck/claims/voter.py
+++ b/src/quetzaldeck/claims/voter.py
@@ -31,9 +31,7 @@
         """Vote on the request of a claimant."""
         claim = request.claim
         if not self.can_vote:
-            return self._abstain(
-                "not a member of a voter set", self._settings.sync_interval_ms
-            )
+            return self._abstain("not in a voter set", self._settings.sync_interval_ms)
         others = tuple(
             other
             for other in self.table.find(claim.key)
@@ -45,15 +43,11 @@
             return Vote(self._voter_id, verdict, self._list_required_sets(), others)
         abstain_ms = self._abstention.remaining_ms(request.created_ms)
         if abstain_ms > 0:
-            return self._abstain(
-                "may have lost a claim on the key in a restart", abstain_ms
-            )
+            return self._abstain("may have forgotten the key", abstain_ms)
         if self._is_too_old(request):
-            return self._abstain("the key is older than the resend window", 0.0)
+            return self._abstain("the key is older than the window", 0.0)
         if len(self.table) >= self._settings.max_claims:
-            return self._abstain(
-                "the table of claims is full", self._settings.window_ms
-            )
+            return self._abstain("the table is full", self._settings.window_ms)
         self.table.add(claim)
         return Vote(self._voter_id, Verdict.GRANTED, self._list_required_sets())
 
--- a/src/quetzaldeck/telemetry/agent_metrics.py
+++ b/src/quetzaldeck/telemetry/agent_metrics.py
@@ -19,36 +19,36 @@
         )
         self.bundles_refused = Counter(
             "quetzaldeck_agent_bundles_refused",
-            "Bundles rejected, by reason",
+            "Bundles that did not come in force, by reason",
             ["why"],
             registry=self.registry,
         )
         self.bundles_accepted = Counter(
             "quetzaldeck_agent_bundles_accepted",
-            "Bundles that took effect, by where they were read",
+            "Bundles that came in force, by where they were read",
             ["source"],
             registry=self.registry,
         )
         self.bundle_bytes = Counter(
             "quetzaldeck_agent_bundle_bytes",
-            "Bytes of bundles and of changes between bundles fetched from peers",
+            "Bytes of bundles, and of changes of bundles, fetched from peers",
             registry=self.registry,
         )
         self.members = Gauge(
             "quetzaldeck_agent_members",
-            "Entry VMs known to this VM, by membership state",
+            "Entry VMs known, by what is believed of them",
             ["state"],
             registry=self.registry,
         )
         self.membership_events = Gauge(
             "quetzaldeck_agent_membership_events",
-            "Suspicions refuted, deaths confirmed and deaths not confirmed, by event",
+            "Suspicions taken back, deaths confirmed and deaths withheld",
             ["event"],
             registry=self.registry,
         )
         self.records_dropped = Gauge(
             "quetzaldeck_agent_records_dropped",
-            "Records dropped because of the size limit or as undecodable, by kind",
+            "Records dropped at the bound or as unreadable, by kind",
             ["kind"],
             registry=self.registry,
         )
@@ -66,45 +66,45 @@
         )
         self.commands_sent = Counter(
             "quetzaldeck_agent_orders",
-            "Commands sent to engines, by action and outcome",
+            "Commands to engines that were sent, by action and outcome",
             ["action", "outcome"],
             registry=self.registry,
         )
         self.commands_withheld = Counter(
             "quetzaldeck_agent_orders_withheld",
-            "Commands withheld by the final check before sending, by reason",
+            "Commands decided on and not sent after the last check, by reason",
             ["why"],
             registry=self.registry,
         )
         self.commands_repeated = Gauge(
             "quetzaldeck_agent_orders_repeated",
-            "Commands sent again because they were not followed or were undone",
+            "Commands that had to be given again: not followed, or undone",
             registry=self.registry,
         )
         self.reclaimed = Counter(
             "quetzaldeck_agent_reclaimed",
-            "Sequences, reservations and exports released without an owner, by reason",
+            "Sequences, reservations and exports released for nobody, by proof",
             ["why"],
             registry=self.registry,
         )
         self.reclaimed_tokens = Counter(
             "quetzaldeck_agent_reclaimed_tokens",
-            "Engine memory released without an owner, in tokens",
+            "Memory of engines released for nobody",
             registry=self.registry,
         )
         self.pauses = Counter(
             "quetzaldeck_agent_pauses",
-            "Times that the agent detected that it had been paused",
+            "Times at which the agent found that it had been paused",
             registry=self.registry,
         )
         self.load_reads = Counter(
             "quetzaldeck_agent_load_reads",
-            "Attempts to read the load report of an upstream",
+            "Reads of an upstream's load",
             registry=self.registry,
         )
         self.load_errors = Counter(
             "quetzaldeck_agent_load_errors",
-            "Load reports that could not be read or decoded",
+            "Load reports that could not be read",
             registry=self.registry,
         )
         self._add_claim_metrics()
@@ -112,7 +112,7 @@
     def _add_claim_metrics(self) -> None:
         self.claim_decisions = Counter(
             "quetzaldeck_agent_claim_decisions",
-            "Claims requested by this VM's gateway, by verdict",
+            "Claims asked for by this VM's gateway, by verdict",
             ["verdict"],
             registry=self.registry,
         )
@@ -124,7 +124,7 @@
         )
         self.claim_votes = Counter(
             "quetzaldeck_agent_claim_votes",
-            "Votes sent to peers, by verdict",
+            "Votes given to peers, by verdict",
             ["verdict"],
             registry=self.registry,
         )
@@ -146,12 +146,12 @@
         )
         self.claim_is_settled = Gauge(
             "quetzaldeck_agent_claim_is_settled",
-            "1 if this VM votes and no change of the voter set is in progress, else 0",
+            "Whether this VM votes and no change of the voter set is under way",
             registry=self.registry,
         )
         self.claims_held = Gauge(
             "quetzaldeck_agent_claims_held",
-            "Claims recorded by this VM's voter",
+            "Claims that this VM's voter remembers",
             registry=self.registry,
         )
 
--- a/src/quetzaldeck/telemetry/gateway_metrics.py
+++ b/src/quetzaldeck/telemetry/gateway_metrics.py
@@ -18,63 +18,63 @@
         self.registry = CollectorRegistry()
         self.ttft_seconds = Histogram(
             "quetzaldeck_ttft_seconds",
-            "Time to first token, by length class of the prompt",
+            "Time to first token by length class",
             ["length_class"],
             buckets=_TTFT_BUCKETS,
             registry=self.registry,
         )
         self.answer_seconds = Histogram(
             "quetzaldeck_answer_seconds",
-            "Time from arrival to the end of a complete answer, by kind of request",
+            "Time from arrival to the end of a whole answer, by kind of request",
             ["kind"],
             buckets=_TTFT_BUCKETS,
             registry=self.registry,
         )
         self.queue_wait_seconds = Histogram(
             "quetzaldeck_queue_wait_seconds",
-            "Time from admission to dispatch, by length class of the prompt",
+            "Time from admission to dispatch",
             ["length_class"],
             buckets=_TTFT_BUCKETS,
             registry=self.registry,
         )
         self.requests = Counter(
             "quetzaldeck_requests",
-            "Requests received, by kind",
+            "Requests by kind",
             ["kind"],
             registry=self.registry,
         )
         self.completed = Counter(
             "quetzaldeck_completed",
-            "Requests answered completely, by kind",
+            "Requests answered whole",
             ["kind"],
             registry=self.registry,
         )
         self.failures = Counter(
             "quetzaldeck_failures",
-            "Refusals and failures, by reason and by whether the request ran",
+            "Refusals and failures by reason and whether the request ran",
             ["reason", "ran"],
             registry=self.registry,
         )
         self.requests_aborted = Counter(
             "quetzaldeck_cut_off",
-            "Requests aborted because this gateway stopped",
+            "Requests that a stop of this gateway cut off",
             registry=self.registry,
         )
         self.connections_broken = Counter(
             "quetzaldeck_connections_broken",
-            "Callers' connections closed because they stalled, by reason",
+            "Callers' connections broken because nothing moved on them",
             ["why"],
             registry=self.registry,
         )
         self.attempt_faults = Counter(
             "quetzaldeck_attempt_faults",
-            "Failed attempts, by fault; each may be retried",
+            "Failed attempts by evidence; each may be retried",
             ["fault"],
             registry=self.registry,
         )
         self.dropped_chunks = Counter(
             "quetzaldeck_dropped_chunks",
-            "Chunks discarded as late, duplicate, foreign or after a gap, by reason",
+            "Chunks discarded: late, doubled, foreign or with a gap",
             ["why"],
             registry=self.registry,
         )
@@ -85,11 +85,11 @@
         )
         self.queued = Gauge(
             "quetzaldeck_queued",
-            "Requests that wait for dispatch",
+            "Requests that wait",
             registry=self.registry,
         )
         self.running = Gauge(
-            "quetzaldeck_running", "Attempts in progress", registry=self.registry
+            "quetzaldeck_running", "Attempts that run", registry=self.registry
         )
         self.bundle_version = Gauge(
             "quetzaldeck_bundle_version",
@@ -98,23 +98,23 @@
         )
         self.limit_vms = Gauge(
             "quetzaldeck_limit_vms",
-            "VMs among which the limits of customers are divided",
+            "VMs among which limits of customers are divided",
             registry=self.registry,
         )
         self.control_bytes = Counter(
             "quetzaldeck_control_bytes",
-            "Bytes exchanged with the agent, by direction",
+            "Bytes exchanged with the agent",
             ["direction"],
             registry=self.registry,
         )
         self.exchange_errors = Counter(
             "quetzaldeck_exchange_errors",
-            "Failed exchanges with the agent",
+            "Exchanges with the agent that failed",
             registry=self.registry,
         )
         self.ended_claims = Counter(
             "quetzaldeck_void_permits",
-            "Claims that ended before their call could be dispatched",
+            "Claims that had ended when their call was to be dispatched",
             registry=self.registry,
         )
         self.upstreams = UpstreamMetrics(self.registry)
--- a/src/quetzaldeck/telemetry/peer_metrics.py
+++ b/src/quetzaldeck/telemetry/peer_metrics.py
@@ -19,19 +19,19 @@
     def __init__(self, registry: CollectorRegistry) -> None:
         self.queries = Counter(
             "quetzaldeck_belief_questions",
-            "Queries for fleet updates, by target (source or VM) and outcome",
+            "Questions for news of the fleet, to the source or to a VM, by outcome",
             ["target", "outcome"],
             registry=registry,
         )
         self._datagrams = Counter(
             "quetzaldeck_peer_datagrams",
-            "Datagrams between VMs, by direction and kind",
+            "Datagrams between VMs, by direction and by what they are for",
             ["direction", "kind"],
             registry=registry,
         )
         self._bytes = Counter(
             "quetzaldeck_peer_bytes",
-            "Bytes of datagrams between VMs without headers, by direction and kind",
+            "Bytes of datagrams between VMs, without their heads",
             ["direction", "kind"],
             registry=registry,
         )
--- a/src/quetzaldeck/telemetry/upstream_metrics.py
+++ b/src/quetzaldeck/telemetry/upstream_metrics.py
@@ -19,48 +19,48 @@
     def __init__(self, registry: CollectorRegistry) -> None:
         self.retries = Counter(
             "quetzaldeck_retries",
-            "Retries, by fault of the previous attempt",
+            "Attempts that are made again, by the fault of the one before",
             ["fault"],
             registry=registry,
         )
         self.retry_budget_tokens = Gauge(
             "quetzaldeck_retry_budget_tokens",
-            "Tokens of recent retries (retried) and the budget for them (allowed)",
+            "Work of recent retries and the line up to which it is allowed",
             ["side"],
             registry=registry,
         )
         self.states = Gauge(
             "quetzaldeck_upstream_states",
-            "Upstreams, by health state",
+            "Upstreams by state of health",
             ["state"],
             registry=registry,
         )
         self.leaving = Gauge(
             "quetzaldeck_upstreams_leaving",
-            "Upstreams that get no new requests because they are leaving",
+            "Upstreams that get nothing new because they leave",
             registry=registry,
         )
         self.replaced_pools = Counter(
             "quetzaldeck_replaced_pools",
-            "Connection pools replaced after a read timed out, by upstream",
+            "Connection pools replaced after a silent read",
             ["upstream"],
             registry=registry,
         )
         self.pace_queries = Counter(
             "quetzaldeck_pace_questions",
-            "Polls of engines for their pace, by outcome",
+            "Questions to engines for their pace, by outcome",
             ["outcome"],
             registry=registry,
         )
         self.reservations = Counter(
             "quetzaldeck_reservations",
-            "Reservations of engine memory, by outcome",
+            "Reservations by outcome",
             ["outcome"],
             registry=registry,
         )
         self.releases = Counter(
             "quetzaldeck_releases",
-            "Releases of memory held by abandoned attempts, by outcome",
+            "Releases of what abandoned attempts held, by outcome",
             ["outcome"],
             registry=registry,
         )
@@ -71,7 +71,7 @@
         )
         self.suspects = Gauge(
             "quetzaldeck_crash_suspects",
-            "Requests that were running on an engine when it crashed, by verdict",
+            "Requests that were on board of engine crashes, by what follows from it",
             ["verdict"],
             registry=registry,
         )
