--- a/src/quetzaldeck/history/checks/calls_end.py
+++ b/src/quetzaldeck/history/checks/calls_end.py
@@ -45,7 +45,7 @@
             if late_ms > self._bounds.deadline_grace_ms:
                 yield index, f"call {event.call_id} ended {late_ms:.0f} ms late"
             elif end.reason == CALLER_TIMEOUT and not _was_paused(event, end, pauses):
-                yield index, f"{event.vm} never ended call {event.call_id}"
+                yield index, f"{event.vm} let call {event.call_id} time out"
 
 
 @history_checks.register("I3_whole_answer")
