--- a/src/quetzaldeck/bench/entry_mixture.py
+++ b/src/quetzaldeck/bench/entry_mixture.py
@@ -1,10 +1,10 @@
-"""Calls as an entry VM's callers send them: by kind, with targets, in bursts.
+"""Random calls to entry VMs: several kinds with latency targets, and bursts.
 
-Grounds for the figures: three kinds of prompt, about 5,000, 45,000 and 130,000 tokens
-long, of which the first makes nine in ten of all, and look-ups and bookings at a desk.
-Lengths of one kind vary by a factor of two or more either way, so they are drawn from a
-log-normal distribution with a bound. Each kind states when its first token is wanted
-and which pauses its caller bears.
+There are three kinds of prompts, of about 5,000, 45,000 and 130,000 tokens, of which
+the first makes up nine in ten, and look-ups and bookings at a plain service. Lengths
+within a kind vary by a factor of two or more either way, so they are drawn from a
+log-normal distribution with an upper bound. Each kind has a target for the time to
+first token and a limit on the gap between tokens.
 """
 
 from __future__ import annotations
@@ -22,9 +22,10 @@
 class CallKind(NamedTuple):
     """One kind of call.
 
-    :param per_second: calls that arrive; what all others arrive at is relative to it
+    :param per_second: arrival rate at scale 1
     :param n_tokens: mean length of the prompt; 0 for a plain call
-    :param spread: standard deviation of the logarithm of the length
+    :param log_stddev: standard deviation of the logarithm of the length
+    :param max_tokens: upper bound of the length
     :param n_output_tokens: mean length of the answer
     :param is_repeatable: whether it may run more than once
     """
@@ -34,7 +35,7 @@
     target_ms: float
     deadline_ms: float
     n_tokens: float = 0.0
-    spread: float = 0.0
+    log_stddev: float = 0.0
     max_tokens: int = 1
     n_output_tokens: float = 1.0
     max_gap_ms: float = 0.0
@@ -50,18 +51,19 @@
 LOOK_UP = CallKind("look-up", 1.5, 125.0, 1_000.0)
 KINDS = (PLAN, REVIEW, HISTORY, BOOKING, LOOK_UP)
 
-ANSWER_SPREAD = 0.6
-"""Standard deviation of the logarithm of an answer's length."""
+ANSWER_LOG_STDDEV = 0.6
+"""Standard deviation of the logarithm of the answer length."""
 
 N_CUSTOMERS = 10
-LARGE_CUSTOMERS = 3
-"""The first customers send half of all calls."""
+N_LARGE_CUSTOMERS = 3
+"""Number of large customers, who send half of all calls beside their equal share of
+the other half."""
 
 
 class Burst(NamedTuple):
-    """A time in which a kind of call arrives more or less often.
+    """A period in which the arrival rate of one kind of call is changed.
 
-    :param factor: times the usual rate
+    :param factor: factor on the usual rate
     """
 
     kind: str
@@ -71,12 +73,13 @@
 
 
 class EntryMixture(NamedTuple):
-    """A load of an entry VM's calls.
+    """Generator of random calls to entry VMs.
 
-    :param scale: times the rates of the kinds
-    :param hot_share: part of the calls that the first customer sends, on top of its own
-    :param leaving_share: part of the callers that leave, at a random time within the
-        target of their call
+    :param scale: factor on the arrival rates of the kinds
+    :param hot_share: share of the calls that the first customer sends in addition to
+        its usual ones
+    :param disconnecting_share: share of the callers that disconnect, at a random time
+        within the time-to-first-token target of their call
     """
 
     duration_ms: float
@@ -84,23 +87,26 @@
     kinds: tuple[CallKind, ...] = KINDS
     bursts: tuple[Burst, ...] = ()
     hot_share: float = 0.0
-    leaving_share: float = 0.0
+    disconnecting_share: float = 0.0
     random_state: int = 1
 
     def draw_calls(self) -> tuple[Call, ...]:
-        """:returns: the calls in order of time; the same for the same seed"""
+        """:returns: calls in order of arrival; deterministic for a given seed"""
         random_state = random.Random(self.random_state)
         calls = [
             self._draw_call(f"{kind.name}/{n}", kind, at_ms, random_state)
             for kind in self.kinds
             for n, at_ms in enumerate(self._draw_arrivals(kind, random_state))
         ]
-        return tuple(sorted(calls, key=_arrival))
+        return tuple(sorted(calls, key=_arrival_ms))
 
     def _draw_arrivals(
         self, kind: CallKind, random_state: random.Random
     ) -> list[float]:
-        """Thin arrivals at the highest rate: bursts need not be handled one by one."""
+        """Draw arrivals at the peak rate and thin them to the rate of each moment.
+
+        Thinning makes it unnecessary to draw the arrivals of each burst separately.
+        """
         bursts = [burst for burst in self.bursts if burst.kind == kind.name]
         highest = max([1.0, *(burst.factor for burst in bursts)])
         rate = kind.per_second * self.scale * highest
@@ -116,8 +122,8 @@
     def _draw_call(
         self, call_id: str, kind: CallKind, at_ms: float, random_state: random.Random
     ) -> Call:
-        is_leaving = random_state.random() < self.leaving_share
-        gone_after_ms = random_state.uniform(0.0, kind.target_ms)
+        disconnects = random_state.random() < self.disconnecting_share
+        disconnects_after_ms = random_state.uniform(0.0, kind.target_ms)
         call = Call(
             call_id,
             at_ms,
@@ -126,13 +132,13 @@
             target_ms=kind.target_ms,
             is_repeatable=kind.is_repeatable,
             max_resends=1,
-            gone_after_ms=gone_after_ms if is_leaving else None,
+            disconnects_after_ms=disconnects_after_ms if disconnects else None,
         )
         if not kind.n_tokens:
             return call._replace(service=SERVICE)
-        n_tokens = _draw_length(kind.n_tokens, kind.spread, random_state)
+        n_tokens = _draw_length(kind.n_tokens, kind.log_stddev, random_state)
         n_answer_tokens = _draw_length(
-            kind.n_output_tokens, ANSWER_SPREAD, random_state
+            kind.n_output_tokens, ANSWER_LOG_STDDEV, random_state
         )
         return call._replace(
             model=MODEL,
@@ -144,14 +150,14 @@
     def _draw_customer(self, random_state: random.Random) -> str:
         if random_state.random() < self.hot_share:
             return "customer-0"
-        n_from = LARGE_CUSTOMERS if random_state.random() < 0.5 else N_CUSTOMERS
+        n_from = N_LARGE_CUSTOMERS if random_state.random() < 0.5 else N_CUSTOMERS
         return f"customer-{random_state.randrange(n_from)}"
 
 
-def _draw_length(mean: float, spread: float, random_state: random.Random) -> int:
-    """:returns: a log-normal length with this mean"""
-    mu = math.log(mean) - spread * spread / 2
-    return max(1, round(random_state.lognormvariate(mu, spread)))
+def _draw_length(mean: float, log_stddev: float, random_state: random.Random) -> int:
+    """:returns: a random length, log-normal with mean ``mean``"""
+    mu = math.log(mean) - log_stddev * log_stddev / 2
+    return max(1, round(random_state.lognormvariate(mu, log_stddev)))
 
 
 def _factor_at(bursts: list[Burst], at_ms: float) -> float:
@@ -159,7 +165,7 @@
     return math.prod(factors)
 
 
-def _arrival(call: Call) -> float:
+def _arrival_ms(call: Call) -> float:
     return call.at_ms
 
 
