--- a/src/quetzaldeck/standin/configuration_service.py
+++ b/src/quetzaldeck/standin/configuration_service.py
@@ -115,7 +115,7 @@
 
     async def _refuse_write(self, request: web.Request) -> web.Response:
         self.n_calls += 1
-        return web.Response(status=405, text="the configuration service is read-only")
+        return web.Response(status=405, text="this service can only be read")
 
     async def _follow_file(self) -> None:
         path = self._settings.bundle_file
--- a/src/quetzaldeck/standin/engine.py
+++ b/src/quetzaldeck/standin/engine.py
@@ -174,9 +174,7 @@
         owner = Owner(control["vm"], control["incarnation"])
         engine = self._engine
         if not engine.has_capacity(sequence):
-            return json_response(
-                {"error": "sequence exceeds the available memory"}, status=413
-            )
+            return json_response({"error": "no such room"}, status=413)
         try:
             imported = await self._groups.read_imports(control.get("imports", []))
         except ImportFailedError as error:
--- a/src/quetzaldeck/standin/engine_commands.py
+++ b/src/quetzaldeck/standin/engine_commands.py
@@ -73,7 +73,7 @@
         token = body["fencing_token"]
         if token < self.highest_token and not ignores_fencing:
             self.n_fenced += 1
-            return json_response({"error": "stale fencing token"}, status=HTTP_FENCED)
+            return json_response({"error": "old fencing token"}, status=HTTP_FENCED)
         self.highest_token = max(self.highest_token, token)
         status = self._apply(body)
         if status == web.HTTPOk.status_code:
--- a/src/quetzaldeck/standin/group_routes.py
+++ b/src/quetzaldeck/standin/group_routes.py
@@ -83,10 +83,7 @@
         body: ReservationBody = msgspec.json.decode(await request.read())
         group_allocations = self._engine().group_allocations
         if body["n_tokens"] > group_allocations.max_tokens:
-            return json_response(
-                {"error": "reservation exceeds the reservable memory"},
-                status=HTTP_TOO_LARGE,
-            )
+            return json_response({"error": "never so much room"}, status=HTTP_TOO_LARGE)
         is_granted = group_allocations.reserve(
             body["reservation_id"],
             Owner(body["vm"], body["incarnation"]),
@@ -108,7 +105,7 @@
         )
         if not engine.has_capacity(sequence):
             return json_response(
-                {"error": "sequence exceeds the available memory"},
+                {"error": "no such room"},
                 status=HTTP_TOO_LARGE,
             )
         try:
@@ -148,7 +145,7 @@
             request.match_info["export_id"]
         )
         if export is None:
-            return json_response({"error": "unknown export"}, status=404)
+            return json_response({"error": "no such export"}, status=404)
         return json_response({"text": export.text})
 
 
