--- a/src/quetzaldeck/gateway/claimed_call.py
+++ b/src/quetzaldeck/gateway/claimed_call.py
@@ -13,7 +13,7 @@
 from quetzaldeck.exchange.claim_messages import (
     ClaimDecision,
     ClaimEnd,
-    ClaimOrder,
+    ClaimRequest,
 )
 from quetzaldeck.gateway.errors import RequestError
 from quetzaldeck.outcomes import Failure, Ran, Reason
@@ -51,7 +51,7 @@
         self,
         state: GatewayState,
         client: aiohttp.ClientSession,
-        claim_request: ClaimOrder,
+        claim_request: ClaimRequest,
     ) -> None:
         self._state = state
         self._client = client
@@ -145,7 +145,9 @@
         answered with ``ran: unknown``, which is correct.
         """
         end = ClaimEnd(
-            self._claim_request.order_id, self._has_run, _to_kept_answer(self._answer)
+            self._claim_request.claim_request_id,
+            self._has_run,
+            _to_kept_answer(self._answer),
         )
         try:
             async with (
--- a/src/quetzaldeck/gateway/services.py
+++ b/src/quetzaldeck/gateway/services.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from quetzaldeck.decisions import AttemptEnd, Request
-from quetzaldeck.exchange.claim_messages import ClaimOrder
+from quetzaldeck.exchange.claim_messages import ClaimRequest
 from quetzaldeck.gateway.body import read_body
 from quetzaldeck.gateway.claimed_call import ClaimedCall, new_claim_request_id
 from quetzaldeck.gateway.errors import RequestError
@@ -96,7 +96,7 @@
         self, request: Request, call: ServiceCall, key: str
     ) -> ServiceAnswer:
         """Serve a call that may not be repeated, or replay its earlier answer."""
-        claim_request = ClaimOrder(
+        claim_request = ClaimRequest(
             new_claim_request_id(),
             request.customer,
             key,
