--- a/tests/soak/entry/__init__.py
+++ b/tests/soak/entry/__init__.py
@@ -1,3 +1,3 @@
-"""A randomised fault soak of entry VMs as real processes."""
+"""Soak test of entry VMs: seeded random faults on real processes."""
 
 from __future__ import annotations
--- a/tests/soak/entry/__main__.py
+++ b/tests/soak/entry/__main__.py
@@ -1,4 +1,4 @@
-"""Runs seeds by hand: ``python -m tests.soak.entry --seeds 50 --seconds 12``."""
+"""Runs a range of seeds: ``python -m tests.soak.entry --seeds 50 --seconds 12``."""
 
 from __future__ import annotations
 
@@ -13,14 +13,18 @@
 
 @click.command()
 @click.option("--seeds", default=10, help="Number of runs.")
-@click.option("--first", default=0, help="First seed; 0: any.")
-@click.option("--seconds", default=12.0, help="Length of a run.")
-@click.option("--vms", default=3, help="Entry VMs.")
-@click.option("--logs", type=click.Path(path_type=Path), help="Folder for logs.")
+@click.option("--first", default=0, help="First seed; 0: a random one.")
+@click.option("--seconds", default=12.0, help="Duration of a run.")
+@click.option("--vms", default=3, help="Number of entry VMs.")
+@click.option(
+    "--logs",
+    type=click.Path(path_type=Path),
+    help="Directory for the logs of failed runs.",
+)
 def main(
     *, seeds: int, first: int, seconds: float, vms: int, logs: Path | None
 ) -> None:
-    """Run seeds one after the other and print what did not hold."""
+    """Run seeds one after the other and print the invariants that were violated."""
     start = first or random.SystemRandom().randrange(1, 1_000_000)
     n_failed = 0
     for seed in range(start, start + seeds):
--- a/tests/soak/entry/callers.py
+++ b/tests/soak/entry/callers.py
@@ -1,4 +1,4 @@
-"""Callers and balancer of the soak."""
+"""Callers of the soak, and the readiness checks of their load balancer."""
 
 from __future__ import annotations
 
@@ -7,24 +7,35 @@
 from typing import TYPE_CHECKING
 
 import aiohttp
-from tests.soak.entry.history import CallRecord, Kind, now_ms
+from tests.soak.entry.history import CallRecord, RequestKind, now_ms
 from tests.support.platform.site import HOST
 
 if TYPE_CHECKING:
     from tests.soak.entry.world import SoakVm, SoakWorld
 
-PATHS = {Kind.PLAN: "/plan/1", Kind.BOOK: "/book/1", Kind.LOOK: "/look/1"}
-DEADLINES_MS = {Kind.PLAN: 3_000.0, Kind.BOOK: 800.0, Kind.LOOK: 800.0}
-P_HUGE = 0.05
-P_LEAVES = 0.05
-"""Callers that leave before their answer is whole."""
+PATHS = {
+    RequestKind.PLAN: "/plan/1",
+    RequestKind.BOOK: "/book/1",
+    RequestKind.LOOK_UP: "/look/1",
+}
+DEADLINES_MS = {
+    RequestKind.PLAN: 3_000.0,
+    RequestKind.BOOK: 800.0,
+    RequestKind.LOOK_UP: 800.0,
+}
+LONG_PROMPT_PROBABILITY = 0.05
+DISCONNECT_PROBABILITY = 0.05
+"""Share of callers that disconnect before their response is complete."""
 
-ASK_S = 0.25
-N_MISSES = 2
+READINESS_INTERVAL_S = 0.25
+"""Interval and timeout of readiness checks."""
+
+MAX_FAILED_CHECKS = 2
+"""Failed checks in a row that take a VM out of rotation."""
 
 
 class Callers:
-    """Sends requests to VMs in rotation; connections stay open until they break."""
+    """Sends requests to ready VMs over connections that stay open until they fail."""
 
     def __init__(self, world: SoakWorld) -> None:
         self._world = world
@@ -43,25 +54,25 @@
         await asyncio.gather(*self._tasks)
         await self._stack.aclose()
 
-    async def balance(self) -> None:
-        """Ask every VM whether it is ready, until cancelled."""
-        timeout = aiohttp.ClientTimeout(total=ASK_S)
-        misses = {vm.name: N_MISSES for vm in self._world.vms}
+    async def poll_readiness(self) -> None:
+        """Check the readiness of every VM periodically, until cancelled."""
+        timeout = aiohttp.ClientTimeout(total=READINESS_INTERVAL_S)
+        n_failed_checks = {vm.name: MAX_FAILED_CHECKS for vm in self._world.vms}
         async with aiohttp.ClientSession(timeout=timeout) as client:
             while True:
                 for vm in self._world.vms:
-                    misses[vm.name] += 1
+                    n_failed_checks[vm.name] += 1
                     if await is_ready(client, vm):
-                        misses[vm.name] = 0
-                    vm.is_in_rotation = misses[vm.name] < N_MISSES
-                await asyncio.sleep(ASK_S)
+                        n_failed_checks[vm.name] = 0
+                    vm.is_in_rotation = n_failed_checks[vm.name] < MAX_FAILED_CHECKS
+                await asyncio.sleep(READINESS_INTERVAL_S)
 
-    async def call_for(self, duration_s: float, rate_per_s: float) -> None:
-        """Send at random times."""
+    async def send_calls(self, duration_s: float, rate_per_s: float) -> None:
+        """Send calls at random times (a Poisson process)."""
         random_state = self._world.random_state
         loop = asyncio.get_running_loop()
-        until = loop.time() + duration_s
-        while loop.time() < until:
+        end_s = loop.time() + duration_s
+        while loop.time() < end_s:
             await asyncio.sleep(random_state.expovariate(rate_per_s))
             task = asyncio.create_task(self._call())
             self._tasks.add(task)
@@ -72,39 +83,41 @@
         random_state = world.random_state
         ready = [vm for vm in world.vms if vm.is_in_rotation] or world.vms
         vm = random_state.choice(ready)
-        kind = random_state.choice(list(Kind))
+        kind = random_state.choice(list(RequestKind))
         known = [*world.keys, *world.history.revoked_ms]
         key = random_state.choice(known)
         self._n_calls += 1
         call_id = f"c{self._n_calls}"
         deadline_ms = DEADLINES_MS[kind]
-        n_prompt = 500_000 if random_state.random() < P_HUGE else 3_000
+        n_prompt_tokens = (
+            500_000 if random_state.random() < LONG_PROMPT_PROBABILITY else 3_000
+        )
         headers = {
             "Host": HOST,
             "Quetzaldeck-Attempt-Id": call_id,
             "Quetzaldeck-Deadline-Ms": str(int(deadline_ms)),
             "Quetzaldeck-Key": key,
         }
-        if kind is Kind.PLAN:
-            headers["Quetzaldeck-Token-Counts"] = f"{n_prompt},100"
-        leaves = random_state.random() < P_LEAVES
-        bound_s = 0.05 if leaves else (deadline_ms + 6_000) / 1_000
+        if kind is RequestKind.PLAN:
+            headers["Quetzaldeck-Token-Counts"] = f"{n_prompt_tokens},100"
+        disconnects = random_state.random() < DISCONNECT_PROBABILITY
+        timeout_s = 0.05 if disconnects else (deadline_ms + 6_000) / 1_000
         sent_ms = now_ms()
-        status, body, is_whole = 0, b"", False
+        status, body, is_complete = 0, b"", False
         try:
             async with (
-                asyncio.timeout(bound_s),
+                asyncio.timeout(timeout_s),
                 self._clients[vm.name].post(
                     PATHS[kind], data=call_id, headers=headers
                 ) as response,
             ):
                 status = response.status
-                async for part in response.content.iter_any():
-                    body += part
-                is_whole = True
+                async for chunk in response.content.iter_any():
+                    body += chunk
+                is_complete = True
         except (aiohttp.ClientError, TimeoutError, OSError):
             pass
-        if leaves and not is_whole:
+        if disconnects and not is_complete:
             return
         record = CallRecord(
             call_id,
@@ -116,13 +129,13 @@
             deadline_ms,
             status,
             body,
-            is_whole,
+            is_complete,
         )
         world.history.calls.append(record)
 
 
 async def is_ready(client: aiohttp.ClientSession, vm: SoakVm) -> bool:
-    """:returns: whether a VM says that it is ready"""
+    """:returns: whether a VM reports that it is ready"""
     try:
         async with client.get(f"http://{vm.readiness}/readyz") as response:
             return response.status == 200
--- a/tests/soak/entry/checks.py
+++ b/tests/soak/entry/checks.py
@@ -1,12 +1,12 @@
-"""What must hold, from what callers and replicas saw."""
+"""Invariants of a soak run, checked on what callers and replicas recorded."""
 
 from __future__ import annotations
 
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from tests.soak.entry.history import Kind
-from tests.soak.entry.replicas import whole_stream
+from tests.soak.entry.history import RequestKind
+from tests.soak.entry.replicas import build_complete_stream
 from tests.soak.entry.world import LEAVING_MS, REVOCATION_MS
 
 if TYPE_CHECKING:
@@ -17,27 +17,27 @@
     Check = Callable[[History], Iterator[str]]
 
 CHECKS: dict[str, Check] = {}
-NOT_RUN = (408, 421, 429, 503)
-END_SLACK_MS = 1_000.0
-LEAVING_SLACK_MS = 400.0
-"""For a request that was on its way, on a machine that is busy."""
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+DEADLINE_TOLERANCE_MS = 1_000.0
+LEAVING_TOLERANCE_MS = 400.0
+"""Covers a request that was already on its way, on a busy machine."""
 
-WITHOUT_SOURCE = ("store_down", "store_lapse", "kill_all")
-MIN_ANSWERED = 0.5
-"""Least share of calls that are answered in a run full of faults."""
+STORE_OUTAGE_FAULTS = ("store_down", "store_lapse", "kill_all")
+MIN_ANSWERED_SHARE = 0.5
+"""Least share of calls that must be answered in a run with many faults."""
 
 
 def register(function: Check) -> Check:
-    """Add a check under its own name."""
+    """Register a check under the name of its function."""
     CHECKS[function.__name__] = function
     return function
 
 
 @register
 def at_most_once(history: History) -> Iterator[str]:
-    """A booking runs once at most; look-ups and resumable streams may run again."""
-    bookings = {call.call_id for call in history.calls if call.kind is Kind.BOOK}
-    counts = Counter(run.call_id for run in history.runs)
+    """A booking runs at most once; look-ups and resumable streams may run again."""
+    bookings = {call.call_id for call in history.calls if call.kind is RequestKind.BOOK}
+    counts = Counter(execution.call_id for execution in history.executions)
     for call_id in bookings:
         if counts[call_id] > 1:
             yield f"{call_id} ran {counts[call_id]} times"
@@ -45,99 +45,109 @@
 
 @register
 def true_refusals(history: History) -> Iterator[str]:
-    """What a caller is told has not run, has not, and does not later."""
-    ran = {run.call_id for run in history.runs}
+    """A booking that was refused as not run has not run and does not run later."""
+    ran = {execution.call_id for execution in history.executions}
     for call in history.calls:
-        if call.kind is Kind.BOOK and call.status in NOT_RUN and call.call_id in ran:
+        if (
+            call.kind is RequestKind.BOOK
+            and call.status in NOT_RUN_STATUSES
+            and call.call_id in ran
+        ):
             yield f"{call.call_id} was answered {call.status} and ran"
 
 
 @register
 def own_whole_answers(history: History) -> Iterator[str]:
-    """A success is the caller's own answer, whole, in order, once."""
+    """A success carries the answer to this call: complete, in order, exactly once."""
     for call in history.calls:
-        if call.status != 200 or not call.is_whole:
+        if call.status != 200 or not call.is_complete:
             continue
         expected = call.call_id.encode()
-        if call.kind is Kind.PLAN:
-            expected = whole_stream(call.call_id)
+        if call.kind is RequestKind.PLAN:
+            expected = build_complete_stream(call.call_id)
         if call.body != expected:
             yield f"{call.call_id} ({call.kind}) got {call.body[:80]!r}"
 
 
 @register
 def calls_end(history: History) -> Iterator[str]:
-    """A call ends by its deadline, unless its VM could not run."""
+    """A call ends by its deadline, unless a fault affected its VM meanwhile."""
     for call in history.calls:
         late_ms = call.ended_ms - call.sent_ms - call.deadline_ms
-        is_excused = history.is_disturbed(call.vm, call.sent_ms, call.ended_ms)
-        if late_ms > END_SLACK_MS and not is_excused:
+        is_excused = history.is_affected(call.vm, call.sent_ms, call.ended_ms)
+        if late_ms > DEADLINE_TOLERANCE_MS and not is_excused:
             yield f"{call.call_id} at {call.vm} ended {late_ms:.0f} ms late"
 
 
 @register
 def revoked_keys(history: History) -> Iterator[str]:
-    """A key that was taken away opens nothing after the bound, whatever fails."""
+    """A revoked key is rejected once the revocation bound has passed, in any fault."""
     sent = {call.call_id: call for call in history.calls}
-    for run in history.runs:
-        call = sent.get(run.call_id)
+    for execution in history.executions:
+        call = sent.get(execution.call_id)
         if call is None:
             continue
         revoked_ms = history.revoked_ms.get(call.key)
         if revoked_ms is not None and call.sent_ms > revoked_ms + REVOCATION_MS:
             late_ms = call.sent_ms - revoked_ms
-            yield f"{run.call_id} ran {late_ms:.0f} ms after its key went"
+            yield f"{execution.call_id} ran {late_ms:.0f} ms after its key was revoked"
 
 
 @register
 def leaving_replicas(history: History) -> Iterator[str]:
-    """A leaving replica gets no new work after the bound, from VMs in touch."""
+    """A leaving replica gets no new requests after the bound.
+
+    VMs that a fault affects are excused, since they may not learn of it in time.
+    """
     sent = {call.call_id: call for call in history.calls}
-    for run in history.runs:
-        call = sent.get(run.call_id)
-        leaving_ms = history.leaving_ms.get(run.replica)
+    for execution in history.executions:
+        call = sent.get(execution.call_id)
+        leaving_ms = history.leaving_ms.get(execution.replica)
         if call is None or leaving_ms is None:
             continue
-        late_ms = run.at_ms - leaving_ms - LEAVING_MS - LEAVING_SLACK_MS
-        is_excused = history.is_disturbed(call.vm, leaving_ms - 500.0, run.at_ms)
+        late_ms = execution.at_ms - leaving_ms - LEAVING_MS - LEAVING_TOLERANCE_MS
+        is_excused = history.is_affected(call.vm, leaving_ms - 500.0, execution.at_ms)
         if late_ms > 0 and not is_excused:
-            yield f"{run.call_id} reached {run.replica} {late_ms:.0f} ms too late"
+            yield (
+                f"{execution.call_id} reached {execution.replica} "
+                f"{late_ms:.0f} ms too late"
+            )
 
 
 @register
 def processes_stop(history: History) -> Iterator[str]:
-    """A VM that is asked to stop ends within its grace."""
-    yield from history.problems
+    """A VM that receives SIGTERM ends within its grace period."""
+    yield from history.stop_failures
 
 
 @register
 def most_are_answered(history: History) -> Iterator[str]:
-    """Faults cost some calls, not most of them.
+    """Faults may fail some calls, but not most of them.
 
-    Calls are not counted while the store does not answer or all VMs start again: a VM
-    that knows nothing, or can no longer believe a key, has to refuse.
+    Calls are not counted while the store is unavailable or all VMs restart: a VM
+    without configuration, or with API keys that are too old, has to refuse.
     """
     valid = [
         call
         for call in history.calls
-        if call.key not in history.revoked_ms and not _is_without_source(history, call)
+        if call.key not in history.revoked_ms and not _is_in_store_outage(history, call)
     ]
-    n_answered = sum(call.status == 200 and call.is_whole for call in valid)
-    if n_answered < MIN_ANSWERED * len(valid):
+    n_answered = sum(call.status == 200 and call.is_complete for call in valid)
+    if n_answered < MIN_ANSWERED_SHARE * len(valid):
         yield f"{n_answered} of {len(valid)} calls were answered"
 
 
-def _is_without_source(history: History, call: CallRecord) -> bool:
+def _is_in_store_outage(history: History, call: CallRecord) -> bool:
     return any(
-        item.name in WITHOUT_SOURCE
+        item.name in STORE_OUTAGE_FAULTS
         and item.begin_ms < call.ended_ms
         and item.end_ms > call.sent_ms
-        for item in history.disturbances
+        for item in history.fault_intervals
     )
 
 
 def check_history(history: History) -> list[str]:
-    """:returns: what does not hold, each with the name of its check"""
+    """:returns: violated invariants, each with the name of its check"""
     return [
         f"{name}: {finding}"
         for name, check in CHECKS.items()
--- a/tests/soak/entry/faults.py
+++ b/tests/soak/entry/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the soak, injected from outside of the processes."""
+"""Faults of the soak, injected from outside the processes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING, NamedTuple
 
-from tests.soak.entry.history import Disturbance, now_ms
+from tests.soak.entry.history import FaultInterval, now_ms
 from tests.soak.entry.world import GRACE_S, LEAVING_MS
 from tests.soak.own.link import LinkMode
 
@@ -20,22 +20,22 @@
     Fault = Callable[[SoakWorld, random.Random], Awaitable[None]]
 
 FAULTS: dict[str, Fault] = {}
-SETTLE_MS = 1_500.0
-"""For how long after its end a fault still counts as one: timeouts, restarts."""
+RECOVERY_MS = 1_500.0
+"""Time after its end for which a fault still excuses VMs: timeouts, restarts."""
 
-MEAN_GAP_S = 0.8
-"""Between the beginnings of two faults."""
+MEAN_FAULT_INTERVAL_S = 0.8
+"""Mean time between the starts of two faults."""
 
 MAX_PAUSE_S = 2.0
-STOP_BOUND_S = GRACE_S + 2 * MAX_PAUSE_S + 2.0
-"""A VM may be paused while it stops."""
+STOP_TIMEOUT_S = GRACE_S + 2 * MAX_PAUSE_S + 2.0
+"""Longer than the grace period, since another fault may pause the stopping VM."""
 
 
 class PlannedFault(NamedTuple):
-    """A fault and its time, drawn before the run: one seed gives one plan.
+    """A fault and its time, drawn before the run, so that a seed gives one plan.
 
-    :param at_s: seconds from the begin of the run
-    :param seed: for what the fault chooses itself, e.g. a VM
+    :param at_s: seconds from the start of the run
+    :param seed: seed of the choices that the fault makes itself, such as its VM
     """
 
     at_s: float
@@ -44,50 +44,52 @@
 
 
 def register(function: Fault) -> Fault:
-    """Add a fault to the soak under its own name."""
+    """Register a fault under the name of its function."""
     FAULTS[function.__name__] = function
     return function
 
 
 @asynccontextmanager
-async def disturb(world: SoakWorld, name: str, target: str) -> AsyncIterator[None]:
-    """Note a fault; an empty target concerns all VMs."""
+async def record_fault(world: SoakWorld, name: str, target: str) -> AsyncIterator[None]:
+    """Record when a fault is active; an empty target means all VMs."""
     begin_ms = now_ms()
-    index = len(world.history.disturbances)
-    world.history.disturbances.append(Disturbance(name, target, begin_ms, 1e18))
+    index = len(world.history.fault_intervals)
+    world.history.fault_intervals.append(FaultInterval(name, target, begin_ms, 1e18))
     try:
         yield
     finally:
-        ended = Disturbance(name, target, begin_ms, now_ms() + SETTLE_MS)
-        world.history.disturbances[index] = ended
+        ended = FaultInterval(name, target, begin_ms, now_ms() + RECOVERY_MS)
+        world.history.fault_intervals[index] = ended
 
 
-def pick_vm(world: SoakWorld, random_state: random.Random) -> SoakVm:
+def choose_vm(world: SoakWorld, random_state: random.Random) -> SoakVm:
     return random_state.choice(world.vms)
 
 
-def pick_replica(world: SoakWorld, random_state: random.Random) -> str:
-    """:returns: a replica that has not left"""
-    staying = [r for r in world.replicas if r not in world.history.leaving_ms]
-    return random_state.choice(staying)
+def choose_replica(world: SoakWorld, random_state: random.Random) -> str:
+    """:returns: id of a replica that is not leaving"""
+    not_leaving = [r for r in world.replicas if r not in world.history.leaving_ms]
+    return random_state.choice(not_leaving)
 
 
-async def pause(random_state: random.Random, most_s: float = MAX_PAUSE_S) -> None:
-    await asyncio.sleep(random_state.uniform(0.1, most_s))
+async def sleep_randomly(
+    random_state: random.Random, max_s: float = MAX_PAUSE_S
+) -> None:
+    await asyncio.sleep(random_state.uniform(0.1, max_s))
 
 
 @register
 async def kill_vm(world: SoakWorld, random_state: random.Random) -> None:
-    vm = pick_vm(world, random_state)
-    async with disturb(world, "kill_vm", vm.name):
+    vm = choose_vm(world, random_state)
+    async with record_fault(world, "kill_vm", vm.name):
         vm.process.end()
-        await pause(random_state)
+        await sleep_randomly(random_state)
         vm.start()
 
 
 @register
 async def kill_all(world: SoakWorld, random_state: random.Random) -> None:
-    async with disturb(world, "kill_all", ""):
+    async with record_fault(world, "kill_all", ""):
         for vm in world.vms:
             vm.process.end()
         for vm in world.vms:
@@ -97,48 +99,48 @@
 
 @register
 async def stop_vm(world: SoakWorld, random_state: random.Random) -> None:
-    vm = pick_vm(world, random_state)
-    async with disturb(world, "stop_vm", vm.name):
+    vm = choose_vm(world, random_state)
+    async with record_fault(world, "stop_vm", vm.name):
         vm.process.send(signal.SIGTERM)
-        if not await vm.wait_end(vm.process_id, STOP_BOUND_S):
-            world.history.problems.append(f"{vm.name} did not end after SIGTERM")
+        if not await vm.wait_until_ended(vm.process_id, STOP_TIMEOUT_S):
+            world.history.stop_failures.append(f"{vm.name} did not end after SIGTERM")
         vm.start()
 
 
 @register
 async def freeze_vm(world: SoakWorld, random_state: random.Random) -> None:
-    vm = pick_vm(world, random_state)
-    async with disturb(world, "freeze_vm", vm.name):
+    vm = choose_vm(world, random_state)
+    async with record_fault(world, "freeze_vm", vm.name):
         vm.process.send(signal.SIGSTOP)
-        await pause(random_state, 2 * MAX_PAUSE_S)
+        await sleep_randomly(random_state, 2 * MAX_PAUSE_S)
         vm.process.send(signal.SIGCONT)
 
 
 @register
 async def hang_up(world: SoakWorld, random_state: random.Random) -> None:
-    pick_vm(world, random_state).process.send(signal.SIGHUP)
+    choose_vm(world, random_state).process.send(signal.SIGHUP)
 
 
 @register
 async def store_down(world: SoakWorld, random_state: random.Random) -> None:
-    async with disturb(world, "store_down", ""):
+    async with record_fault(world, "store_down", ""):
         world.store.status = 503
-        await pause(random_state, 2 * MAX_PAUSE_S)
+        await sleep_randomly(random_state, 2 * MAX_PAUSE_S)
         world.store.status = 200
 
 
 @register
 async def store_lapse(world: SoakWorld, random_state: random.Random) -> None:
-    """The store is down; entries run out, and come back after it."""
-    async with disturb(world, "store_lapse", ""):
+    """The store fails, the replicas' entries expire meanwhile, and come back later."""
+    async with record_fault(world, "store_lapse", ""):
         world.store.status = 503
-        await pause(random_state)
-        staying = [r for r in world.replicas if r not in world.history.leaving_ms]
-        for replica_id in staying:
+        await sleep_randomly(random_state)
+        not_leaving = [r for r in world.replicas if r not in world.history.leaving_ms]
+        for replica_id in not_leaving:
             world.store.delete(f"servers/{replica_id}")
         world.store.status = 200
-        await pause(random_state, 1.0)
-        for replica_id in staying:
+        await sleep_randomly(random_state, 1.0)
+        for replica_id in not_leaving:
             if replica_id not in world.history.leaving_ms:
                 world.register(replica_id)
 
@@ -151,65 +153,65 @@
 
 @register
 async def cut_vm_off(world: SoakWorld, random_state: random.Random) -> None:
-    vm = pick_vm(world, random_state)
+    vm = choose_vm(world, random_state)
     mode = random_state.choice([LinkMode.CUT, LinkMode.SILENT])
-    async with disturb(world, f"store_{mode}", vm.name):
+    async with record_fault(world, f"store_{mode}", vm.name):
         vm.store_link.set_mode(mode)
-        await pause(random_state, 2 * MAX_PAUSE_S)
+        await sleep_randomly(random_state, 2 * MAX_PAUSE_S)
         vm.store_link.set_mode(LinkMode.OPEN)
 
 
 @register
 async def lose_flows(world: SoakWorld, random_state: random.Random) -> None:
-    """Open connections to a replica go silent for good; new ones work."""
-    async with disturb(world, "lose_flows", ""):
-        world.links[pick_replica(world, random_state)].lose_flows()
+    """Open connections to a replica drop all bytes for good; new ones work."""
+    async with record_fault(world, "lose_flows", ""):
+        world.links[choose_replica(world, random_state)].lose_flows()
         await asyncio.sleep(0.5)
 
 
 @register
 async def cut_replica(world: SoakWorld, random_state: random.Random) -> None:
-    link = world.links[pick_replica(world, random_state)]
+    link = world.links[choose_replica(world, random_state)]
     mode = random_state.choice([LinkMode.CUT, LinkMode.SILENT])
-    async with disturb(world, f"replica_{mode}", ""):
+    async with record_fault(world, f"replica_{mode}", ""):
         link.set_mode(mode)
-        await pause(random_state)
+        await sleep_randomly(random_state)
         link.set_mode(LinkMode.OPEN)
 
 
 @register
 async def fail_in_part(world: SoakWorld, random_state: random.Random) -> None:
-    """A replica loses answers, gives them twice, or refuses."""
-    replica = world.replicas[pick_replica(world, random_state)]
-    field = random_state.choice(["p_lost", "p_extra", "p_refused"])
+    """A replica loses responses, sends them twice, or refuses requests."""
+    replica = world.replicas[choose_replica(world, random_state)]
+    field = random_state.choice(["p_response_lost", "p_response_repeated", "p_refused"])
     setattr(replica, field, 0.4)
-    await pause(random_state, 3.0)
+    await sleep_randomly(random_state, 3.0)
     setattr(replica, field, 0.0)
 
 
 @register
 async def mute_replica(world: SoakWorld, random_state: random.Random) -> None:
-    """A replica takes requests and answers none; its health is not asked."""
-    replica = world.replicas[pick_replica(world, random_state)]
-    async with disturb(world, "mute_replica", ""):
+    """A replica accepts requests but answers none; no health check detects it."""
+    replica = world.replicas[choose_replica(world, random_state)]
+    async with record_fault(world, "mute_replica", ""):
         replica.is_mute = True
-        await pause(random_state, 3.0)
+        await sleep_randomly(random_state, 3.0)
         replica.is_mute = False
 
 
 @register
 async def slow_engine(world: SoakWorld, random_state: random.Random) -> None:
-    """An engine takes several times as long for everything, and says so."""
-    replica = world.replicas[pick_replica(world, random_state)]
+    """A replica takes several times as long for each request, and reports it."""
+    replica = world.replicas[choose_replica(world, random_state)]
     replica.set_pace(5.0)
-    await pause(random_state, 4.0)
+    await sleep_randomly(random_state, 4.0)
     replica.set_pace(1.0)
 
 
 @register
 async def replace_replica(world: SoakWorld, random_state: random.Random) -> None:
-    """A replica says that it leaves, goes on for a while, and is gone."""
-    replica_id = pick_replica(world, random_state)
+    """A replica is replaced: marked as draining, it serves for a while, then goes."""
+    replica_id = choose_replica(world, random_state)
     await world.add_replica(world.services[replica_id])
     world.register(replica_id, state="draining")
     world.history.leaving_ms[replica_id] = now_ms()
@@ -231,25 +233,25 @@
 
 
 def plan_faults(
-    random_state: random.Random, duration_s: float, kinds: Sequence[str]
+    random_state: random.Random, duration_s: float, names: Sequence[str]
 ) -> tuple[PlannedFault, ...]:
-    """Draw faults at random times; they overlap.
+    """Draw faults at random times; they may overlap.
 
-    :param kinds: names of the faults to choose from
+    :param names: names of the faults to choose from
     """
     plan = []
     at_s = 0.0
     while at_s < duration_s:
-        name = random_state.choice(sorted(kinds))
+        name = random_state.choice(sorted(names))
         plan.append(PlannedFault(at_s, name, random_state.getrandbits(32)))
-        at_s += random_state.expovariate(1 / MEAN_GAP_S)
+        at_s += random_state.expovariate(1 / MEAN_FAULT_INTERVAL_S)
     return tuple(plan)
 
 
 async def inject(world: SoakWorld, plan: Sequence[PlannedFault]) -> list[str]:
-    """Inject the faults of a plan and wait until the last one is over.
+    """Inject the faults of a plan and wait until the last one has ended.
 
-    :returns: names of those injected, in order
+    :returns: names of the injected faults, in order
     """
     loop = asyncio.get_running_loop()
     begin_s = loop.time()
@@ -258,8 +260,8 @@
         for fault in plan:
             await asyncio.sleep(max(0.0, begin_s + fault.at_s - loop.time()))
             names.append(fault.name)
-            injecting = FAULTS[fault.name](world, random.Random(fault.seed))
-            group.create_task(injecting)  # type: ignore[arg-type]
+            injection = FAULTS[fault.name](world, random.Random(fault.seed))
+            group.create_task(injection)  # type: ignore[arg-type]
     return names
 
 
--- a/tests/soak/entry/history.py
+++ b/tests/soak/entry/history.py
@@ -1,4 +1,4 @@
-"""What callers, replicas and faults did, with times of one clock."""
+"""Records of calls, executions and faults, with times of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from typing import NamedTuple
 
 
-class Kind(StrEnum):
-    """Kinds of request."""
+class RequestKind(StrEnum):
+    """Kinds of request: a stream, a call that must not run twice, and a look-up."""
 
     PLAN = "plan"
     BOOK = "book"
-    LOOK = "look"
+    LOOK_UP = "look"
 
 
-class Run(NamedTuple):
-    """A replica began to run a request.
+class Execution(NamedTuple):
+    """A replica started to run a request.
 
-    :param after_event: event that a stream went on from; ``""``: its begin
+    :param resumed_after: id of the event after which a stream resumes; ``""``: begin
     """
 
     call_id: str
     replica: str
     at_ms: float
     key_owner: str
-    after_event: str = ""
+    resumed_after: str = ""
 
 
 class CallRecord(NamedTuple):
-    """One request as its caller saw it; status 0: no answer."""
+    """One request as its caller saw it; status 0: no response."""
 
     call_id: str
-    kind: Kind
+    kind: RequestKind
     vm: str
     key: str
     sent_ms: float
@@ -40,11 +40,11 @@
     deadline_ms: float
     status: int
     body: bytes
-    is_whole: bool
+    is_complete: bool
 
 
-class Disturbance(NamedTuple):
-    """A fault, and what it was done to."""
+class FaultInterval(NamedTuple):
+    """When a fault was active, and on which VM; an empty target means all VMs."""
 
     name: str
     target: str
@@ -53,29 +53,40 @@
 
 
 class History:
-    """Everything that the checks need."""
+    """Everything that the checks read.
+
+    ``revoked_ms`` has the time of revocation by API key, ``leaving_ms`` the time at
+    which a replica was marked as leaving, by replica.
+    """
 
     def __init__(self) -> None:
-        self.runs: list[Run] = []
+        self.executions: list[Execution] = []
         self.calls: list[CallRecord] = []
-        self.disturbances: list[Disturbance] = []
-        self.problems: list[str] = []
+        self.fault_intervals: list[FaultInterval] = []
+        self.stop_failures: list[str] = []
         self.revoked_ms: dict[str, float] = {}
         self.leaving_ms: dict[str, float] = {}
 
-    def is_disturbed(self, target: str, begin_ms: float, end_ms: float) -> bool:
-        """:returns: whether a VM, or the store for all, was disturbed in a span"""
+    def is_affected(self, target: str, begin_ms: float, end_ms: float) -> bool:
+        """:returns: whether a fault affected a VM, or all VMs, in a time span"""
         return any(
             item.target in (target, "")
             and item.begin_ms < end_ms
             and item.end_ms > begin_ms
-            for item in self.disturbances
+            for item in self.fault_intervals
         )
 
 
 def now_ms() -> float:
-    """:returns: monotonic milliseconds"""
+    """:returns: milliseconds of the monotonic clock"""
     return time.monotonic() * 1_000
 
 
-__all__ = ("CallRecord", "Disturbance", "History", "Kind", "Run", "now_ms")
+__all__ = (
+    "CallRecord",
+    "Execution",
+    "FaultInterval",
+    "History",
+    "RequestKind",
+    "now_ms",
+)
--- a/tests/soak/entry/replicas.py
+++ b/tests/soak/entry/replicas.py
@@ -1,4 +1,4 @@
-"""Replicas of the soak: they record what they run, and fail when told to."""
+"""Replicas of the soak, which record what they run and fail on request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from tests.soak.entry.history import Run, now_ms
+from tests.soak.entry.history import Execution, now_ms
 from tests.support.platform.replica import StandInReplica, build_head, event
 
 if TYPE_CHECKING:
@@ -16,34 +16,35 @@
     from tests.support.platform.replica import Arrival, Connection
 
 N_EVENTS = 12
-EVENT_MS = 15.0
-WORK_MS = 8.0
-SEAL = "Quetzaldeck-Response-Seal: mark"
+EVENT_INTERVAL_MS = 15.0
+RUN_MS = 8.0
+SEAL_FIELD = "Quetzaldeck-Response-Seal: mark"
 
 
 class SoakReplica:
     """One incarnation of a replica.
 
-    ``p_lost`` answers are lost after the run, ``p_extra`` come twice, ``p_refused``
-    requests are not run, each a probability that faults set.
+    Faults set three probabilities: ``p_response_lost``, that a request runs but its
+    response is lost; ``p_response_repeated``, that a response is sent twice;
+    ``p_refused``, that a request is refused without running.
     """
 
     def __init__(
         self, replica_id: str, history: History, random_state: random.Random
     ) -> None:
         self.replica_id = replica_id
-        self.server = StandInReplica(replica_id, self._behave)
-        self.p_lost = 0.0
-        self.p_extra = 0.0
+        self.server = StandInReplica(replica_id, self._handle)
+        self.p_response_lost = 0.0
+        self.p_response_repeated = 0.0
         self.p_refused = 0.0
-        self._slow_factor = 1.0
-        self.held_until_ms: dict[str, float] = {}
+        self._pace = 1.0
+        self.reserved_until_ms: dict[str, float] = {}
         self._history = history
         self._random_state = random_state
 
     @property
     def is_mute(self) -> bool:
-        """:returns: whether it takes requests and questions, and answers none"""
+        """:returns: whether it accepts requests and queries but answers none"""
         return self.server.is_silent_on_reports
 
     @is_mute.setter
@@ -51,31 +52,31 @@
         self.server.is_silent_on_reports = is_mute
 
     def set_pace(self, pace: float) -> None:
-        """Take so many times as long, and say so when asked."""
-        self._slow_factor = pace
+        """Slow down by a factor, and report it as the replica's pace."""
+        self._pace = pace
         self.server.pace = pace
 
-    def n_held(self) -> int:
-        """:returns: reservations that have neither ended nor lapsed"""
+    def n_reserved(self) -> int:
+        """:returns: number of reservations neither released nor expired"""
         now = now_ms()
-        return sum(until > now for until in self.held_until_ms.values())
+        return sum(end_ms > now for end_ms in self.reserved_until_ms.values())
 
-    async def _behave(self, arrival: Arrival, connection: Connection) -> None:
+    async def _handle(self, arrival: Arrival, connection: Connection) -> None:
         if self.is_mute:
             await asyncio.sleep(3_600)
         if arrival.target == "/order":
-            await self._take_order(arrival, connection)
+            await self._handle_order(arrival, connection)
             return
         is_other = arrival.headers["quetzaldeck-expect-instance"] != self.replica_id
-        if is_other or self._happens(self.p_refused):
+        if is_other or self._draw(self.p_refused):
             await connection.not_run(arrival, status=421 if is_other else 503)
             return
         after = arrival.headers.get("last-event-id", "")
         owner = arrival.headers.get("quetzaldeck-tenant", "")
-        run = Run(arrival.call_id, self.replica_id, now_ms(), owner, after)
-        self._history.runs.append(run)
-        if self._happens(self.p_lost):
-            await asyncio.sleep(WORK_MS / 1_000)
+        execution = Execution(arrival.call_id, self.replica_id, now_ms(), owner, after)
+        self._history.executions.append(execution)
+        if self._draw(self.p_response_lost):
+            await asyncio.sleep(RUN_MS / 1_000)
             connection.reset()
             return
         if arrival.target.startswith("/plan/"):
@@ -84,11 +85,11 @@
             await self._answer(arrival, connection)
 
     async def _answer(self, arrival: Arrival, connection: Connection) -> None:
-        await asyncio.sleep(self._slow_factor * WORK_MS / 1_000)
+        await asyncio.sleep(self._pace * RUN_MS / 1_000)
         body = arrival.call_id.encode()
-        head = build_head(arrival, 200, f"Content-Length: {len(body)}", SEAL)
+        head = build_head(arrival, 200, f"Content-Length: {len(body)}", SEAL_FIELD)
         await connection.send(head + body)
-        if self._happens(self.p_extra):
+        if self._draw(self.p_response_repeated):
             await connection.send(head + body)
 
     async def _stream(
@@ -96,26 +97,26 @@
     ) -> None:
         await connection.begin_stream(arrival)
         for number in range(first + 1, N_EVENTS + 1):
-            await asyncio.sleep(self._slow_factor * EVENT_MS / 1_000)
+            await asyncio.sleep(self._pace * EVENT_INTERVAL_MS / 1_000)
             await connection.send_chunk(event(number, arrival.call_id + "."))
         await connection.end_stream()
 
-    async def _take_order(self, arrival: Arrival, connection: Connection) -> None:
+    async def _handle_order(self, arrival: Arrival, connection: Connection) -> None:
         order = json.loads(arrival.body)
         if order["op"] == "reserve":
-            self.held_until_ms[order["id"]] = now_ms() + order["holdMs"]
+            self.reserved_until_ms[order["id"]] = now_ms() + order["holdMs"]
         else:
-            self.held_until_ms.pop(order["id"], None)
+            self.reserved_until_ms.pop(order["id"], None)
         await connection.answer(arrival, body=b'{"free":1}')
 
-    def _happens(self, probability: float) -> bool:
+    def _draw(self, probability: float) -> bool:
         return self._random_state.random() < probability
 
 
-def whole_stream(call_id: str) -> bytes:
-    """:returns: the events that a caller has to get"""
+def build_complete_stream(call_id: str) -> bytes:
+    """:returns: body of a complete stream, as its caller must receive it"""
     numbers = range(1, N_EVENTS + 1)
     return b"".join(event(number, call_id + ".") for number in numbers)
 
 
-__all__ = ("SoakReplica", "whole_stream")
+__all__ = ("SoakReplica", "build_complete_stream")
--- a/tests/soak/entry/run.py
+++ b/tests/soak/entry/run.py
@@ -18,15 +18,15 @@
     from collections.abc import Sequence
 
 RATE_PER_S = 40.0
-MEMORY_SLACK_S = 1.0
+RELEASE_TOLERANCE_S = 1.0
 
 
 class SoakResult(NamedTuple):
-    """What came of a run.
+    """Result of a run.
 
-    :param faults: names in order
-    :param findings: what did not hold
-    :param logs: what the processes logged, by VM
+    :param faults: names of the injected faults, in order
+    :param findings: violated invariants
+    :param logs: log output of the processes, by VM
     """
 
     seed: int
@@ -45,33 +45,35 @@
     rate_per_s: float = RATE_PER_S,
     plan: Sequence[PlannedFault] | None = None,
 ) -> SoakResult:
-    """Run VMs under faults, let them settle, and check what was seen.
+    """Run VMs under faults, let them settle, and check the recorded history.
 
-    :param plan: the faults; drawn from the seed among all kinds if not given
+    :param plan: faults to inject; drawn from the seed among all faults if not given
     """
     if plan is None:
         plan = plan_faults(random.Random(seed), duration_s, tuple(FAULTS))
-    with tempfile.TemporaryDirectory() as folder:
-        world = SoakWorld(Path(folder), seed=seed, n_vms=n_vms)
+    with tempfile.TemporaryDirectory() as directory:
+        world = SoakWorld(Path(directory), seed=seed, n_vms=n_vms)
         async with world, Callers(world) as callers:
-            balancing = asyncio.create_task(callers.balance())
+            polling = asyncio.create_task(callers.poll_readiness())
             await world.wait_ready()
-            calling = asyncio.create_task(
-                callers.call_for(duration_s + 3.0, rate_per_s)
+            sending = asyncio.create_task(
+                callers.send_calls(duration_s + 3.0, rate_per_s)
             )
             faults = await inject(world, plan)
-            await calling
-            await asyncio.sleep(FREE_MS / 1_000 + MEMORY_SLACK_S)
-            n_held = sum(replica.n_held() for replica in world.replicas.values())
-            balancing.cancel()
+            await sending
+            await asyncio.sleep(FREE_MS / 1_000 + RELEASE_TOLERANCE_S)
+            n_reserved = sum(
+                replica.n_reserved() for replica in world.replicas.values()
+            )
+            polling.cancel()
             with suppress(asyncio.CancelledError):
-                await balancing
+                await polling
         findings = check_history(world.history)
-        if n_held:
-            findings.append(f"memory: {n_held} reservations are left")
+        if n_reserved:
+            findings.append(f"memory: {n_reserved} reservations were not released")
         logs = {vm.name: vm.process.log for vm in world.vms}
     calls = world.history.calls
-    n_answered = sum(call.status == 200 and call.is_whole for call in calls)
+    n_answered = sum(call.status == 200 and call.is_complete for call in calls)
     return SoakResult(
         seed,
         tuple(faults),
--- a/tests/soak/entry/test_short_run.py
+++ b/tests/soak/entry/test_short_run.py
@@ -1,4 +1,4 @@
-"""Short seeded runs of the soak: one, and every seed that ever failed."""
+"""Short seeded runs of the soak, among them every seed that has failed."""
 
 from __future__ import annotations
 
@@ -17,18 +17,16 @@
 DURATION_S = 8.0
 
 SEEDS = {
-    7: "the first one",
-    109: "two faults restarted one VM; the run waited for the wrong process",
-    117: "the store was down while all VMs were killed: they knew nothing and refused",
-    121: "as 117; half of the calls were counted though nothing could be known",
+    7: "first seed of the set",
+    109: "two faults restarted the same VM and the run waited for the wrong process",
+    117: "all VMs restarted while the store was down, so they refused every call",
+    121: "as 117; half of the calls were counted although VMs had no configuration",
 }
 
 NEWER_FAULTS = frozenset({"mute_replica", "slow_engine"})
-"""Faults that came later: with them the seeds above would be other runs."""
+"""Faults added later; drawing from them would change the plans of ``SEEDS``."""
 
-NEWER_SEEDS = {
-    720: "the first one with replicas that go mute and engines that are slow"
-}
+NEWER_SEEDS = {720: "first seed with replicas that do not answer and slow engines"}
 
 PLANS = {
     "two_faults_restart_one_vm": (
@@ -47,22 +45,22 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_in_a_short_run_full_of_faults(seed: int) -> None:
-    """Callers see a doubled booking, another's answer, or wait in silence.
+def test_invariants_hold_in_a_short_run_with_many_faults(seed: int) -> None:
+    """Guards against bookings that run twice, mixed-up answers and hanging calls.
 
-    Three VMs as real processes; kills, stops, pauses, cuts, lost flows, a store that
-    is down or forgets, and changes of the configuration overlap.
+    Three VMs run as real processes. Kills, stops, pauses, cut and silent connections,
+    outages of the store, loss of its history and configuration changes overlap.
     """
-    kinds = tuple(FAULTS.keys() - NEWER_FAULTS)
-    plan = plan_faults(random.Random(seed), DURATION_S, kinds)
+    names = tuple(FAULTS.keys() - NEWER_FAULTS)
+    plan = plan_faults(random.Random(seed), DURATION_S, names)
     result = uvloop.run(run_soak(seed, duration_s=DURATION_S, plan=plan))
     assert result.findings == ()
     assert result.n_calls > 200
 
 
 @pytest.mark.parametrize("seed", NEWER_SEEDS)
-def test_promises_hold_with_mute_replicas_and_slow_engines(seed: int) -> None:
-    """As above; replicas take requests and answer none, engines slow down."""
+def test_invariants_hold_with_mute_replicas_and_slow_engines(seed: int) -> None:
+    """As above, with replicas that never answer and engines that slow down."""
     result = uvloop.run(run_soak(seed, duration_s=DURATION_S))
     assert set(result.faults) & NEWER_FAULTS
     assert result.findings == ()
@@ -70,17 +68,17 @@
 
 
 @pytest.mark.parametrize("name", PLANS)
-def test_promises_hold_when_faults_meet(name: str) -> None:
-    """One fault hides another: a VM restarts twice, or starts while nobody answers."""
+def test_invariants_hold_when_faults_overlap(name: str) -> None:
+    """Overlapping faults restart a VM twice, or start it while the store is down."""
     result = uvloop.run(run_soak(1, duration_s=DURATION_S, plan=PLANS[name]))
     assert result.findings == ()
     assert result.n_calls > 200
 
 
-def test_a_fault_draws_the_same_whatever_else_is_drawn(
+def test_choices_of_a_fault_depend_on_its_own_seed_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A seed that failed once could not be played again: callers shared its draws."""
+    """A failed seed must be repeatable; shared random state let callers change it."""
     draws: list[float] = []
 
     async def draw(world: SoakWorld, random_state: random.Random) -> None:
--- a/tests/soak/entry/world.py
+++ b/tests/soak/entry/world.py
@@ -1,4 +1,4 @@
-"""The platform and the entry VMs of one soak run."""
+"""Platform and entry VMs of one soak run."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class SoakVm:
-    """One entry VM: its process, its addresses, and its link to the store."""
+    """One entry VM: its process, its addresses and its link to the store."""
 
     def __init__(self, name: str, host: str, ports: tuple[int, int, int]) -> None:
         self.name = name
@@ -47,19 +47,19 @@
 
     @property
     def process_id(self) -> int:
-        """:returns: id of the process that was started last"""
+        """:returns: id of the most recently started process"""
         return self.process.process_id
 
     def start(self) -> None:
-        """Start the process, unless another fault has done so already."""
+        """Start the process, unless another fault has already started it."""
         if not self.process.is_running:
             self.process.start()
 
-    async def wait_end(self, process_id: int, bound_s: float) -> bool:
-        """:returns: whether a process ended, by itself or by another fault"""
+    async def wait_until_ended(self, process_id: int, timeout_s: float) -> bool:
+        """:returns: whether a process ended in time, by itself or by another fault"""
         loop = asyncio.get_running_loop()
-        until = loop.time() + bound_s
-        while loop.time() < until:
+        end_s = loop.time() + timeout_s
+        while loop.time() < end_s:
             if self.process_id != process_id or not self.process.is_running:
                 return True
             await asyncio.sleep(0.05)
@@ -67,13 +67,13 @@
 
 
 class SoakWorld:
-    """A context manager that owns all of it.
+    """Owns the store, replicas, links and VMs as a context manager.
 
-    :param folder: for settings and logs
+    :param directory: directory for settings files
     """
 
-    def __init__(self, folder: Path, *, seed: int, n_vms: int) -> None:
-        self._folder = folder
+    def __init__(self, directory: Path, *, seed: int, n_vms: int) -> None:
+        self._directory = directory
         self._stack = AsyncExitStack()
         self._n_replicas = 0
         self.random_state = random.Random(seed)
@@ -126,7 +126,7 @@
         return replica
 
     def register(self, replica_id: str, *, state: str = "ready") -> None:
-        """Write a replica's entry; the address is its link's."""
+        """Write a replica's entry with the address of its link."""
         address = self.links[replica_id].address.removeprefix("http://")
         service = self.services[replica_id]
         entry = build_entry(service, address, slots=16, state=state)
@@ -143,13 +143,13 @@
         self.store.put(CONFIGURATION_KEY, value)
 
     def revoke(self, key: str) -> None:
-        """Take a key away."""
+        """Revoke an API key."""
         del self.keys[key]
         self.publish()
         self.history.revoked_ms[key] = now_ms()
 
     async def wait_ready(self) -> None:
-        """Wait until the VMs serve."""
+        """Wait until all VMs are ready."""
         async with asyncio.timeout(30):
             while not all(vm.is_in_rotation for vm in self.vms):
                 await asyncio.sleep(0.05)
@@ -169,7 +169,7 @@
                 "free_ms": FREE_MS,
             },
         }
-        path = self._folder / f"{vm.name}.yaml"
+        path = self._directory / f"{vm.name}.yaml"
         path.write_text(yaml.safe_dump(settings), encoding="utf-8")
         return path
 
