--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m tests.soak``: fault runs on real processes, one row for each."""
+"""``python -m tests.soak``: fault runs on real processes, one table row each."""
 
 from __future__ import annotations
 
@@ -35,12 +35,16 @@
 
 
 @click.command()
-@click.option("--seed", default=1, help="Seed of victims, pairs and arrivals.")
-@click.option("--seconds", default=300, help="No run begins after this time.")
-@click.option("--only", default="", help="One run: fault names joined by +.")
+@click.option("--seed", default=1, help="Seed of targets, pairs and arrivals.")
+@click.option("--seconds", default=300, help="No run starts after this time.")
+@click.option("--only", default="", help="A single run: fault names joined by +.")
 @click.option("--deployment", type=click.Choice(sorted(DEPLOYMENTS)), default="himal")
-@click.option("--rate", default=60.0, help="Requests a second.")
-@click.option("--history", type=click.Path(path_type=Path), help="Keep histories here.")
+@click.option("--rate", default=60.0, help="Requests per second.")
+@click.option(
+    "--history",
+    type=click.Path(path_type=Path),
+    help="Directory that receives histories.",
+)
 def main(
     *,
     seed: int,
@@ -80,7 +84,7 @@
 
 
 def list_runs(random_state: random.Random) -> list[tuple[str, ...]]:
-    """:returns: every fault alone, then every pair in random order"""
+    """:returns: no fault, every fault alone, then all ordered pairs, shuffled"""
     names = [name for name in faults.names if name != "none"]
     pairs = [(first, second) for first in names for second in names if first != second]
     random_state.shuffle(pairs)
@@ -88,7 +92,7 @@
 
 
 async def run_once(settings: RunSettings) -> RunResult:
-    """:returns: the result of one run with processes of its own"""
+    """:returns: result of one run, which starts and ends its own processes"""
     with TemporaryDirectory() as directory:
         async with ProcessControl(Path(directory)) as control:
             return await FaultRun(settings, control, choose_port).run()
--- a/tests/soak/entry/faults.py
+++ b/tests/soak/entry/faults.py
@@ -165,7 +165,7 @@
 async def lose_flows(world: SoakWorld, random_state: random.Random) -> None:
     """Open connections to a replica drop all bytes for good; new ones work."""
     async with record_fault(world, "lose_flows", ""):
-        world.links[choose_replica(world, random_state)].lose_flows()
+        world.links[choose_replica(world, random_state)].silence_open_connections()
         await asyncio.sleep(0.5)
 
 
--- a/tests/soak/own/__init__.py
+++ b/tests/soak/own/__init__.py
@@ -1,4 +1,4 @@
-"""Fault runs: recorded load on real programs while parts of them fail."""
+"""Fault runs: recorded load on real gateways and agents while faults are injected."""
 
 from __future__ import annotations
 
--- a/tests/soak/own/caller.py
+++ b/tests/soak/own/caller.py
@@ -1,4 +1,4 @@
-"""Callers that record what they send and receive, and resend what failed."""
+"""Callers that record their calls and the answers, and resend failed bookings."""
 
 from __future__ import annotations
 
@@ -30,16 +30,17 @@
     from quetzaldeck.history import Recorder
 
 HTTP_OK = 200
-GIVE_UP_GRACE_MS = 900.0
+TIMEOUT_MARGIN_MS = 900.0
+"""Time after the deadline of a call after which its caller gives up."""
 MAX_SENDS = 4
-RESEND_MS = 300.0
+RESEND_INTERVAL_MS = 300.0
 
 
 class Target(NamedTuple):
-    """What callers ask for.
+    """Parameters of the calls of a run.
 
-    :param customer: name of the customer whose ``api_key`` it is
-    :param path: path of the call that may not be repeated
+    :param customer: name of the customer that owns ``api_key``
+    :param path: path of bookings, which must not run twice
     """
 
     customer: str
@@ -51,7 +52,7 @@
 
 
 class RecordingCaller:
-    """Makes calls through any gateway and records them.
+    """Makes calls through randomly chosen gateways and records them.
 
     :param gateways: base URL of each VM's gateway; may change while calls run
     """
@@ -73,28 +74,32 @@
         self._numbers = itertools.count(1)
 
     async def book(self) -> None:
-        """Make a call that may not be repeated; resend it until it is answered.
+        """Make a booking, which must not run twice, and resend it until it is answered.
 
-        Each send goes to another VM, as the balancer would choose.
+        Each send goes to a VM chosen anew, as behind a load balancer.
         """
         number = next(self._numbers)
         key = make_timed_key(self._clock, self._random_state)
-        for n_send in range(MAX_SENDS):
-            end = await self._send(f"b{number}.{n_send}", key, b"slot %d" % number)
+        for send_number in range(MAX_SENDS):
+            end = await self._send_recorded(
+                f"b{number}.{send_number}", key, b"slot %d" % number
+            )
             if end.outcome == CallOutcome.ANSWERED:
                 return
-            await asyncio.sleep(RESEND_MS / 1_000)
+            await asyncio.sleep(RESEND_INTERVAL_MS / 1_000)
 
     async def complete(self, n_prompt_tokens: int) -> None:
-        """Make one model call with a prompt of its own."""
+        """Make one model call with a prompt that no other call has."""
         call_id = f"m{next(self._numbers)}"
-        await self._send(call_id, "", b"", build_prompt(call_id, n_prompt_tokens))
+        await self._send_recorded(
+            call_id, "", b"", build_prompt(call_id, n_prompt_tokens)
+        )
 
     async def complete_text(self, call_id: str, prompt: str) -> None:
         """Make one model call with a given prompt."""
-        await self._send(call_id, "", b"", prompt)
+        await self._send_recorded(call_id, "", b"", prompt)
 
-    async def _send(
+    async def _send_recorded(
         self, call_id: str, key: str, body: bytes, prompt: str = ""
     ) -> CallEnded:
         target = self._target
@@ -112,14 +117,14 @@
                 sent_ms + target.deadline_ms,
             )
         )
-        end = await self._guard(call_id, vm, key, body, prompt)
+        end = await self._send_with_timeout(call_id, vm, key, body, prompt)
         self._recorder.record(end)
         return end
 
-    async def _guard(
+    async def _send_with_timeout(
         self, call_id: str, vm: str, key: str, body: bytes, prompt: str
     ) -> CallEnded:
-        timeout_s = (self._target.deadline_ms + GIVE_UP_GRACE_MS) / 1_000
+        timeout_s = (self._target.deadline_ms + TIMEOUT_MARGIN_MS) / 1_000
         outcome, reason = CallOutcome.FAILED, ""
         try:
             async with asyncio.timeout(timeout_s):
@@ -141,12 +146,12 @@
         async with self._client.post(
             self._gateways[vm] + self._target.path,
             data=body,
-            headers={**self._headers(), "Idempotency-Key": key},
+            headers={**self._build_headers(), "Idempotency-Key": key},
         ) as response:
             answer = msgspec.json.decode(await response.read())
             request_id = response.headers.get("X-Request-Id", "")
         if response.status != HTTP_OK:
-            return self._failure(call_id, answer["error"])
+            return self._build_failure(call_id, answer["error"])
         return CallEnded(
             self._recorder.now_ms(),
             call_id,
@@ -165,16 +170,16 @@
             "stream": True,
         }
         sent_ms = self._recorder.now_ms()
-        first_ms: float | None = None
-        parts: list[str] = []
+        first_token_ms: float | None = None
+        texts: list[str] = []
         async with self._client.post(
             self._gateways[vm] + "/v1/completions",
             data=msgspec.json.encode(body),
-            headers=self._headers(),
+            headers=self._build_headers(),
         ) as response:
             if response.status != HTTP_OK:
                 error = msgspec.json.decode(await response.read())["error"]
-                return self._failure(call_id, error)
+                return self._build_failure(call_id, error)
             request_id = response.headers.get("X-Request-Id", "")
             is_done = False
             async for line in response.content:
@@ -186,22 +191,22 @@
                     break
                 event = msgspec.json.decode(data)
                 if "error" in event:
-                    return self._failure(call_id, event["error"])
-                if first_ms is None:
-                    first_ms = self._recorder.now_ms()
-                parts.append(event["choices"][0]["text"])
+                    return self._build_failure(call_id, event["error"])
+                if first_token_ms is None:
+                    first_token_ms = self._recorder.now_ms()
+                texts.append(event["choices"][0]["text"])
         outcome = CallOutcome.ANSWERED if is_done else CallOutcome.BROKEN
         return CallEnded(
             self._recorder.now_ms(),
             call_id,
             outcome,
             request_id,
-            answer=xxhash.xxh3_64_hexdigest("".join(parts).encode()),
+            answer=xxhash.xxh3_64_hexdigest("".join(texts).encode()),
             expected=xxhash.xxh3_64_hexdigest(answer_text(prompt, n_tokens).encode()),
-            ttft_ms=None if first_ms is None else first_ms - sent_ms,
+            ttft_ms=None if first_token_ms is None else first_token_ms - sent_ms,
         )
 
-    def _failure(self, call_id: str, error: dict[str, Any]) -> CallEnded:
+    def _build_failure(self, call_id: str, error: dict[str, Any]) -> CallEnded:
         return CallEnded(
             self._recorder.now_ms(),
             call_id,
@@ -211,7 +216,7 @@
             error["ran"],
         )
 
-    def _headers(self) -> dict[str, str]:
+    def _build_headers(self) -> dict[str, str]:
         return {
             "Authorization": f"Bearer {self._target.api_key}",
             "Content-Type": "application/json",
--- a/tests/soak/own/control.py
+++ b/tests/soak/own/control.py
@@ -1,4 +1,4 @@
-"""How a fault run starts, stops and pauses the programs of a VM."""
+"""Interface by which a fault run starts, stops and pauses the programs of VMs."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class VmControl(ABC):
-    """Runs the gateway and the agent of each VM, by whatever means."""
+    """Runs the gateway and the agent of each VM."""
 
     @abstractmethod
     async def start(self, agent: AgentSettings, gateway: GatewaySettings) -> None:
-        """Start both programs of a VM; returns when both listen."""
+        """Start both programs of a VM and wait until both listen."""
 
     @abstractmethod
     async def kill(self, vm: str) -> None:
-        """End both programs without notice."""
+        """Kill both programs."""
 
     @abstractmethod
     async def stop(self, vm: str) -> int:
@@ -30,11 +30,11 @@
 
     @abstractmethod
     async def pause(self, vm: str) -> None:
-        """Let both programs stand still."""
+        """Suspend both programs."""
 
     @abstractmethod
     async def resume(self, vm: str) -> None:
-        """Let both programs run on."""
+        """Resume both programs."""
 
 
 __all__ = ("VmControl",)
--- a/tests/soak/own/faults/__init__.py
+++ b/tests/soak/own/faults/__init__.py
@@ -1,4 +1,4 @@
-"""The faults of fault runs, by name."""
+"""Faults of fault runs, registered by name."""
 
 from __future__ import annotations
 
--- a/tests/soak/own/faults/api.py
+++ b/tests/soak/own/faults/api.py
@@ -1,4 +1,4 @@
-"""The family of faults."""
+"""Interface and registry of faults."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Fault(ABC):
-    """Something that fails for a while.
+    """A fault that lasts for a while.
 
-    :param fleet: the VMs and what lies around them
-    :param random_state: chooses the victims
+    :param fleet: the VMs and their environment
+    :param random_state: chooses the targets
     """
 
     def __init__(self, fleet: SoakFleet, random_state: random.Random) -> None:
@@ -26,16 +26,16 @@
 
     @property
     def target(self) -> str:
-        """:returns: what fails, for the record"""
+        """:returns: what the fault affects, as recorded in the history"""
         return "all"
 
     @abstractmethod
     async def begin(self) -> None:
-        """Let it fail."""
+        """Inject the fault."""
 
     @abstractmethod
     async def end(self) -> None:
-        """Mend it."""
+        """Remove the fault."""
 
     def _choose_vm(self) -> str:
         return self._random_state.choice(sorted(self._fleet.gateways))
@@ -46,7 +46,7 @@
 
 @faults.register("none")
 class NoFault(Fault):
-    """Nothing fails: what the other runs are compared with."""
+    """No fault: the baseline of the other runs."""
 
     async def begin(self) -> None:
         """Do nothing."""
--- a/tests/soak/own/faults/network.py
+++ b/tests/soak/own/faults/network.py
@@ -1,4 +1,4 @@
-"""Faults of connections."""
+"""Faults of network connections."""
 
 from __future__ import annotations
 
@@ -12,18 +12,21 @@
 
     from tests.soak.own.fleet import SoakFleet
 
-MINORITY = 3
+SMALLER_GROUP_SIZE = 3
 
 
 @faults.register("partition")
 class Partition(Fault):
-    """Agents fall into two groups that swallow each other's messages."""
+    """Agents are split into two groups; messages between the groups are dropped."""
 
     def __init__(self, fleet: SoakFleet, random_state: random.Random) -> None:
         super().__init__(fleet, random_state)
         names = list(fleet.world.vm_names)
         random_state.shuffle(names)
-        self._groups = (tuple(names[:MINORITY]), tuple(names[MINORITY:]))
+        self._groups = (
+            tuple(names[:SMALLER_GROUP_SIZE]),
+            tuple(names[SMALLER_GROUP_SIZE:]),
+        )
 
     @property
     def target(self) -> str:
@@ -31,31 +34,31 @@
         return ",".join(self._groups[0])
 
     async def begin(self) -> None:
-        """Cut the groups apart."""
+        """Drop messages between the groups."""
         self._fleet.world.partition(self._groups)
 
     async def end(self) -> None:
-        """Let new flows through; those that were open stay silent."""
+        """Let new connections through; blocked ones stay silent."""
         self._fleet.world.partition((self._fleet.world.vm_names,))
 
 
 @faults.register("silent_flows")
 class SilentFlows(Fault):
-    """Open connections to a few upstreams go silent for good; new ones work."""
+    """Open connections to half of the upstreams go silent for good; new ones work."""
 
     async def begin(self) -> None:
-        """Lose the open flows of half of the upstreams."""
+        """Silence the open connections of half of the upstreams."""
         names = sorted(self._fleet.world.upstream_links)
         for name in self._random_state.sample(names, len(names) // 2):
-            self._fleet.world.upstream_links[name].lose_flows()
+            self._fleet.world.upstream_links[name].silence_open_connections()
 
     async def end(self) -> None:
-        """Do nothing: lost flows do not come back."""
+        """Do nothing: silent connections do not recover."""
 
 
 @faults.register("cut_upstream")
 class CutUpstream(Fault):
-    """An upstream cannot be reached and its connections break."""
+    """An upstream cannot be reached and its connections are aborted."""
 
     def __init__(self, fleet: SoakFleet, random_state: random.Random) -> None:
         super().__init__(fleet, random_state)
--- a/tests/soak/own/faults/platform.py
+++ b/tests/soak/own/faults/platform.py
@@ -1,4 +1,4 @@
-"""Faults of what the platform publishes."""
+"""Faults of the configuration service and the VM list, and bundle changes."""
 
 from __future__ import annotations
 
@@ -15,60 +15,63 @@
 
     from tests.soak.own.fleet import SoakFleet
 
-MINORITY = 3
-ROLL_INTERVAL_MS = 700.0
+N_STALE_LISTS = 3
+PUBLISH_INTERVAL_MS = 700.0
 
 
 @faults.register("configuration_down")
 class ConfigurationDown(Fault):
-    """The configuration service fails; a bundle is rolled when it is back."""
+    """The configuration service fails; a bundle is published when it is back."""
 
     async def begin(self) -> None:
-        """Take it down."""
+        """Take the service down."""
         self._fleet.world.configuration.is_down = True
 
     async def end(self) -> None:
-        """Bring it back and roll a bundle."""
+        """Bring the service back and publish a bundle."""
         self._fleet.world.configuration.is_down = False
-        await self._fleet.world.roll_bundle()
+        await self._fleet.world.publish_bundle()
 
 
 @faults.register("configuration_hanging")
 class ConfigurationHanging(Fault):
-    """Most VMs' flows to the configuration service go silent; a bundle is rolled."""
+    """All VMs but one lose the configuration service while a bundle is published.
+
+    Their connections to it stay open but carry no bytes.
+    """
 
     async def begin(self) -> None:
-        """Lose the flows of all VMs but one, then roll a bundle."""
+        """Silence the connections of all VMs but one, then publish a bundle."""
         names = sorted(self._fleet.world.configuration_links)
-        spared = self._random_state.choice(names)
+        unaffected = self._random_state.choice(names)
         for name in names:
-            if name != spared:
+            if name != unaffected:
                 self._fleet.world.configuration_links[name].set_mode(LinkMode.SILENT)
-        await self._fleet.world.roll_bundle()
+        await self._fleet.world.publish_bundle()
 
     async def end(self) -> None:
-        """Let new flows through."""
+        """Let new connections through."""
         for link in self._fleet.world.configuration_links.values():
             link.set_mode(LinkMode.OPEN)
 
 
 @faults.register("stale_lists")
 class StaleLists(Fault):
-    """Half of the VMs read a list that lacks the other half."""
+    """Some VMs read a VM list that lacks the others."""
 
     async def begin(self) -> None:
-        """Freeze the lists of three VMs on a list of themselves."""
+        """Reduce the lists of a few VMs to entries of these VMs and of upstreams."""
         world = self._fleet.world
         names = list(world.vm_names)
         self._random_state.shuffle(names)
-        kept = names[:MINORITY]
-        dropped = names[MINORITY:]
-        entries = tuple(vm for vm in world.list_vms() if vm.vm not in dropped)
-        for name in kept:
+        listed = names[:N_STALE_LISTS]
+        omitted = names[N_STALE_LISTS:]
+        entries = tuple(vm for vm in world.list_vms() if vm.vm not in omitted)
+        for name in listed:
             world.vm_lists[name].set_vms(entries)
 
     async def end(self) -> None:
-        """Show all VMs the true list."""
+        """Restore the correct list for all VMs."""
         world = self._fleet.world
         for vm_list in world.vm_lists.values():
             vm_list.set_vms(world.list_vms())
@@ -76,7 +79,7 @@
 
 @faults.register("list_drops_live_vm")
 class ListDropsLiveVm(Fault):
-    """The platform's list forgets a VM that is alive."""
+    """The platform's list lacks a VM that is alive."""
 
     def __init__(self, fleet: SoakFleet, random_state: random.Random) -> None:
         super().__init__(fleet, random_state)
@@ -84,27 +87,27 @@
 
     @property
     def target(self) -> str:
-        """:returns: the VM that is forgotten"""
+        """:returns: the VM that is missing from the list"""
         return self._vm
 
     async def begin(self) -> None:
-        """Take it off the list."""
+        """Remove the VM from the list."""
         self._fleet.world.set_state(self._vm, None)
 
     async def end(self) -> None:
-        """Put it back."""
+        """Restore its entry."""
         self._fleet.world.set_state(self._vm, VmState.LIVE)
 
 
 @faults.register("bundle_rolls")
 class BundleRolls(Fault):
-    """Operators roll bundles one after the other."""
+    """Operators publish several bundles in quick succession."""
 
     async def begin(self) -> None:
-        """Roll a few."""
+        """Publish five bundles."""
         for _ in range(5):
-            await self._fleet.world.roll_bundle()
-            await asyncio.sleep(ROLL_INTERVAL_MS / 1_000)
+            await self._fleet.world.publish_bundle()
+            await asyncio.sleep(PUBLISH_INTERVAL_MS / 1_000)
 
     async def end(self) -> None:
         """Do nothing."""
--- a/tests/soak/own/faults/upstreams.py
+++ b/tests/soak/own/faults/upstreams.py
@@ -14,18 +14,18 @@
 
     from tests.soak.own.fleet import SoakFleet
 
-N_CRASHED = 4
+N_CRASHED_ENGINES = 4
 DOWN_MS = 1_500.0
 PAUSE_MS = 3_000.0
 LOAD_LAG_MS = 3_000
 CACHE_EVENT_GAP = 3
-N_BROKEN_CALLS = 5
+N_ABORTED_CALLS = 5
 N_POISON_SENDS = 12
 POISON_INTERVAL_MS = 400.0
-MARKER = "crash-the-engine"
+CRASH_MARKER = "crash-the-engine"
 
 
-class _OneEngineFault(Fault):
+class _SingleEngineFault(Fault):
     def __init__(self, fleet: SoakFleet, random_state: random.Random) -> None:
         super().__init__(fleet, random_state)
         self._upstream = random_state.choice(sorted(fleet.world.engines))
@@ -39,37 +39,37 @@
 
 @faults.register("engine_crash_wave")
 class EngineCrashWave(Fault):
-    """Several engines crash at the same time and come back without memory."""
+    """Several engines crash at the same time and restart with empty memory."""
 
     async def begin(self) -> None:
-        """Crash them."""
+        """Crash the engines."""
         names = sorted(self._fleet.world.engines)
-        for name in self._random_state.sample(names, N_CRASHED):
+        for name in self._random_state.sample(names, N_CRASHED_ENGINES):
             engine = self._fleet.world.engines[name]
             engine.start_fault(engine.crash(DOWN_MS))
 
     async def end(self) -> None:
-        """Do nothing: they come back by themselves."""
+        """Do nothing: the engines restart by themselves."""
 
 
 @faults.register("engine_pause")
-class EnginePause(_OneEngineFault):
-    """An engine answers nothing for a while, then goes on."""
+class EnginePause(_SingleEngineFault):
+    """An engine sends nothing for a while, then continues."""
 
     async def begin(self) -> None:
-        """Pause it."""
+        """Pause the engine."""
         self._engine.start_fault(self._engine.pause(PAUSE_MS))
 
     async def end(self) -> None:
-        """Do nothing: it goes on by itself."""
+        """Do nothing: the engine resumes by itself."""
 
 
 @faults.register("confused_chunks")
 class ConfusedChunks(Fault):
-    """Every engine sends chunks twice, late, swapped and of other answers."""
+    """Engines send duplicate, delayed, swapped and foreign chunks."""
 
     async def begin(self) -> None:
-        """Switch the faults on, another mixture on each engine."""
+        """Enable a random combination of these faults on each engine."""
         for engine in self._fleet.world.engines.values():
             engine.faults = EngineFaults(
                 doubles_chunks=self._random_state.random() < 0.5,
@@ -79,76 +79,79 @@
             )
 
     async def end(self) -> None:
-        """Switch them off."""
+        """Disable the faults."""
         for engine in self._fleet.world.engines.values():
             engine.faults = EngineFaults()
 
 
 @faults.register("lagging_loads")
 class LaggingLoads(Fault):
-    """Load reports are seconds old, and cache events have gaps."""
+    """Load reports are seconds old, and some cache events are missing."""
 
     async def begin(self) -> None:
-        """Switch the lag on."""
+        """Enable the lag and the gaps."""
         for engine in self._fleet.world.engines.values():
             engine.faults = EngineFaults(
                 extra_load_lag_ms=LOAD_LAG_MS, cache_event_gap=CACHE_EVENT_GAP
             )
 
     async def end(self) -> None:
-        """Switch it off."""
+        """Disable the lag and the gaps."""
         for engine in self._fleet.world.engines.values():
             engine.faults = EngineFaults()
 
 
 @faults.register("service_breaks_off")
-class ServiceBreaksOff(Fault):
-    """Replicas break calls off, before they run them and after."""
+class ServiceAborts(Fault):
+    """Replicas abort calls, some before they run and some after."""
 
     async def begin(self) -> None:
-        """Let the next few calls of each replica break off."""
+        """Abort the next few calls of each replica."""
         for service in self._fleet.world.services.values():
             await service.set_faults(
-                {"n_crashes_before": N_BROKEN_CALLS, "n_crashes_after": N_BROKEN_CALLS}
+                {
+                    "n_crashes_before": N_ABORTED_CALLS,
+                    "n_crashes_after": N_ABORTED_CALLS,
+                }
             )
 
     async def end(self) -> None:
-        """Switch it off."""
+        """Clear the remaining aborts."""
         for service in self._fleet.world.services.values():
             await service.set_faults({})
 
 
 @faults.register("poison_request")
 class PoisonRequest(Fault):
-    """One request crashes each engine that runs it, and its caller sends it again.
+    """A request crashes each engine that runs it, and its caller keeps resending it.
 
-    The callers beside it must be answered.
+    Calls of other callers must still be answered.
     """
 
     @property
     def target(self) -> str:
-        """:returns: how many engines it took"""
+        """:returns: number of engine crashes"""
         engines = self._fleet.world.engines.values()
         return f"{sum(engine.n_crashes for engine in engines)} engine crashes"
 
     async def begin(self) -> None:
-        """Send it again and again through any VM."""
+        """Send the request repeatedly, through randomly chosen VMs."""
         for engine in self._fleet.world.engines.values():
-            engine.faults = EngineFaults(crash_marker=MARKER, crash_after_ms=0)
+            engine.faults = EngineFaults(crash_marker=CRASH_MARKER, crash_after_ms=0)
         self._fleet.start_call(self._send())
 
     async def end(self) -> None:
-        """Do nothing: engines go on crashing on it."""
+        """Do nothing: engines still crash on the request."""
 
     async def _send(self) -> None:
         for number in range(N_POISON_SENDS):
-            await self._fleet.caller.complete_text(f"p{number}", MARKER)
+            await self._fleet.caller.complete_text(f"p{number}", CRASH_MARKER)
             await asyncio.sleep(POISON_INTERVAL_MS / 1_000)
 
 
 @faults.register("leaving_upstream")
 class LeavingUpstream(Fault):
-    """An upstream leaves as planned and comes back."""
+    """An upstream leaves as announced and does not return."""
 
     def __init__(self, fleet: SoakFleet, random_state: random.Random) -> None:
         super().__init__(fleet, random_state)
@@ -160,11 +163,11 @@
         return self._upstream
 
     async def begin(self) -> None:
-        """Announce that it leaves."""
-        await self._fleet.let_upstream_leave(self._upstream)
+        """Announce that the upstream is leaving."""
+        await self._fleet.announce_upstream_leaving(self._upstream)
 
     async def end(self) -> None:
-        """Do nothing: it has left for good."""
+        """Do nothing: the upstream does not return."""
 
 
 __all__ = (
@@ -174,5 +177,5 @@
     "LaggingLoads",
     "LeavingUpstream",
     "PoisonRequest",
-    "ServiceBreaksOff",
+    "ServiceAborts",
 )
--- a/tests/soak/own/faults/vms.py
+++ b/tests/soak/own/faults/vms.py
@@ -15,7 +15,7 @@
 PAUSE_MS = 3_000.0
 
 
-class _OneVmFault(Fault):
+class _SingleVmFault(Fault):
     def __init__(self, fleet: SoakFleet, random_state: random.Random) -> None:
         super().__init__(fleet, random_state)
         self._vm = self._choose_vm()
@@ -27,35 +27,35 @@
 
 
 @faults.register("kill_vm")
-class KillVm(_OneVmFault):
-    """A VM dies and is replaced under its old id."""
+class KillVm(_SingleVmFault):
+    """A VM is killed and replaced under the same id."""
 
     async def begin(self) -> None:
-        """Kill it."""
+        """Kill the VM."""
         await self._fleet.kill(self._vm)
 
     async def end(self) -> None:
-        """Start its replacement."""
+        """Start the replacement."""
         await self._fleet.start(self._vm)
 
 
 @faults.register("pause_vm")
-class PauseVm(_OneVmFault):
-    """A VM's processes stand still and wake up late."""
+class PauseVm(_SingleVmFault):
+    """A VM's processes are suspended and resume later."""
 
     async def begin(self) -> None:
-        """Pause it."""
+        """Pause the VM."""
         await self._fleet.pause(self._vm)
         await asyncio.sleep(PAUSE_MS / 1_000)
 
     async def end(self) -> None:
-        """Let it run on."""
+        """Resume the VM."""
         await self._fleet.resume(self._vm)
 
 
 @faults.register("kill_zone")
 class KillZone(Fault):
-    """All VMs of a zone die together and are replaced."""
+    """All VMs of a zone are killed together and replaced."""
 
     def __init__(self, fleet: SoakFleet, random_state: random.Random) -> None:
         super().__init__(fleet, random_state)
@@ -66,15 +66,15 @@
 
     @property
     def target(self) -> str:
-        """:returns: the VMs that die"""
+        """:returns: the VMs that are killed"""
         return ",".join(self._vms)
 
     async def begin(self) -> None:
-        """Kill them."""
+        """Kill the VMs of the zone."""
         await asyncio.gather(*(self._fleet.kill(vm) for vm in self._vms))
 
     async def end(self) -> None:
-        """Start their replacements."""
+        """Start the replacements."""
         await asyncio.gather(*(self._fleet.start(vm) for vm in self._vms))
 
 
@@ -83,7 +83,7 @@
     """Every VM is stopped gracefully and replaced, one by one."""
 
     async def begin(self) -> None:
-        """Replace them all."""
+        """Replace all VMs."""
         for vm in self._fleet.world.vm_names:
             await self._fleet.stop(vm)
             await self._fleet.start(vm)
--- a/tests/soak/own/link.py
+++ b/tests/soak/own/link.py
@@ -1,4 +1,4 @@
-"""A TCP link that can be cut, made silent or left half-open."""
+"""A TCP proxy that can be cut, silenced, or leave connections half-open."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 
 
 class LinkMode(StrEnum):
-    """What a link does with connections and bytes."""
+    """What a link does with connections and their bytes."""
 
     OPEN = "open"
     CUT = "cut"
     SILENT = "silent"
 
 
-class _Flow:
-    """One connection through a link; a lost flow swallows every byte.
+class _Connection:
+    """One connection through a link; a silenced one drops every byte.
 
-    :param source: who opened it, if the link can tell
+    :param source: which VM opened it, if the link can identify it
     """
 
     def __init__(self, writers: tuple[asyncio.StreamWriter, ...], source: str) -> None:
         self._writers = writers
         self.source = source
-        self.is_lost = False
+        self.is_silent = False
 
     def abort(self) -> None:
-        """Break the connection on both sides."""
+        """Abort the connection on both sides."""
         for writer in self._writers:
             writer.transport.abort()
 
 
 class Link:
-    """Forwards a loopback port to another one.
+    """Forwards connections from one loopback port to another.
 
     :param port: port to forward to
-    :param identify: tells the source of a flow from its first bytes
+    :param identify: returns the source of a connection from its first bytes
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         self._identify = identify
         self._blocked: frozenset[str] = frozenset()
         self._mode = LinkMode.OPEN
-        self._flows: set[_Flow] = set()
+        self._connections: set[_Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
     @property
     def address(self) -> str:
-        """:returns: base URL by which the target is reached through the link"""
+        """:returns: base URL of the target through the link"""
         assert self._server is not None
         return f"http://{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
@@ -76,39 +76,39 @@
     ) -> None:
         assert self._server is not None
         self._server.close()
-        for flow in tuple(self._flows):
-            flow.abort()
+        for connection in tuple(self._connections):
+            connection.abort()
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def set_mode(self, mode: LinkMode) -> None:
-        """Change what the link does.
+        """Change the mode of the link.
 
-        ``CUT`` breaks connections and refuses new ones; ``SILENT`` accepts them
-        and swallows every byte, also of flows that stay after the link opens.
+        ``CUT`` aborts connections and refuses new ones. ``SILENT`` accepts connections
+        but drops every byte; they stay silent after the link is open again.
         """
         self._mode = mode
         if mode is LinkMode.CUT:
-            for flow in tuple(self._flows):
-                flow.abort()
+            for connection in tuple(self._connections):
+                connection.abort()
         elif mode is LinkMode.SILENT:
-            self.lose_flows()
+            self.silence_open_connections()
 
-    def lose_flows(self) -> None:
-        """Make every open connection silent for good; new ones work."""
-        for flow in self._flows:
-            flow.is_lost = True
+    def silence_open_connections(self) -> None:
+        """Drop all further bytes of open connections for good; new ones work."""
+        for connection in self._connections:
+            connection.is_silent = True
 
-    def block(self, sources: Collection[str]) -> None:
-        """Swallow the bytes of these sources, in open flows and in new ones.
+    def block_sources(self, sources: Collection[str]) -> None:
+        """Drop the bytes of these sources, in open connections and in new ones.
 
-        A flow that was open then stays silent after its source is let through.
+        These connections stay silent after their source is unblocked.
         """
         self._blocked = frozenset(sources)
-        for flow in self._flows:
-            if flow.source in self._blocked:
-                flow.is_lost = True
+        for connection in self._connections:
+            if connection.source in self._blocked:
+                connection.is_silent = True
 
     def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -130,31 +130,31 @@
         target_reader, target_writer = target
         head = b"" if self._identify is None else await reader.read(READ_BYTES)
         source = "" if self._identify is None else self._identify(head)
-        flow = _Flow((writer, target_writer), source)
-        flow.is_lost = self._mode is LinkMode.SILENT or source in self._blocked
-        self._flows.add(flow)
-        if not flow.is_lost:
+        connection = _Connection((writer, target_writer), source)
+        connection.is_silent = self._mode is LinkMode.SILENT or source in self._blocked
+        self._connections.add(connection)
+        if not connection.is_silent:
             target_writer.write(head)
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(_pump(reader, target_writer, flow))
-                group.create_task(_pump(target_reader, writer, flow))
+                group.create_task(_forward(reader, target_writer, connection))
+                group.create_task(_forward(target_reader, writer, connection))
         finally:
-            self._flows.discard(flow)
+            self._connections.discard(connection)
             target_writer.transport.abort()
 
 
-async def _pump(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, flow: _Flow
+async def _forward(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection: _Connection
 ) -> None:
-    # The event loop raises RuntimeError for a write to a transport that it closed.
+    # The event loop raises RuntimeError on a write to a transport it has closed.
     with suppress(OSError, RuntimeError):
         while data := await reader.read(READ_BYTES):
-            if flow.is_lost:
+            if connection.is_silent:
                 continue
             writer.write(data)
             await writer.drain()
-    if flow.is_lost:
+    if connection.is_silent:
         return
     with suppress(OSError, RuntimeError):
         writer.write_eof()
--- a/tests/soak/own/report.py
+++ b/tests/soak/own/report.py
@@ -1,4 +1,4 @@
-"""Figures of fault runs, as callers received them."""
+"""Figures of fault runs, from what callers received."""
 
 from __future__ import annotations
 
@@ -29,11 +29,13 @@
 class RunReport(NamedTuple):
     """One row of the table in docs/RELIABILITY.md.
 
-    :param n_broken: calls whose connection broke, allowed only if the VM was killed
-    :param n_lost: calls that never ended, hung, or broke off without a kill
-    :param worst_ttft_ms: longest time to a first token
-    :param recovery_ms: from the end of the last fault to the sending of the last
-        call that got no answer; 0 if there was none
+    :param n_broken: calls whose connection broke, allowed only if their VM was killed
+    :param n_lost: calls that never ended, ended too late, or broke off without a kill
+    :param n_doubled: bookings that ran more than once
+    :param n_false_refusals: calls refused as not run that had run
+    :param worst_ttft_ms: longest time to the first token
+    :param recovery_ms: from the end of the last fault until the last call was sent
+        that got no answer; 0 if there was none
     :param reasons: refusals and failures by reason
     """
 
@@ -52,7 +54,7 @@
     reasons: dict[str, int]
 
     def render_row(self) -> str:
-        """:returns: the row in Markdown"""
+        """:returns: the row as Markdown"""
         cells = (
             self.fault,
             self.n_calls,
@@ -84,9 +86,9 @@
     n_refused = sum(1 for event in ends if event.ran == Ran.NO)
     checks = Counter(violation.check for violation in violations)
     n_lost = sum(checks[name] for name in _LOST)
-    n_named = n_lost + checks[_DOUBLED] + checks[_FALSE_REFUSAL]
+    n_categorised = n_lost + checks[_DOUBLED] + checks[_FALSE_REFUSAL]
     reasons = Counter(
-        f"{event.reason} (ran: {event.ran or 'not said'})"
+        f"{event.reason} (ran: {event.ran or 'not stated'})"
         for event in ends
         if event.reason
     )
@@ -100,7 +102,7 @@
         n_lost=n_lost,
         n_doubled=checks[_DOUBLED],
         n_false_refusals=checks[_FALSE_REFUSAL],
-        n_other_violations=len(violations) - n_named,
+        n_other_violations=len(violations) - n_categorised,
         worst_ttft_ms=max((event.ttft_ms or 0.0 for event in ends), default=0.0),
         recovery_ms=_compute_recovery_ms(events),
         reasons=dict(reasons),
@@ -108,7 +110,7 @@
 
 
 def _compute_recovery_ms(events: Sequence[Event]) -> float:
-    over_ms = max(
+    fault_end_ms = max(
         (e.at_ms for e in events if isinstance(e, FaultInjected) and e.is_over),
         default=0.0,
     )
@@ -117,11 +119,11 @@
         for event in events
         if isinstance(event, CallEnded) and event.outcome != CallOutcome.ANSWERED
     }
-    last_ms = max(
+    last_failed_ms = max(
         (e.at_ms for e in events if isinstance(e, CallSent) and e.call_id in failed),
         default=0.0,
     )
-    return max(0.0, last_ms - over_ms)
+    return max(0.0, last_failed_ms - fault_end_ms)
 
 
 __all__ = ("TABLE_HEAD", "RunReport", "build_run_report")
--- a/tests/soak/own/run.py
+++ b/tests/soak/own/run.py
@@ -1,4 +1,4 @@
-"""One fault run: load, faults, rest, and the check of its history."""
+"""One fault run: load, faults, time to settle, and the check of its history."""
 
 from __future__ import annotations
 
@@ -34,22 +34,27 @@
 class RunSettings(NamedTuple):
     """One fault run.
 
-    :param fault_names: faults that overlap, each begun a little after the last
-    :param requests_per_second: arrivals of bookings and model calls together
+    :param fault_names: faults that overlap; they begin one after the other
+    :param seed: seed of targets and arrivals
+    :param requests_per_second: rate of bookings and model calls together
+    :param before_ms: time under load before the first fault
+    :param fault_ms: time between the start of the last fault and its end
+    :param after_ms: time under load after the faults
+    :param settle_ms: time to settle after the last call, before memory is recorded
     """
 
     fault_names: tuple[str, ...]
-    random_state: int
+    seed: int
     world: WorldSettings = WorldSettings()
     requests_per_second: float = 60.0
     before_ms: float = 2_000.0
     fault_ms: float = 4_000.0
     after_ms: float = 5_000.0
-    rest_ms: float = 4_000.0
+    settle_ms: float = 4_000.0
 
 
 class RunResult(NamedTuple):
-    """What one fault run showed."""
+    """Result of one fault run."""
 
     report: RunReport
     violations: list[Violation]
@@ -57,7 +62,7 @@
 
 
 class FaultRun:
-    """Runs callers against a fleet while faults come and go.
+    """Runs callers against a fleet while faults begin and end.
 
     :param control: runs the programs of the VMs
     :param choose_port: returns a free port each time
@@ -71,12 +76,12 @@
     ) -> None:
         self._settings = settings
         self._control = control
-        self._random_state = random.Random(settings.random_state)
+        self._random_state = random.Random(settings.seed)
         self._recorder = Recorder(Clock())
         self._choose_port = choose_port
 
     async def run(self) -> RunResult:
-        """:returns: the checked history and its figures"""
+        """:returns: the history, its figures and the violations found in it"""
         async with AsyncExitStack() as stack:
             client = await stack.enter_async_context(_open_client())
             world = await stack.enter_async_context(
@@ -88,27 +93,27 @@
                 self._recorder,
                 client,
                 Target(CUSTOMER, API_KEY, MODEL, BOOKING_PATH),
-                random.Random(self._settings.random_state + 1),
+                random.Random(self._settings.seed + 1),
             )
             await fleet.start_all()
             await stack.enter_async_context(run_tasks(fleet.sample_bundles()))
-            await self._load(fleet)
-            await asyncio.sleep(self._settings.rest_ms / 1_000)
+            await self._run_under_load(fleet)
+            await asyncio.sleep(self._settings.settle_ms / 1_000)
             fleet.record_memory()
         events = self._recorder.events
         violations = check_history(events)
         name = "+".join(self._settings.fault_names)
         return RunResult(build_run_report(name, events, violations), violations, events)
 
-    async def _load(self, fleet: SoakFleet) -> None:
-        async with run_tasks(self._arrive(fleet)):
+    async def _run_under_load(self, fleet: SoakFleet) -> None:
+        async with run_tasks(self._generate_calls(fleet)):
             await asyncio.sleep(self._settings.before_ms / 1_000)
-            await self._suffer(fleet)
+            await self._inject_faults(fleet)
             await asyncio.sleep(self._settings.after_ms / 1_000)
         await fleet.wait_for_calls()
 
-    async def _arrive(self, fleet: SoakFleet) -> None:
-        random_state = random.Random(self._settings.random_state + 2)
+    async def _generate_calls(self, fleet: SoakFleet) -> None:
+        random_state = random.Random(self._settings.seed + 2)
         while True:
             if random_state.random() < BOOKING_SHARE:
                 fleet.start_call(fleet.caller.book())
@@ -119,25 +124,25 @@
             wait_s = random_state.expovariate(self._settings.requests_per_second)
             await asyncio.sleep(wait_s)
 
-    async def _suffer(self, fleet: SoakFleet) -> None:
+    async def _inject_faults(self, fleet: SoakFleet) -> None:
         begun: list[tuple[str, Fault]] = []
         for name in self._settings.fault_names:
             fault = faults.get(name)(fleet, self._random_state)
-            self._note(name, fault, is_over=False)
+            self._record_fault(name, fault, is_over=False)
             begun.append((name, fault))
             await fault.begin()
         await asyncio.sleep(self._settings.fault_ms / 1_000)
         for name, fault in begun:
             await fault.end()
-            self._note(name, fault, is_over=True)
+            self._record_fault(name, fault, is_over=True)
 
-    def _note(self, name: str, fault: Fault, *, is_over: bool) -> None:
+    def _record_fault(self, name: str, fault: Fault, *, is_over: bool) -> None:
         now_ms = self._recorder.now_ms()
         self._recorder.record(FaultInjected(now_ms, name, fault.target, is_over))
 
 
 def _open_client() -> aiohttp.ClientSession:
-    # A connection of its own for each call, as callers behind a balancer have.
+    # A new connection for each call, as callers behind a load balancer make.
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     return aiohttp.ClientSession(connector=connector)
 
--- a/tests/soak/own/world.py
+++ b/tests/soak/own/world.py
@@ -1,4 +1,4 @@
-"""Everything around the VMs of a fault run: stand-ins, links and settings."""
+"""Environment of the VMs of a fault run: stand-ins, links and settings."""
 
 from __future__ import annotations
 
@@ -54,13 +54,14 @@
 
 KEY_ID = "soak"
 PEER_SECRET = "a-secret-of-soak-runs-only-0123456789abcdef"
-BOOKING_MS = 300
-"""Long enough that kills and pauses hit bookings that run."""
+BOOKING_DURATION_MS = 300
+"""Long enough that kills and pauses hit running bookings."""
+
 FREE_PORT = ListenAddress(HOST, 0)
 
 
 class WorldSettings(NamedTuple):
-    """Size of a fault run; the defaults are today's Himal Barbell."""
+    """Size of a fault run; the defaults match the smaller deployment."""
 
     n_vms: int = 7
     n_engines: int = 14
@@ -70,7 +71,7 @@
     vm_list_lag_ms: int = 500
 
 
-class _RecordingWatcher(SequenceWatcher):
+class _RecordingObserver(SequenceWatcher):
     """Records the sequences of one engine."""
 
     def __init__(self, upstream: str, recorder: Recorder) -> None:
@@ -78,7 +79,7 @@
         self._recorder = recorder
 
     def note_started(self, attempt_id: str, owner: Owner) -> None:
-        """Record that the engine took a sequence."""
+        """Record that the engine accepted a sequence."""
         self._recorder.record(
             SequenceStarted(
                 self._recorder.now_ms(),
@@ -90,13 +91,13 @@
         )
 
     def note_ended(self, attempt_id: str) -> None:
-        """Record that the engine let a sequence go."""
+        """Record that the engine released a sequence."""
         now_ms = self._recorder.now_ms()
         self._recorder.record(SequenceEnded(now_ms, self._upstream, attempt_id))
 
 
 class World:
-    """Owns stand-ins and links; the programs of the VMs are run by a control.
+    """Owns stand-ins and links; a ``VmControl`` runs the programs of the VMs.
 
     :param choose_port: returns a free port each time
     """
@@ -132,7 +133,7 @@
             await self._start_plain_service(f"desk-{index + 1}")
         for name in self.vm_names:
             await self._open_links(name)
-        await self.roll_bundle()
+        await self.publish_bundle()
         return self
 
     async def __aexit__(
@@ -152,15 +153,15 @@
         """:returns: zone of a VM or upstream, by the number in its name"""
         return zone_of(name, self._settings.zones)
 
-    async def roll_bundle(self) -> None:
-        """Publish the next version."""
+    async def publish_bundle(self) -> None:
+        """Publish the next version of the bundle."""
         self._version += 1
         envelope = sign_bundle(self._build_bundle(), KEY_ID, self._private_key)
         self._recorder.record(BundlePublished(self._recorder.now_ms(), self._version))
         await self.configuration.publish(encode_envelope(envelope))
 
     def build_vm(self, name: str) -> tuple[AgentSettings, GatewaySettings]:
-        """:returns: settings of a fresh start of a VM's programs, on new ports"""
+        """:returns: settings of a new incarnation of a VM's programs, on new ports"""
         agent_port = self._choose_port()
         link = self.agent_links[name]
         link.target_port = agent_port
@@ -193,10 +194,10 @@
         for group in groups:
             others = [vm for vm in self.vm_names if vm not in group]
             for vm in group:
-                self.agent_links[vm].block(others)
+                self.agent_links[vm].block_sources(others)
 
     def set_state(self, name: str, state: VmState | None) -> None:
-        """Change the platform's list for all its readers.
+        """Change the state of a VM in the platform's list, for all its readers.
 
         :param state: new state; ``None`` takes the VM off the list
         """
@@ -208,7 +209,7 @@
             vm_list.set_vms(self.list_vms())
 
     def list_vms(self) -> tuple[VmEntry, ...]:
-        """:returns: the list as it truly is"""
+        """:returns: the correct current list"""
         return tuple(
             VmEntry(
                 name,
@@ -237,19 +238,20 @@
         settings = EngineSettings(
             name, FREE_PORT, (f"{MODEL}:1",), self._settings.profile
         )
-        watcher = _RecordingWatcher(name, self._recorder)
+        watcher = _RecordingObserver(name, self._recorder)
         engine = EngineStandin(settings, watcher=watcher)
         await self._stack.enter_async_context(start_service(engine))
         self.engines[name] = engine
         await self._open_upstream_link(name, engine.port)
 
     async def _start_plain_service(self, name: str) -> None:
-        def note(key: str, digest: str, request_id: str) -> None:
+        def record_execution(key: str, digest: str, request_id: str) -> None:
             now_ms = self._recorder.now_ms()
             self._recorder.record(Executed(now_ms, name, key, digest, request_id))
 
         service = PlainServiceStandin(
-            ServiceSettings(name, FREE_PORT, BOOKING_MS), note_execution=note
+            ServiceSettings(name, FREE_PORT, BOOKING_DURATION_MS),
+            note_execution=record_execution,
         )
         await self._stack.enter_async_context(start_service(service))
         self.services[name] = service
@@ -272,7 +274,7 @@
 
 
 def identify_peer(head: bytes) -> str:
-    """:returns: VM that a peer message's first bytes name; ``""`` if none"""
+    """:returns: VM that the seal in a message's first bytes names; ``""`` if none"""
     prefix = SEAL_HEADER.lower().encode() + b":"
     for line in head.split(b"\r\n"):
         if line.lower().startswith(prefix):
--- a/tests/soak/process_control.py
+++ b/tests/soak/process_control.py
@@ -1,4 +1,4 @@
-"""Runs the programs of VMs as processes that the run owns."""
+"""Runs the gateway and agent of each VM as child processes of the run."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 class ProcessControl(VmControl):
-    """Starts each program as a process; ends them all when the context closes.
+    """Starts each program as a process and ends all of them on exit.
 
-    :param directory: receives settings and logs
+    :param directory: directory for settings files
     """
 
     def __init__(self, directory: Path) -> None:
@@ -51,7 +51,7 @@
             vm.agent.end()
 
     async def start(self, agent: AgentSettings, gateway: GatewaySettings) -> None:
-        """Start both programs of a VM; returns when both listen."""
+        """Start both programs of a VM and wait until both listen."""
         processes = VmProcesses(
             self._build("agent", agent.vm, agent, agent.listen),
             self._build("gateway", gateway.vm, gateway, gateway.listen),
@@ -62,12 +62,12 @@
         await asyncio.gather(*(wait_listening(p.address) for p in processes))
 
     async def kill(self, vm: str) -> None:
-        """End both programs without notice."""
+        """Kill both programs."""
         for process in self._vms[vm]:
             process.end()
 
     async def stop(self, vm: str) -> int:
-        """Stop both programs gracefully, the gateway first."""
+        """Stop both programs gracefully (SIGTERM), the gateway first."""
         processes = self._vms[vm]
         for process in (processes.gateway, processes.agent):
             process.send(signal.SIGTERM)
@@ -76,12 +76,12 @@
         return exit_code
 
     async def pause(self, vm: str) -> None:
-        """Let both programs stand still."""
+        """Suspend both programs (SIGSTOP)."""
         for process in self._vms[vm]:
             process.send(signal.SIGSTOP)
 
     async def resume(self, vm: str) -> None:
-        """Let both programs run on."""
+        """Resume both programs (SIGCONT)."""
         for process in self._vms[vm]:
             process.send(signal.SIGCONT)
 
--- a/tests/soak/test_fault_run.py
+++ b/tests/soak/test_fault_run.py
@@ -1,4 +1,4 @@
-"""A short fault run on real processes, and proof that a faulty VM is found."""
+"""Short fault runs on real processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 async def run_fault(directory: Path, fault_names: tuple[str, ...]) -> RunResult:
     settings = RunSettings(
         fault_names,
-        random_state=1,
+        seed=1,
         world=SMALL_WORLD,
         requests_per_second=20.0,
         before_ms=500.0,
@@ -31,11 +31,11 @@
 
 
 @pytest.mark.parametrize("fault_name", ["kill_vm", "partition"])
-def test_fault_run_keeps_every_promise(tmp_path: Path, fault_name: str) -> None:
-    """A VM dies, or agents lose each other, while members book and coaches ask.
+def test_fault_run_violates_no_invariant(tmp_path: Path, fault_name: str) -> None:
+    """A VM is killed, or agents are partitioned, under bookings and model calls.
 
-    Members resend through other VMs; nothing may run twice, get lost or be
-    answered with another's answer.
+    Callers resend bookings through other VMs; no call may run twice, get lost or
+    receive the answer to another call.
     """
     result = uvloop.run(run_fault(tmp_path, (fault_name,)))
     assert result.violations == []
--- a/tests/soak/test_link.py
+++ b/tests/soak/test_link.py
@@ -1,4 +1,4 @@
-"""Tests of links that can be cut."""
+"""Tests of links that can be cut or silenced."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import uvloop
 from tests.soak.own import Link, LinkMode
 
-WAIT_S = 0.2
+TIMEOUT_S = 0.2
 
 
 async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -22,41 +22,41 @@
     return await asyncio.open_connection("127.0.0.1", port)
 
 
-async def ask(
-    flow: tuple[asyncio.StreamReader, asyncio.StreamWriter], data: bytes
+async def exchange(
+    streams: tuple[asyncio.StreamReader, asyncio.StreamWriter], data: bytes
 ) -> bytes:
-    flow[1].write(data)
-    async with asyncio.timeout(WAIT_S):
-        return await flow[0].read(100)
+    streams[1].write(data)
+    async with asyncio.timeout(TIMEOUT_S):
+        return await streams[0].read(100)
 
 
-async def run_silence() -> None:
+async def run_silenced_connections() -> None:
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     async with server, Link(server.sockets[0].getsockname()[1]) as link:
-        flow = await connect(link)
-        assert await ask(flow, b"one") == b"one"
-        link.lose_flows()
+        streams = await connect(link)
+        assert await exchange(streams, b"one") == b"one"
+        link.silence_open_connections()
         with pytest.raises(TimeoutError):
-            await ask(flow, b"two")
-        assert await ask(await connect(link), b"three") == b"three"
+            await exchange(streams, b"two")
+        assert await exchange(await connect(link), b"three") == b"three"
         link.set_mode(LinkMode.CUT)
-        assert await ask(await connect(link), b"four") == b""
+        assert await exchange(await connect(link), b"four") == b""
 
 
-async def run_block() -> None:
+async def run_blocked_source() -> None:
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     async with server, Link(port, identify=lambda head: head.decode()) as link:
-        link.block(["entry-1"])
-        assert await ask(await connect(link), b"entry-2") == b"entry-2"
+        link.block_sources(["entry-1"])
+        assert await exchange(await connect(link), b"entry-2") == b"entry-2"
         blocked = await connect(link)
         with pytest.raises(TimeoutError):
-            await ask(blocked, b"entry-1")
+            await exchange(blocked, b"entry-1")
 
 
-def test_link_loses_open_flows_and_serves_new_ones() -> None:
-    uvloop.run(run_silence())
+def test_link_silences_open_connections_and_serves_new_ones() -> None:
+    uvloop.run(run_silenced_connections())
 
 
-def test_link_swallows_the_bytes_of_blocked_sources() -> None:
-    uvloop.run(run_block())
+def test_link_drops_the_bytes_of_blocked_sources() -> None:
+    uvloop.run(run_blocked_source())
