--- a/tests/soak/entry/world.py
+++ b/tests/soak/entry/world.py
@@ -69,7 +69,7 @@
 class SoakWorld:
     """Owns the store, replicas, links and VMs as a context manager.
 
-    :param directory: directory for settings files
+    :param directory: directory for settings and logs
     """
 
     def __init__(self, directory: Path, *, seed: int, n_vms: int) -> None:
--- a/tests/soak/own/faults/upstreams.py
+++ b/tests/soak/own/faults/upstreams.py
@@ -69,7 +69,7 @@
     """Engines send duplicate, delayed, swapped and foreign chunks."""
 
     async def begin(self) -> None:
-        """Enable a random combination of these faults on each engine."""
+        """Enable foreign chunks and a random choice of the rest on each engine."""
         for engine in self._fleet.world.engines.values():
             engine.faults = EngineFaults(
                 doubles_chunks=self._random_state.random() < 0.5,
--- a/tests/soak/own/report.py
+++ b/tests/soak/own/report.py
@@ -31,8 +31,8 @@
 
     :param n_broken: calls whose connection broke, allowed only if their VM was killed
     :param n_lost: calls that never ended, ended too late, or broke off without a kill
-    :param n_doubled: bookings that ran more than once
-    :param n_false_refusals: calls refused as not run that had run
+    :param n_doubled: executions of a booking after its first
+    :param n_false_refusals: calls refused with ``ran: no`` that reached an upstream
     :param worst_ttft_ms: longest time to the first token
     :param recovery_ms: from the end of the last fault until the last call was sent
         that got no answer; 0 if there was none
--- a/tests/soak/own/run.py
+++ b/tests/soak/own/run.py
@@ -38,7 +38,7 @@
     :param seed: seed of targets and arrivals
     :param requests_per_second: rate of bookings and model calls together
     :param before_ms: time under load before the first fault
-    :param fault_ms: time between the start of the last fault and its end
+    :param fault_ms: time from the start of the last fault until the faults end
     :param after_ms: time under load after the faults
     :param settle_ms: time to settle after the last call, before memory is recorded
     """
--- a/tests/soak/process_control.py
+++ b/tests/soak/process_control.py
@@ -30,7 +30,7 @@
 class ProcessControl(VmControl):
     """Starts each program as a process and ends all of them on exit.
 
-    :param directory: directory for settings files
+    :param directory: directory for settings and logs
     """
 
     def __init__(self, directory: Path) -> None:
