--- a/src/quetzaldeck/agent/claim_part.py
+++ b/src/quetzaldeck/agent/claim_part.py
@@ -1,11 +1,11 @@
-"""The agent's part in claims: its voter, its desk, and how they leave."""
+"""The agent's part in claims: its voters, its claimant, and how they leave."""
 
 from __future__ import annotations
 
 from contextlib import AsyncExitStack
 from typing import TYPE_CHECKING
 
-from quetzaldeck.agent.claim_desk import ClaimDesk
+from quetzaldeck.agent.claim_coordinator import ClaimCoordinator
 from quetzaldeck.agent.claim_peers import ClaimPeers
 from quetzaldeck.agent.voter_groups import VoterGroups
 from quetzaldeck.agent.voter_task import VoterTask
@@ -24,12 +24,12 @@
 
 
 class ClaimPart:
-    """Runs the voter for as long as the context is open.
+    """Runs the voters of this agent while the context is open.
 
-    :param identity: this VM and this start of its agent
+    :param identity: this VM and the incarnation of its agent
     :param channel: authenticated messages to peers
-    :param read_view: which VMs there are, as of now
-    :param find_member: what is believed of one other VM
+    :param read_view: current membership
+    :param find_member: current state of one other VM
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._peers = ClaimPeers(channel, read_view, find_member)
         self.groups = VoterGroups(identity, clock, settings, read_view=read_view)
         self._task = VoterTask(self.groups, self._peers, settings, metrics)
-        self.desk = ClaimDesk(
+        self.coordinator = ClaimCoordinator(
             vm=identity.vm,
             groups=self.groups,
             peers=self._peers,
@@ -72,11 +72,11 @@
         await self._stack.aclose()
 
     async def hand_over(self) -> None:
-        """Give the answers kept to peers; called once no call is in progress."""
-        await self.desk.holds.hand_over()
+        """Copy the answers kept here to peers; called when no call is in progress."""
+        await self.coordinator.holds.hand_over()
 
     async def leave(self) -> None:
-        """Have the peers go on without this VM's votes."""
+        """Have this VM's voters removed from the voter sets."""
         await self._task.leave()
 
 
--- a/src/quetzaldeck/bench/bench_attempt.py
+++ b/src/quetzaldeck/bench/bench_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt on its way through the bench."""
+"""State of one simulated attempt."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
     from quetzaldeck.bench.bench_group import BenchGroup
     from quetzaldeck.bench.bench_vm import BenchVm
     from quetzaldeck.bench.call import Call
-    from quetzaldeck.bench.spread_read import SpreadRead
+    from quetzaldeck.bench.split_prefill import SplitPrefill
     from quetzaldeck.decisions import Dispatch
 
 
 class BenchAttempt:
-    """What an upstream is asked to run, and who asked.
+    """A request sent to an upstream, and the VM that sent it.
 
-    :param n_delivered: tokens that the caller has from earlier attempts
+    :param n_delivered: tokens that the caller received from earlier attempts
     """
 
-    # has_begun: an event was written, so that the request runs; group: the engines that
-    # set memory aside; spread: the engines that read a part each.
+    # has_begun: an event was written, so the request counts as running; group: the
+    # engines that reserve memory; split: the engines that prefill a part each.
 
     def __init__(
         self, vm: BenchVm, call: Call, dispatch: Dispatch, n_delivered: int = 0
@@ -32,7 +32,7 @@
         self.is_silent = False
         self.has_begun = False
         self.group: BenchGroup | None = None
-        self.spread: SpreadRead | None = None
+        self.split: SplitPrefill | None = None
         self.watch: AttemptWatch | None = None
 
     @property
--- a/src/quetzaldeck/bench/summary.py
+++ b/src/quetzaldeck/bench/summary.py
@@ -1,4 +1,4 @@
-"""What callers received in one run, as figures."""
+"""Statistics of what callers received."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class ClassSummary(NamedTuple):
-    """Figures of the calls of one length class.
+    """Statistics of the calls of one length class.
 
-    A call that got no whole answer counts with its deadline, or a policy would look
-    fast by failing the slow ones.
+    A call without a whole answer counts with its deadline as its time. Otherwise a
+    policy would look fast by failing slow calls.
 
     :param ttft_ms: time to first token
-    :param slowdown: time to first token against that on an idle fleet
-    :param total_slowdown: time to the last token against that on an idle fleet
+    :param slowdown: time to first token relative to that on an idle fleet
+    :param total_slowdown: time to last token relative to that on an idle fleet
     """
 
     n: int
@@ -44,15 +44,15 @@
 
 
 class Summary(NamedTuple):
-    """Figures of one run.
+    """Statistics of one run, or of several runs that differ in their seed.
 
-    :param all_ttft_ms: time to first token over the model calls of all lengths
-    :param goodput_per_s: model calls answered whole, by seconds of arrivals
-    :param good_tokens_per_s: prompt and answer tokens of these calls
+    :param all_ttft_ms: time to first token of model calls of all lengths
+    :param goodput_per_s: model calls answered whole, per second of arrivals
+    :param good_tokens_per_s: prompt and answer tokens of these calls, per second
     :param refusals: refusals and failures by reason and ``ran``
-    :param n_false_refusals: calls told ``ran: no`` that did run
-    :param n_doubled: calls that may not be repeated and ran more than once
-    :param n_late: admitted calls that failed by their deadline
+    :param n_false_refusals: calls refused with ``ran: no`` although they ran
+    :param n_doubled: calls that are not repeatable and ran more than once
+    :param n_late: calls that failed at their deadline
     """
 
     classes: dict[str, ClassSummary]
@@ -68,19 +68,19 @@
 
 
 def summarise(*results: RunResult) -> Summary:
-    """:returns: figures of runs that differ only in their seed, taken together"""
+    """:returns: combined statistics of runs that differ only in their seed"""
     calls = [call for result in results for call in result.calls]
     groups: dict[str, list[CallResult]] = {name: [] for name in CLASS_NAMES}
     for item in calls:
-        groups[class_of(item)].append(item)
+        groups[length_class_of(item)].append(item)
     shape = results[0].scenario.shape
-    good = [r for r in calls if r.call.model and r.outcome is Outcome.ANSWERED]
+    answered = [r for r in calls if r.call.model and r.outcome is Outcome.ANSWERED]
     span_s = sum(_last_arrival_ms(result) for result in results) / MS_PER_SECOND
-    n_tokens = sum(r.call.n_prompt_tokens + r.call.n_answer_tokens for r in good)
+    n_tokens = sum(r.call.n_prompt_tokens + r.call.n_answer_tokens for r in answered)
     return Summary(
         {name: _summarise_class(group, shape) for name, group in groups.items()},
         compute_tails(censored_ttft_ms(r) for r in calls if r.call.model),
-        len(good) / span_s,
+        len(answered) / span_s,
         n_tokens / span_s,
         dict(sorted(_count_reasons(calls).items())),
         sum(r.is_false_refusal for r in calls),
@@ -95,47 +95,49 @@
     return max((r.call.at_ms for r in result.calls), default=MS_PER_SECOND)
 
 
-def class_of(result: CallResult) -> str:
-    """:returns: name of the class that a call counts in"""
+def length_class_of(result: CallResult) -> str:
+    """:returns: length class of a model call, or ``PLAIN``"""
     if not result.call.model:
         return PLAIN
     return classify_length(result.call.n_prompt_tokens).value
 
 
 def censored_ttft_ms(result: CallResult) -> float:
-    """:returns: time to first token, the deadline if there is no whole answer"""
+    """:returns: time to first token, or the deadline if there is no whole answer"""
     if result.outcome is not Outcome.ANSWERED or result.ttft_ms is None:
         return result.call.deadline_ms
     return result.ttft_ms
 
 
 def censored_total_ms(result: CallResult) -> float:
-    """:returns: time to the end, the deadline if there is no whole answer"""
+    """:returns: time to the end, or the deadline if there is no whole answer"""
     if result.outcome is not Outcome.ANSWERED or result.total_ms is None:
         return result.call.deadline_ms
     return result.total_ms
 
 
-def idle_ms(result: CallResult, shape: FleetShape) -> tuple[float, float]:
-    """:returns: times to first and last token on an idle fleet, in milliseconds"""
+def unloaded_ms(result: CallResult, shape: FleetShape) -> tuple[float, float]:
+    """:returns: times to first and last token on an idle fleet"""
     call = result.call
     if not call.model:
-        alone = shape.service_ms + 2 * shape.latency_ms
-        return alone, alone
-    first, last = _run_alone(shape.engine, call.n_prompt_tokens, call.n_answer_tokens)
+        unloaded = shape.service_ms + 2 * shape.latency_ms
+        return unloaded, unloaded
+    first, last = _run_unloaded(
+        shape.engine, call.n_prompt_tokens, call.n_answer_tokens
+    )
     return first + 2 * shape.latency_ms, last + 2 * shape.latency_ms
 
 
 def _summarise_class(group: SequenceOf[CallResult], shape: FleetShape) -> ClassSummary:
-    alone = [idle_ms(item, shape) for item in group]
+    unloaded = [unloaded_ms(item, shape) for item in group]
     ttft = [censored_ttft_ms(item) for item in group]
     total = [censored_total_ms(item) for item in group]
     return ClassSummary(
         len(group),
         sum(item.outcome is Outcome.ANSWERED for item in group),
         compute_tails(ttft),
-        compute_tails(t / a[0] for t, a in zip(ttft, alone, strict=True)),
-        compute_tails(t / a[1] for t, a in zip(total, alone, strict=True)),
+        compute_tails(t / a[0] for t, a in zip(ttft, unloaded, strict=True)),
+        compute_tails(t / a[1] for t, a in zip(total, unloaded, strict=True)),
     )
 
 
@@ -144,11 +146,11 @@
 
 
 @cache
-def _run_alone(
+def _run_unloaded(
     profile: EngineProfile, n_prompt_tokens: int, n_answer_tokens: int
 ) -> tuple[float, float]:
-    roomy = profile._replace(kv_tokens=n_prompt_tokens + n_answer_tokens)
-    model = EngineModel(roomy)
+    enlarged = profile._replace(kv_tokens=n_prompt_tokens + n_answer_tokens)
+    model = EngineModel(enlarged)
     model.submit(
         Sequence(
             "alone", n_prompt_tokens=n_prompt_tokens, max_output_tokens=n_answer_tokens
@@ -169,7 +171,7 @@
     "ClassSummary",
     "Summary",
     "censored_ttft_ms",
-    "class_of",
-    "idle_ms",
+    "length_class_of",
     "summarise",
+    "unloaded_ms",
 )
--- a/tests/soak/own/world.py
+++ b/tests/soak/own/world.py
@@ -36,7 +36,7 @@
     PlainServiceStandin,
     VmListStandin,
 )
-from quetzaldeck.standin.sequence_watcher import SequenceWatcher
+from quetzaldeck.standin.sequence_observer import SequenceObserver
 from quetzaldeck.standin.settings import (
     ConfigurationServiceSettings,
     EngineSettings,
@@ -71,7 +71,7 @@
     vm_list_lag_ms: int = 500
 
 
-class _RecordingObserver(SequenceWatcher):
+class _RecordingObserver(SequenceObserver):
     """Records the sequences of one engine."""
 
     def __init__(self, upstream: str, recorder: Recorder) -> None:
@@ -238,8 +238,8 @@
         settings = EngineSettings(
             name, FREE_PORT, (f"{MODEL}:1",), self._settings.profile
         )
-        watcher = _RecordingObserver(name, self._recorder)
-        engine = EngineStandin(settings, watcher=watcher)
+        observer = _RecordingObserver(name, self._recorder)
+        engine = EngineStandin(settings, observer=observer)
         await self._stack.enter_async_context(start_service(engine))
         self.engines[name] = engine
         await self._open_upstream_link(name, engine.port)
@@ -251,7 +251,7 @@
 
         service = PlainServiceStandin(
             ServiceSettings(name, FREE_PORT, BOOKING_DURATION_MS),
-            note_execution=record_execution,
+            on_execution=record_execution,
         )
         await self._stack.enter_async_context(start_service(service))
         self.services[name] = service
