--- a/src/quetzaldeck/peers/metrics.py
+++ b/src/quetzaldeck/peers/metrics.py
@@ -24,7 +24,7 @@
         self._registry = registry
         self._refused = Counter(
             "quetzaldeck_agent_peer_refused",
-            "Peer messages that were refused, by reason",
+            "Peer messages that changed nothing, by reason",
             ["why"],
             registry=registry,
         )
