--- a/src/quetzaldeck/decisions/groups/bounds.py
+++ b/src/quetzaldeck/decisions/groups/bounds.py
@@ -11,17 +11,18 @@
     :param unreserved_share: share of an engine's memory that reservations must leave
         free, so that every member can still serve short requests
     :param prefers_zone: whether a group within one availability zone is preferred to
-        one with more free memory; not where transfers between zones are fast
-    :param min_members: members of a group if the pool has as many. Small parts fit
-        beside what the members hold already, where two halves would not.
+        one with more free memory; false where transfers between zones are fast
+    :param min_members: fewest members of a group, if the pool has that many engines.
+        Small parts fit into the free memory of busy engines where two halves of the
+        prompt would not.
     :param max_members: most members of a group; transfers grow with its square
     :param margin: memory reserved per estimated prompt token
     :param max_pending: pending reservations of one VM; more would only hold memory
         while they wait for each other
     :param aged_ms: wait after which a long request gets a reservation on one engine;
-        otherwise short requests fill each gap before it is large enough
-    :param min_aged_share: share of an engine's memory from which a request counts as
-        long for that
+        otherwise short requests take freed memory before there is enough of it
+    :param min_aged_share: share of an engine's memory that a request must need at least
+        to get such a reservation
     :param max_wait_ms: longest wait for one member, while the members before it are
         reserved. Giving up loses the position in the engines' queues, so that a short
         wait makes the longest prompts fail.
@@ -41,9 +42,9 @@
     max_wait_share: float = 0.5
     poll_interval_ms: float = 100.0
 
-    def member_wait_ms(self, left_ms: float, n_members: int) -> float:
+    def member_wait_ms(self, remaining_ms: float, n_members: int) -> float:
         """:returns: longest wait for each member of a group"""
-        return min(self.max_wait_ms, left_ms * self.max_wait_share / n_members)
+        return min(self.max_wait_ms, remaining_ms * self.max_wait_share / n_members)
 
 
 __all__ = ("GroupBounds",)
--- a/src/quetzaldeck/decisions/groups/planner.py
+++ b/src/quetzaldeck/decisions/groups/planner.py
@@ -1,7 +1,7 @@
 """Chooses groups of engines for prompts that one engine cannot hold.
 
 Load pattern: one prompt in fifty is over 100 K tokens, and the longest need more memory
-than two engines have, on the fleet that serves check-ins. Without groups these prompts
+than two engines have, on the fleet that serves short ones. Without groups these prompts
 are refused. With groups that are reserved member by member in any order, two prompts
 can each hold half of the fleet and wait for the other forever.
 
@@ -51,7 +51,7 @@
         return request.n_kv_tokens > largest
 
     def can_hold(self, request: Request, pool: Sequence[UpstreamState]) -> bool:
-        """:returns: whether the pool could hold the request if it were empty"""
+        """:returns: whether the pool could hold the request if it held no others"""
         if any(request.n_kv_tokens <= state.spec.kv_tokens for state in pool):
             return True
         return self._largest_group(request, pool) is not None
@@ -59,7 +59,9 @@
     def plan(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> GroupPlan | None:
-        """Choose as few members as possible, in one availability zone if one suffices.
+        """Choose as few members as the bounds allow.
+
+        They are in one availability zone if the bounds prefer that and a zone suffices.
 
         :param pool: upstreams that accept new work
         :returns: the plan; ``None`` if the pool cannot hold the request
--- a/src/quetzaldeck/decisions/head_of_line/api.py
+++ b/src/quetzaldeck/decisions/head_of_line/api.py
@@ -17,7 +17,7 @@
 
 
 class HeadOfLinePolicy(ABC):
-    """Restricts the engines of a request before the placement policy chooses.
+    """Restricts the upstreams of a request before the placement policy chooses.
 
     This protects short requests from waiting behind long prefills.
     """
@@ -33,7 +33,7 @@
     ) -> bool:
         """:returns: whether a request may be placed now; otherwise it waits
 
-        :param pool: engines that serve the model
+        :param pool: upstreams that serve the target of the request
         """
         return True
 
@@ -43,7 +43,7 @@
     ) -> Sequence[UpstreamState]:
         """:returns: the preferred candidates; empty if the request should wait
 
-        :param candidates: engines that serve the model and have capacity
+        :param candidates: upstreams that serve the target and have capacity
         """
 
     def restrict_helpers(
--- a/src/quetzaldeck/decisions/head_of_line/demand.py
+++ b/src/quetzaldeck/decisions/head_of_line/demand.py
@@ -6,7 +6,7 @@
 
 TIME_CONSTANT_MS = 30_000.0
 """Long enough for some 40 arrivals at one of seven VMs; short enough that the capacity
-reserved for short requests is given up within a minute after the last one."""
+reserved for short requests is released within a minute after the last one."""
 
 
 class ShortDemand:
--- a/src/quetzaldeck/decisions/head_of_line/lanes.py
+++ b/src/quetzaldeck/decisions/head_of_line/lanes.py
@@ -33,15 +33,16 @@
 reports."""
 
 MAX_OVERFLOW_TOKENS = 8_192
-"""Most prefill tokens of one VM on a more heavily loaded engine, for requests that
-overtake its load: short ones overtake all, medium ones only a long prompt."""
+"""Most prefill tokens of short and medium requests that one VM queues on an engine with
+more than :data:`MAX_LIGHT_LOAD_TOKENS`. Only requests that overtake the load are sent
+there: short ones overtake any, medium ones only a long prompt."""
 
 PRESSURE_GAIN = 2.0
 """Growth of the reserved capacity when short requests find no lightly loaded engine at
-all. Their share of the work reflects what they need only while the fleet is not
-full."""
+all. Their share of the arriving work shows the capacity they need only while the fleet
+is not full."""
 PRESSURE_MS = 10_000.0
-"""Averaging time of that pressure: several prefills of long prompts."""
+"""Averaging time of that pressure: the time of several prefills of long prompts."""
 
 MAX_RANK = 9
 """Least urgent rank that upstreams accept."""
@@ -60,8 +61,8 @@
 
     Load pattern: one prompt in fifty is over 100 K tokens and brings half of the work.
     On an engine that prefills it, every step takes 0.1 to 0.6 s, and requests of equal
-    priority wait until it is done, up to minutes. Placed without restriction, a few
-    such prompts block short requests on most engines.
+    priority wait until the prefill is done, up to minutes. Placed without restriction,
+    a few such prompts block short requests on most engines.
 
     - An engine runs one long prefill at a time. A second one waits in the gateway,
       from where it can go to whichever engine is free first.
@@ -169,22 +170,23 @@
 
 
 def _has_long(state: UpstreamState) -> bool:
-    """:returns: whether a long prefill seems to run; reports give only the sum"""
+    """:returns: whether a long prefill probably runs; reports give only sums"""
     return state.n_prefill_tokens() > MAX_MEDIUM_TOKENS
 
 
 def _least_busy(states: list[UpstreamState]) -> list[UpstreamState]:
-    """:returns: the engines with the fewest requests, whose answers a prefill slows
+    """:returns: the engines with the fewest requests, or one more
 
-    Every step of a long prefill is long: an answer that is being generated on the same
-    engine gets a token every 0.1 to 0.6 s instead of every 10 ms.
+    A long prefill slows the answers of all other requests on its engine. Every step of
+    a long prefill is long: an answer that is being generated on the same engine gets a
+    token every 0.1 to 0.6 s instead of every 10 ms.
     """
     fewest = min((state.n_requests() for state in states), default=0)
     return [state for state in states if state.n_requests() <= fewest + 1]
 
 
 def _n_own_tokens(state: UpstreamState, max_tokens: int) -> int:
-    """:returns: unfinished prefill of this VM's prompts of up to ``max_tokens``"""
+    """:returns: tokens left to prefill of this VM's prompts of up to ``max_tokens``"""
     return sum(
         attempt.n_prefill_tokens
         for attempt in state.in_flight
--- a/src/quetzaldeck/decisions/head_of_line/reading_lane.py
+++ b/src/quetzaldeck/decisions/head_of_line/reading_lane.py
@@ -24,13 +24,13 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 MAX_PART_SHARE_OF_GAP = 0.25
-"""Share of the shortest gap between tokens for which a part may delay the running
-sequences of an engine when a prompt is divided among as many engines as possible;
-prompts above it are long. Two or three long prompts at a time then still leave all
-short answers within their gaps."""
+"""A prompt is long if, divided among as many engines as possible, each part would delay
+the running sequences of its engine for more than this share of the shortest gap between
+tokens. Two or three prompts of that length at a time then still leave all short answers
+within their gaps."""
 
 DEFAULT_GAP_MS = 250.0
-"""Shortest gap between tokens as long as no request has stated one; a reading pace."""
+"""Gap between tokens that is assumed until a request requires one; a reader's pace."""
 
 PREFILL_SHARE_OF_TARGET = 0.3
 """Share of the time-to-first-token target within which the lane should prefill all its
@@ -45,7 +45,7 @@
 The rest is for requests that other VMs send at the same time and for long prompts."""
 
 MAX_PACKED_BACKLOG_MS = 40.0
-"""Most prefill that may be ahead of a short request: about one pass of a generating
+"""Longest prefill that may be ahead of a short request: about one pass of a generating
 engine, so that it hardly affects the time to first token."""
 
 MAX_RESERVED_SHARE = 0.75
@@ -76,26 +76,28 @@
     100,000 to 600,000. Prefill time grows with the square of the length: a prompt of
     270,000 tokens takes six seconds of one engine. Spread over all engines, it stops
     every running answer for a third of a second, three such prompts for a second, so
-    that all short answers are late. On a few engines its first token is in time as
-    well, and only short answers there are affected, ideally none.
+    that all short answers are late. Prefilled by a few engines, the long prompt has its
+    first token in time as well, and only short answers on these are late, ideally none.
 
     Engines are ordered by a hash of their names, so that all VMs agree on the order
-    without messages. VMs tell each other what runs on the engines.
-
-    - Prompts whose parts delay nobody when divided among engines are spread freely. A
-      request can name only a limited number of engines, however many there are.
-    - Longer prompts go to a lane: the engines with the fewest running answers, as many
-      as are needed to prefill within the target what all VMs have sent, plus idle
-      engines. Generating engines are left out while the others meet the target without
-      them: an earlier first token of one prompt would delay every answer there.
+    without messages. VMs send each other their loads on the engines.
+
+    - Prompts that are not long may be divided among all engines, since their parts
+      delay no answer beyond its gap. A request can name only a limited number of
+      helpers, so beyond that number further engines do not raise the length limit.
+    - Long prompts go to a lane: the engines with the fewest running answers, as many as
+      are needed to prefill the backlog of all VMs and the prompt within its target,
+      plus idle engines. Engines that generate answers are left out if the others meet
+      the target: using them would delay every answer there only to get one prompt an
+      earlier first token.
     - Some engines are always reserved for answers, as many as the running answers need.
-      A prompt that all engines prefill to be in time delays every answer; on two thirds
-      of them, only the prompt itself is late.
+      If all engines prefilled a prompt so that it is in time, every answer would be
+      late; on two thirds of them, only the prompt itself is late.
     - Long prompts are queued. Engines interleave their prefills, so that prompts which
       start together all finish last. A prompt starts when the lane can prefill its
-      backlog and the prompt within a share of the target: shorter ones fit in earlier,
-      and VMs need not ask each other. The allowed backlog grows with the wait, so that
-      no prompt waits forever.
+      backlog and the prompt within a share of the target: shorter prompts start
+      earlier, and VMs need not ask each other. The allowed backlog grows with the wait,
+      so that no prompt waits forever.
     - Short requests start at the last engines and fill one before the next is used: an
       engine generates eight answers about as fast as one.
     """
@@ -129,7 +131,7 @@
     def may_start(
         self, request: Request, pool: Sequence[UpstreamState], now_ms: float
     ) -> bool:
-        """:returns: whether the lane has capacity for another long prompt"""
+        """:returns: whether a prompt is not long, or the lane has capacity for it"""
         figures = self._figures.get(request.model)
         if figures is None or not self._is_long(request, figures):
             return True
@@ -241,18 +243,18 @@
         """:returns: some of the last engines with capacity for a short request"""
         max_requests = max(1.0, figures.n_slots * MAX_PACKED_SHARE)
         n_by_state = [(state, state.n_answers(now_ms)) for state in pool]
-        with_room = [
+        with_capacity = [
             state
             for state, n_answers in n_by_state
             if n_answers < max_requests
             and state.prefill_backlog_ms(now_ms) <= MAX_PACKED_BACKLOG_MS
         ]
-        with_room.sort(key=lambda state: -self._position(request, state))
+        with_capacity.sort(key=lambda state: -self._position(request, state))
         # The pool may be a sample of a larger one.
         n_engines = len(self._positions.get(request.model, ()))
         mean = sum(n for _, n in n_by_state) / max(1, len(n_by_state))
         return draw_candidates(
-            request, with_room, n_answers=mean * n_engines, n_engines=n_engines
+            request, with_capacity, n_answers=mean * n_engines, n_engines=n_engines
         )
 
     def _position(self, request: Request, state: UpstreamState) -> int:
@@ -261,7 +263,7 @@
 
 
 def _target_ms(request: Request, now_ms: float) -> float:
-    """:returns: time-to-first-token target of a request, or else its time left"""
+    """:returns: time-to-first-token target of a request, else time to its deadline"""
     return max(MIN_TARGET_MS, request.target_ms or request.deadline_ms - now_ms)
 
 
--- a/src/quetzaldeck/decisions/head_of_line/short_candidates.py
+++ b/src/quetzaldeck/decisions/head_of_line/short_candidates.py
@@ -1,7 +1,7 @@
 """Candidates of a short request, chosen for many VMs that place concurrently.
 
 Load pattern: a hundred short requests a second at two hundred VMs. Each VM learns some
-50 ms late what the others placed, so that several requests are placed on the same view
+50 ms late what the others placed, so that several requests are placed by the same view
 of the load. If all VMs chose among the same few engines, the best of them would get
 three or four requests in that time. The last of these finds no slot, waits until an
 answer ends, and is late although most engines have slots.
--- a/src/quetzaldeck/decisions/memory/ledger.py
+++ b/src/quetzaldeck/decisions/memory/ledger.py
@@ -76,7 +76,10 @@
 
     @property
     def n_unreported_prefill_tokens(self) -> int:
-        """:returns: prompt tokens of these attempts that are not yet prefilled"""
+        """:returns: prompt tokens of attempts that the last report cannot include
+
+        Only tokens that are not yet prefilled count.
+        """
         return self._since_report.n_prefill_tokens
 
     def reserve(self, attempt: InFlightAttempt) -> None:
@@ -141,7 +144,7 @@
             self._since_report.add(prefilled)
 
     def note_report(self, reported_ms: float) -> None:
-        """Process the time at which the figures of a load report were measured."""
+        """Mark attempts that started after a load report was measured as unreported."""
         self._unreported = {
             attempt_id: attempt
             for attempt_id, attempt in self._attempts.items()
--- a/src/quetzaldeck/decisions/placement/api.py
+++ b/src/quetzaldeck/decisions/placement/api.py
@@ -30,7 +30,7 @@
         self._availability_zone = availability_zone
 
     max_helpers = 0
-    """Most helpers of one request; 0 if the policy does not spread prompts."""
+    """Most helpers of one request; 0 if the policy never splits a prompt."""
 
     @property
     def random_state(self) -> random.Random:
@@ -43,8 +43,8 @@
     ) -> str | None:
         """Choose among upstreams that serve the model and have capacity.
 
-        :param candidates: not empty; excludes leaving upstreams and, where others are
-            left, those that failed the request
+        :param candidates: not empty; excludes leaving upstreams, and those that failed
+            the request if there are others
         :returns: name of the upstream; ``None`` to keep the request waiting
         """
 
@@ -65,21 +65,24 @@
         return ()
 
     def list_preferred(self, request: Request) -> tuple[str, ...]:
-        """:returns: upstreams that sampling a large pool must not leave out"""
+        """:returns: upstreams to include when a large pool is sampled"""
         return ()
 
-    def note_answer(  # noqa: B027 - most policies learn nothing
+    def note_answer(  # noqa: B027 - most policies keep no index
         self, request: Request, state: UpstreamState
     ) -> None:
-        """Record cached prefixes, at the first token of an answer.
+        """Record the cached prefixes of a request at the first token of its answer.
 
         :param state: the upstream that sent the first token
         """
 
-    def note_cache_events(  # noqa: B027 - most policies learn nothing
+    def note_cache_events(  # noqa: B027 - most policies keep no index
         self, events: CacheEvents
     ) -> None:
-        """Process cache events; may be late, incomplete or of an old incarnation."""
+        """Process cache events of an upstream.
+
+        :param events: may be late, incomplete or from an old incarnation
+        """
 
 
 placement_policies: Registry[PlacementPolicy] = Registry("placement policy")
--- a/src/quetzaldeck/decisions/placement/candidates.py
+++ b/src/quetzaldeck/decisions/placement/candidates.py
@@ -21,10 +21,10 @@
 """Candidates in the sample that suffice; with fewer the whole pool is searched."""
 
 PROBE_OVERDUE_MS = 5_000.0
-"""Time overdue after which a probe may be a repeatable request of any length."""
+"""How long a probe is overdue before a repeatable request of any length may make it."""
 
 PROBE_ANY_REQUEST_MS = 60_000.0
-"""Time overdue after which even a request that must not be repeated may probe."""
+"""How long a probe is overdue before even an unrepeatable request may make it."""
 
 _PROBE_CLASSES = frozenset((LengthClass.SHORT, LengthClass.MEDIUM))
 
@@ -52,13 +52,13 @@
     ) -> UpstreamState | None:
         """:returns: an ejected upstream that this request should probe
 
-        A probe may cost the request an attempt, so short requests that may be repeated
-        go first. If none arrive, other requests probe after a delay; otherwise the
-        upstream would stay ejected.
+        A probe may cost the request an attempt, so probes are first left to short and
+        medium requests that may be repeated. If none of these arrive, other requests
+        probe after a delay; otherwise the upstream would stay ejected.
         """
         for state in admit_probes(pool, now_ms):
-            is_new = state.spec.name not in avoided
-            if is_new and self.can_accept(state, request, now_ms):
+            is_untried = state.spec.name not in avoided
+            if is_untried and self.can_accept(state, request, now_ms):
                 overdue_ms = now_ms - state.health.hold_until_ms
                 if overdue_ms >= _probe_delay_ms(request, state):
                     return state
@@ -100,7 +100,7 @@
         ]
 
     def can_accept(self, state: UpstreamState, request: Request, now_ms: float) -> bool:
-        """:returns: whether an upstream stays and has capacity for a request"""
+        """:returns: whether an upstream is not leaving and has capacity"""
         return not state.is_leaving and self._has_capacity(state, request, now_ms)
 
     def _has_capacity(
--- a/src/quetzaldeck/decisions/placement/cost.py
+++ b/src/quetzaldeck/decisions/placement/cost.py
@@ -39,8 +39,9 @@
 
     Load reports lag and are the same for all VMs. Attempts of this VM since the report
     are added in full; otherwise it would send all its requests to an engine that was
-    reported idle. The weight of a report falls with its age: the reported work gets
-    done, and an upstream must not stay unattractive because its reports stopped.
+    reported idle. The weight of a report falls with its age: the engine finishes the
+    reported work, and an upstream must not stay unattractive because its reports
+    stopped.
     """
     ledger = state.ledger
     own = ledger.n_prefill_tokens + len(ledger) * weights.per_request
@@ -51,9 +52,9 @@
     freshness = math.pow(0.5, age_ms / weights.half_life_ms)
     n_reported = report.n_running + report.n_waiting
     reported = report.n_prefill_tokens + n_reported * weights.per_request
-    since = float(ledger.n_unreported_prefill_tokens)
-    since += ledger.n_unreported * weights.per_request
-    return max(own, reported * freshness + since)
+    unreported = float(ledger.n_unreported_prefill_tokens)
+    unreported += ledger.n_unreported * weights.per_request
+    return max(own, reported * freshness + unreported)
 
 
 def estimate_cost(
--- a/src/quetzaldeck/decisions/placement/few_choices.py
+++ b/src/quetzaldeck/decisions/placement/few_choices.py
@@ -7,9 +7,9 @@
 
 Two random candidates already reduce the longest queue from about log n to log log n;
 the third covers a candidate that is faulty or full. A cached prefix is worth the cost
-of its prefill, so requests leave the holder of a popular prefix as soon as its backlog
-is longer than that. The cap keeps a prefix of hundreds of thousands of tokens from
-justifying a wait of minutes.
+of prefilling it, so requests go to other engines as soon as the backlog of the engine
+that holds the prefix exceeds that cost. :data:`MAX_AFFINITY_TOKENS` limits this worth,
+so that a prefix of hundreds of thousands of tokens never justifies a wait of minutes.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 N_RANDOM = 3
 """Random candidates in addition to cache holders. Two already avoid the worst choices;
-many VMs that compared all candidates would all choose the same one."""
+if many VMs compared all candidates, all would choose the same one."""
 MAX_AFFINITY_TOKENS = 32_768
-"""Cached tokens that count in favor of an engine at most, so that a popular prefix does
-not draw all requests that share it to one engine."""
+"""Most cached tokens that count in favor of an engine, so that requests which share a
+popular prefix do not all go to one engine."""
 
 
 @placement_policies.register("few_choices")
--- a/src/quetzaldeck/decisions/placement/first_token.py
+++ b/src/quetzaldeck/decisions/placement/first_token.py
@@ -4,18 +4,18 @@
 interleaves prefill with decoding, up to ``stride`` chunks at a time: one prompt of
 133,000 tokens delays every other answer on its engine by up to one or two seconds,
 several times the gap between tokens that callers of short answers accept. Prefilled by
-fourteen engines in parallel, it delays each of them by about a tenth of that. Without
-the split, the short answers on that engine and the long one are late while other
-engines are idle.
+fourteen engines in parallel, the prompt delays the answers on each of them by about a
+tenth of that. Without the split, the short answers on that engine and the long one are
+late while other engines are idle.
 
-Number of parts: as many as make the prefill of one part fit into the time for which
+Number of parts: the smallest with which the prefill of one part takes no longer than
 the running sequences of an engine may be delayed. That time is
-:data:`PART_SHARE_OF_GAP` of the shortest gap between tokens that any route of the
-service allows, so it follows from the configuration. The prefill time of a part follows
-from the engine figures that the operator states.
+:data:`PART_SHARE_OF_GAP` of the shortest gap between tokens that any request has
+required so far; requests get theirs from the configuration. The prefill time of a part
+follows from the engine figures that the operator configures.
 
 Choice of engine: the one with the least work before the first token, in milliseconds
-of prefill, plus a random part, since many VMs see the same loads.
+of prefill, plus random jitter, since many VMs see the same loads.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 running sequences. An engine may prefill parts of several prompts within one pass."""
 
 DEFAULT_PART_MS = 30.0
-"""Longest prefill of a part as long as no request has stated a gap between tokens."""
+"""Longest prefill of a part until a request requires a maximum gap between tokens."""
 
 OTHER_ZONE_MS = 1.0
 """Round trip to another availability zone; among engines with equal work it keeps the
@@ -57,7 +57,7 @@
 
 @placement_policies.register("first_token")
 class FirstToken(PlacementPolicy):
-    """Chooses the engine with the earliest first token; spreads long prompts."""
+    """Chooses the engine with the earliest first token; splits long prompts."""
 
     max_helpers = MAX_HELPERS
     _min_gap_ms: float = math.inf
@@ -77,7 +77,7 @@
         pool: Sequence[UpstreamState],
         now_ms: float,
     ) -> tuple[str, ...]:
-        """:returns: an engine for each further part of the prompt, least work first"""
+        """:returns: engines for the other parts of the prompt, least work first"""
         n_parts = self._n_parts(request, pool)
         if n_parts <= 1:
             return ()
@@ -98,16 +98,16 @@
     ) -> int:
         """:returns: the number of helpers that gives the earliest first token
 
-        The first token follows the last part: a helper that stays busy for longer than
-        its part saves delays the prompt.
+        The first token follows the last part. A helper whose backlog takes longer than
+        the time that its part saves would therefore delay the first token.
         """
         figures = ordered[0].spec.figures if ordered else None
         if figures is None:
             return 0
         best_n, best_ms = 0, math.inf
         for n_helpers, state in enumerate(ordered, start=1):
-            read_ms = figures.prefill_ms(request.n_prompt_tokens, n_parts=n_helpers + 1)
-            done_ms = state.prefill_backlog_ms(now_ms) + read_ms
+            part_ms = figures.prefill_ms(request.n_prompt_tokens, n_parts=n_helpers + 1)
+            done_ms = state.prefill_backlog_ms(now_ms) + part_ms
             if done_ms < best_ms:
                 best_n, best_ms = n_helpers, done_ms
         return best_n
@@ -136,11 +136,10 @@
     def _cost_ms(
         self, state: UpstreamState, peer_ms_per_token: float | None, now_ms: float
     ) -> float:
-        """:returns: work before a new request, in milliseconds, plus a random part
+        """:returns: work before a new request, in milliseconds, plus jitter
 
-        What other VMs have sent is known only as sums, so each running request counts
-        with an average cost. The random part spreads requests over engines with equal
-        work.
+        The load of other VMs is known only as sums, so each running request counts with
+        an average cost. The jitter spreads requests over engines with equal work.
         """
         jitter_ms = self._random_state.uniform(0.0, OTHER_ZONE_MS)
         cost_ms = jitter_ms
@@ -157,8 +156,8 @@
 
 def _running_request_ms(figures: EngineFigures) -> float:
     """:returns: delay that each request running on an engine adds to a new one"""
-    read_ms = figures.prefill_ms(figures.usual_prompt_tokens) * RUNNING_PREFILL_SHARE
-    return read_ms + figures.stride * figures.sequence_ms
+    prefill_ms = figures.prefill_ms(figures.usual_prompt_tokens) * RUNNING_PREFILL_SHARE
+    return prefill_ms + figures.stride * figures.sequence_ms
 
 
 __all__ = ("MAX_HELPERS", "FirstToken")
--- a/src/quetzaldeck/decisions/placement/group_plans.py
+++ b/src/quetzaldeck/decisions/placement/group_plans.py
@@ -19,12 +19,13 @@
 
     Load pattern: several huge prompts within a second on engines with few slots. An
     engine joins as many groups as it has slots and refuses the next one when its prompt
-    is sent, after all memory was reserved. Planned on the same engines again, it would
-    be refused until its attempts are used up: one prompt of 96,000 tokens named the
-    same engine in four attempts within half a second.
+    is sent, after all memory was reserved. If the prompt were planned on the same
+    engines again, it would be refused until its attempts are used up: one prompt of
+    96,000 tokens named the same engine in four attempts within half a second.
 
-    Engines that are members of too many groups, according to all VMs, are therefore
-    left out, and so are engines that failed the request as long as others can hold it.
+    Engines that prefill as many prompt parts as they have slots, by the loads of all
+    VMs, and engines that recently refused a part are therefore left out. Engines that
+    failed the request are left out as long as others can hold it.
     """
 
     def __init__(self, planner: GroupPlanner) -> None:
@@ -38,7 +39,7 @@
 
     @property
     def is_at_limit(self) -> bool:
-        """:returns: whether as many reservations are pending as may be"""
+        """:returns: whether no further reservation may be pending"""
         return len(self._pending) >= self._planner.bounds.max_pending
 
     def is_needed(self, request: Request, pool: Sequence[UpstreamState]) -> bool:
@@ -60,7 +61,7 @@
         now_ms: float,
         avoided: Sequence[str] = (),
     ) -> GroupPlan | None:
-        """:returns: the reservation on several engines; ``None`` if there is none now
+        """:returns: a reservation on several engines; ``None`` if none is possible
 
         :param avoided: engines that failed the request
         """
--- a/src/quetzaldeck/decisions/placement/helper_accounting.py
+++ b/src/quetzaldeck/decisions/placement/helper_accounting.py
@@ -54,7 +54,7 @@
             )
 
     def release(self, attempt_id: str) -> None:
-        """Release the helpers of an attempt: their parts are prefilled or given up."""
+        """Release the helpers of an attempt: their parts are prefilled or abandoned."""
         for name in self._helpers.pop(attempt_id, ()):
             state = self._table.get(name)
             if state is not None:
--- a/src/quetzaldeck/decisions/placement/median_latency.py
+++ b/src/quetzaldeck/decisions/placement/median_latency.py
@@ -12,7 +12,8 @@
     from quetzaldeck.decisions.upstream_state import UpstreamState
 
 N_MEDIAN_SAMPLE = 15
-"""Engines sampled for the median; all 780 would cost more and add little precision."""
+"""Engines sampled for the median; sampling all 780 of a large pool would cost more and
+add little precision."""
 
 
 def median_ms_per_token(
--- a/src/quetzaldeck/decisions/placement/placer.py
+++ b/src/quetzaldeck/decisions/placement/placer.py
@@ -1,8 +1,8 @@
 """Places requests: filters the upstreams, then lets the policy choose.
 
-Load pattern: requests of all lengths before a pool in which some upstreams are leaving,
-faulty, full, or run a suspect. These filters apply before every placement policy, so
-that a policy compares only permitted upstreams.
+Load pattern: requests of all lengths for a pool in which some upstreams are leaving,
+faulty, full, or run a request suspected of crashing engines. These filters apply before
+every placement policy, so that a policy compares only permitted upstreams.
 """
 
 from __future__ import annotations
@@ -149,7 +149,7 @@
     def reserve(
         self, request: Request, attempt_id: str, now_ms: float
     ) -> GroupPlan | None:
-        """Account for the attempt that was placed last for a request.
+        """Account for an attempt on the latest placement of its request.
 
         :returns: the reservation to make first, if one is needed
         """
@@ -188,7 +188,7 @@
         return self._helper_accounting.list_helpers(attempt_id)
 
     def release_helpers(self, attempt_id: str) -> None:
-        """Release the helpers of an attempt: their parts are prefilled or given up."""
+        """Release the helpers of an attempt: their parts are prefilled or abandoned."""
         self._helper_accounting.release(attempt_id)
 
     def note_reserved(self, attempt_id: str) -> None:
--- a/src/quetzaldeck/decisions/placement/prefix_index.py
+++ b/src/quetzaldeck/decisions/placement/prefix_index.py
@@ -5,11 +5,11 @@
 the same prefix again.
 
 The index learns from the first tokens of this VM's own answers, after which the engine
-has cached the prompt, and from cache events. Those travel with answers, so that control
-traffic does not grow with VMs times engines. Events may be late, incomplete or from an
-old incarnation. The index is only a hint: a wrong entry costs one prefill, never a
-wrong answer. Entries of another incarnation are ignored; entries from before a gap in
-the events count half.
+has cached the prompt, and from cache events. These are sent along with answers, so that
+control traffic does not grow with VMs times engines. Events may be late, incomplete or
+from an old incarnation. The index is only a hint: a wrong entry costs one prefill,
+never a wrong answer. Entries of another incarnation are ignored; entries from before a
+gap in the events count half.
 """
 
 from __future__ import annotations
@@ -37,7 +37,8 @@
 class _Incarnation(NamedTuple):
     """The current incarnation of an engine.
 
-    :param previous: the incarnation before; its events are late and ignored
+    :param previous: the incarnation before this one; its events come late and are
+        ignored
     :param sequence: number of the last event
     :param n_gaps: gaps seen in its events; entries from before a gap are uncertain
     """
--- a/src/quetzaldeck/decisions/placement/suspect_placer.py
+++ b/src/quetzaldeck/decisions/placement/suspect_placer.py
@@ -20,7 +20,7 @@
 
 
 class SuspectPlacer:
-    """Isolates suspected requests: one per engine, and one copy of each in the fleet.
+    """Runs at most one suspected request of this VM per engine, and one copy of each.
 
     If two suspects ran on an engine that crashes, the crash could be attributed to
     neither of them.
@@ -49,7 +49,7 @@
         self._running[request.fingerprint] += 1
 
     def note_end(self, request: Request) -> None:
-        """Count one running copy of a request less."""
+        """Count one running copy of a request fewer."""
         self._running[request.fingerprint] -= 1
         if not self._running[request.fingerprint]:
             del self._running[request.fingerprint]
--- a/src/quetzaldeck/decisions/queueing/counters.py
+++ b/src/quetzaldeck/decisions/queueing/counters.py
@@ -41,7 +41,7 @@
         self._update(request, 1)
 
     def discard(self, request: Request) -> None:
-        """Remove a request that left the queue from the counts."""
+        """Subtract a request that was removed from the queue."""
         self._update(request, -1)
 
     def _update(self, request: Request, sign: int) -> None:
--- a/src/quetzaldeck/decisions/queueing/customer_queue.py
+++ b/src/quetzaldeck/decisions/queueing/customer_queue.py
@@ -25,11 +25,11 @@
 
     A request is due a multiple of its own prefill time after its arrival. Short
     requests are due earlier and so go first. The due time never changes, so that
-    every waiting request reaches the head in the end. This is shortest-job-first with
+    every waiting request eventually reaches the head. This is shortest-job-first with
     ageing at the cost of one heap.
 
-    Removed requests stay in the heap until they reach its head or until stale entries
-    prevail and the heap is compacted.
+    Removed requests stay in the heap until they reach its head, or until they outnumber
+    the queued ones and the heap is compacted.
     """
 
     def __init__(self) -> None:
--- a/src/quetzaldeck/decisions/queueing/fair.py
+++ b/src/quetzaldeck/decisions/queueing/fair.py
@@ -44,12 +44,12 @@
 
     Load pattern: prompts of 1 K to 1 M tokens from customers of very different size.
     In a single queue in order of arrival, a prompt that waits for memory blocks every
-    short request behind it, and the customer that sends most gets most.
+    short request behind it, and the customer that sends most gets most of the fleet.
 
     Each model and plain service has two queues, one for long prompts and one for the
     others, so that a request that cannot be placed delays only similar ones. Each queue
-    is ordered by the bundle's priorities, then by the tokens that customers have
-    received, then by the due time of requests, a multiple of their own prefill time.
+    is ordered by the bundle's priorities, then by the tokens served to each customer,
+    then by the due time of requests, a multiple of their own prefill time.
     """
 
     def __init__(self) -> None:
--- a/src/quetzaldeck/decisions/queueing/start_time_fair_queue.py
+++ b/src/quetzaldeck/decisions/queueing/start_time_fair_queue.py
@@ -14,10 +14,10 @@
 
     from quetzaldeck.decisions.queueing.api import PlaceFunction
 
-MAX_PROBES = 3
-"""Customers whose head request is probed for each dispatch. A head may have to wait for
-an adapter or for capacity for its size while the next customer's need not; further
-probes cost more than they find."""
+MAX_TRIED_CUSTOMERS = 3
+"""Customers whose head request is tried for each dispatch. A head request may have to
+wait for an adapter or for enough memory while that of the next customer can be placed;
+trying more customers costs more than it gains."""
 
 _MIN_IDLE_TAGS = 64
 
@@ -45,10 +45,10 @@
 
     This is start-time fair queueing. Each customer has a start tag, the tokens served
     to it divided by its weight; the lowest start tag goes next. Deficit round robin
-    gives the same shares but needs a quantum: with a million tokens a customer gets a
-    burst of that size, and a smaller quantum takes many rounds over all customers
-    before a long prompt is served. The heap has neither problem; each decision is
-    logarithmic in the number of waiting customers.
+    gives the same shares but needs a quantum: with one of a million tokens a customer
+    gets a burst of that size, and a smaller quantum takes many rounds over all
+    customers before a long prompt is served. A heap ordered by start tag has neither
+    problem; each decision is logarithmic in the number of waiting customers.
     """
 
     def __init__(self) -> None:
@@ -86,11 +86,11 @@
     def take(self, place: PlaceFunction) -> PlacedRequest | None:
         """:returns: the first placeable request of the next few customers
 
-        At most :data:`MAX_PROBES` requests are tried.
+        At most :data:`MAX_TRIED_CUSTOMERS` requests are tried.
         """
         skipped: list[_ScheduledCustomer] = []
         placed = None
-        while self._schedule and placed is None and len(skipped) < MAX_PROBES:
+        while self._schedule and placed is None and len(skipped) < MAX_TRIED_CUSTOMERS:
             entry = heapq.heappop(self._schedule)
             head = self._queues[entry.customer].peek()
             if head is None:
@@ -136,4 +136,4 @@
             }
 
 
-__all__ = ("MAX_PROBES", "PlacedRequest", "StartTimeFairQueue")
+__all__ = ("MAX_TRIED_CUSTOMERS", "PlacedRequest", "StartTimeFairQueue")
--- a/src/quetzaldeck/decisions/queueing/target_queue.py
+++ b/src/quetzaldeck/decisions/queueing/target_queue.py
@@ -17,8 +17,8 @@
 """Tokens of credit that each lower priority earns per token served at a higher one."""
 
 MAX_CREDIT_TOKENS = 200_000.0
-"""Limit of the credit of a priority. Without it, a priority that could not be placed
-for a long time would then take the whole fleet for minutes."""
+"""Limit of the credit of a priority. Without it, requests of a priority that could not
+be placed for a long time would later take the whole fleet for minutes."""
 
 
 class TargetQueue:
--- a/tests/decisions/head_of_line/test_burst_of_long_prompts.py
+++ b/tests/decisions/head_of_line/test_burst_of_long_prompts.py
@@ -91,10 +91,10 @@
             now_ms += STEP_MS
 
     def _start(self, request: Request, now_ms: float) -> None:
-        readers = self._lane.restrict_helpers(request, self._pool, now_ms)
-        part_ms = FIGURES.prefill_ms(request.n_prompt_tokens, n_parts=len(readers))
+        engines = self._lane.restrict_helpers(request, self._pool, now_ms)
+        part_ms = FIGURES.prefill_ms(request.n_prompt_tokens, n_parts=len(engines))
         n_part = round(part_ms * FIGURES.tokens_per_ms)
-        for state in readers:
+        for state in engines:
             name = state.spec.name
             self._free_ms[name] = max(self._free_ms[name], now_ms) + part_ms
             state.add(
@@ -102,8 +102,8 @@
                     request.request_id, request.request_id, 0, n_part, now_ms
                 )
             )
-        read_ms = max(self._free_ms[state.spec.name] for state in readers)
-        self.started.append(StartedPrompt(request, now_ms, read_ms))
+        prefilled_ms = max(self._free_ms[state.spec.name] for state in engines)
+        self.started.append(StartedPrompt(request, now_ms, prefilled_ms))
 
     def _mark_prefilled(self, now_ms: float) -> None:
         for started in self.started:
@@ -119,12 +119,12 @@
     requests = [make(make_request, n_tokens) for n_tokens in SIZES]
     burst.run(requests)
     assert len(burst.started) == len(SIZES)
-    read_ms = {
+    prefilled_ms = {
         prompt.request.n_prompt_tokens: prompt.prefilled_ms for prompt in burst.started
     }
-    in_time = [n_tokens for n_tokens, ms in read_ms.items() if ms <= TARGET_MS]
+    in_time = [n_tokens for n_tokens, ms in prefilled_ms.items() if ms <= TARGET_MS]
     assert all(n_tokens in in_time for n_tokens in SIZES if n_tokens <= 120_000)
-    assert all(ms <= DEADLINE_MS for ms in read_ms.values())
+    assert all(ms <= DEADLINE_MS for ms in prefilled_ms.values())
     in_order = sorted(burst.started, key=lambda prompt: prompt.started_ms)
     assert in_order[-1].request.n_prompt_tokens >= 460_000
 
@@ -132,10 +132,11 @@
 def test_long_prompts_do_not_all_start_when_one_is_prefilled(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Six long prompts start at the same moment and stop all engines for seconds.
+    """Guards against six long prompts that start together and block all engines.
 
     They waited at six VMs for the prefill of a prompt of half a million tokens. At its
-    first token each VM saw idle engines, and none knew of the others.
+    first token each VM saw idle engines and did not know of the prompts of the others,
+    so that all answers stopped for seconds.
     """
     pool = make_pool()
     burst = Burst(lane, pool)
@@ -167,9 +168,10 @@
 def test_waiting_prompt_starts_despite_shorter_ones(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """A prompt of 400,000 tokens waits until its caller disconnects.
+    """Guards against a prompt of 400,000 tokens waiting until its caller disconnects.
 
-    Shorter prompts arrive constantly, and each fits into the lane before it does.
+    Shorter prompts arrive constantly, and the lane has capacity for each of them before
+    it has enough for the long one.
     """
     pool = make_pool()
     long = make(make_request, 400_000)
@@ -212,27 +214,28 @@
 def test_many_short_answers_reserve_most_engines(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Fifty short answers run; half of the engines hold forty-two.
+    """Fifty-four short answers run; half of the engines hold forty-two.
 
-    The others would share their engines with a prompt that is prefilled for seconds.
+    With only half of the engines reserved, the other answers would share theirs with a
+    prompt that is prefilled for seconds.
     """
     pool = make_pool()
     for number in range(54):
         state = lane.restrict(make(make_request, SHORT), pool, 0.0)[0]
         state.add(InFlightAttempt(f"a{number}", f"r{number}", SHORT, 0, 0.0))
-    writing = {state.spec.name for state in pool if state.n_answers(0.0)}
-    readers = lane.restrict_helpers(make(make_request, 500_000), pool, 0.0)
-    assert readers
-    assert not writing & {state.spec.name for state in readers}
+    generating = {state.spec.name for state in pool if state.n_answers(0.0)}
+    engines = lane.restrict_helpers(make(make_request, 500_000), pool, 0.0)
+    assert engines
+    assert not generating & {state.spec.name for state in engines}
 
 
 def test_long_prompt_is_prefilled_where_fewest_answers_run(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Twenty short answers stop when a long prompt starts.
+    """Guards against a long prompt that stops twenty answers although engines are idle.
 
-    A burst of short requests is over. Its last answers run on many engines, including
-    the first ones for long prompts, while other engines are idle.
+    After a burst of short requests, its last answers run on many engines, including
+    those that come first in the order for long prompts.
     """
     pool = make_pool()
     request = make(make_request, 120_000)
@@ -240,26 +243,26 @@
     for state in first:
         for number in range(5):
             state.add(InFlightAttempt(f"a{number}", f"r{number}", SHORT, 0, 0.0))
-    readers = lane.restrict_helpers(request, pool, 0.0)
-    assert len(readers) >= 2
-    assert not {s.spec.name for s in readers} & {s.spec.name for s in first}
+    engines = lane.restrict_helpers(request, pool, 0.0)
+    assert len(engines) >= 2
+    assert not {s.spec.name for s in engines} & {s.spec.name for s in first}
 
 
 def test_generating_engines_are_left_out_if_others_meet_the_target(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """A prompt of 330,000 tokens stops the answers of ten engines for a second.
+    """Guards against a long prompt that stops the answers of ten engines for a second.
 
     Load: five engines are idle, nine run three short answers each. Prefilled by ten
     engines, the prompt has its first token after 1.1 s; by the five idle ones, after
     2.2 s of its target of 4 s, without delaying other callers.
     """
     pool = make_pool()
-    writing = pool[5:]
-    for state in writing:
+    generating = pool[5:]
+    for state in generating:
         for number in range(3):
             state.add(InFlightAttempt(f"a{number}", f"r{number}", SHORT, 0, 0.0))
     request = make(make_request, 330_000)
-    readers = {state.spec.name for state in lane.restrict_helpers(request, pool, 0.0)}
-    assert readers == {state.spec.name for state in pool[:5]}
+    engines = {state.spec.name for state in lane.restrict_helpers(request, pool, 0.0)}
+    assert engines == {state.spec.name for state in pool[:5]}
     assert FIGURES.prefill_ms(330_000, n_parts=5) < TARGET_MS
--- a/tests/decisions/head_of_line/test_lanes.py
+++ b/tests/decisions/head_of_line/test_lanes.py
@@ -76,7 +76,7 @@
 def test_short_requests_outrank_long_prompts_that_run_everywhere(
     make_request: MakeRequest, make_bundle: MakeBundle
 ) -> None:
-    """Long prompts run on all engines; a short request must still start at once."""
+    """Long prompts run on all engines; a short request must still start immediately."""
     lanes, states = build(make_bundle())
     for state in states:
         report(state, 200_000)
@@ -95,9 +95,9 @@
     lanes, states = build(make_bundle())
     lanes.note_arrival(make_request(10_000), 0.0)
     lanes.note_arrival(make_request(40_000), 0.0)
-    at_once = lanes.restrict(make_request(100_000), states, 0.0)
-    lanes_left = len(states) - len(reserved_for_short(lanes, states, make_request, 0.0))
-    assert len(at_once) <= lanes_left < len(states)
+    allowed = lanes.restrict(make_request(100_000), states, 0.0)
+    n_for_long = len(states) - len(reserved_for_short(lanes, states, make_request, 0.0))
+    assert len(allowed) <= n_for_long < len(states)
 
 
 def test_restrict_releases_engines_when_no_short_requests_arrive(
@@ -105,11 +105,11 @@
 ) -> None:
     lanes, states = build(make_bundle())
     lanes.note_arrival(make_request(1_000), 0.0)
-    kept = [
+    n_reserved = [
         len(reserved_for_short(lanes, states, make_request, at_ms))
         for at_ms in (0.0, 60_000.0, 300_000.0)
     ]
-    assert kept[0] > kept[1] >= kept[2]
+    assert n_reserved[0] > n_reserved[1] >= n_reserved[2]
 
 
 def reserved_for_short(
@@ -143,8 +143,8 @@
     lengths = (1_000, 10_000, 100_000, 500_000)
     ranks = [lanes.rank(make_request(n), "e0") for n in lengths]
     assert ranks == sorted(set(ranks))
-    desk = lanes.rank(make_request(1_000, priority=0), "e0")
-    assert desk < ranks[0]
+    urgent = lanes.rank(make_request(1_000, priority=0), "e0")
+    assert urgent < ranks[0]
     assert max(ranks) <= 9
 
 
--- a/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
+++ b/tests/decisions/head_of_line/test_long_prompts_at_many_engines.py
@@ -3,7 +3,8 @@
 A request names at most sixteen helpers, so that a part of a prompt of 230,000 tokens
 delays the running answers of an engine for a quarter of a second, however many engines
 there are. Spread over as many engines as may help, each such prompt makes the answers
-on all of them late; on the few that meet its target, only the answers there.
+on all of them late; on the few that suffice for its target, it delays only the answers
+there.
 """
 
 from __future__ import annotations
@@ -56,8 +57,8 @@
 ) -> None:
     """Guards against making fifty short answers late where four engines suffice."""
     n_engines = len(list_prefill_engines(send(clock, n_tokens)))
-    read_ms = FIGURES.prefill_ms(n_tokens, n_parts=n_engines)
-    assert read_ms <= TARGET_MS * MAX_PREFILL_SHARE_OF_TARGET
+    prefill_ms = FIGURES.prefill_ms(n_tokens, n_parts=n_engines)
+    assert prefill_ms <= TARGET_MS * MAX_PREFILL_SHARE_OF_TARGET
     assert n_engines <= (MAX_HELPERS + 1) / 3
 
 
--- a/tests/decisions/head_of_line/test_reading_lane.py
+++ b/tests/decisions/head_of_line/test_reading_lane.py
@@ -89,10 +89,10 @@
 def test_short_answers_fill_one_engine_before_the_next(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Each long prefill makes short answers late although enough engines run none.
+    """Guards against short answers that are spread over all engines.
 
     Load: twenty short answers at a time on sixteen engines. Spread evenly, each engine
-    runs at least one, and none is left for a long prefill that delays nobody.
+    runs at least one, so that every long prefill makes some of them late.
     """
     pool = make_pool()
     for number in range(20):
@@ -118,9 +118,9 @@
 def test_lane_grows_with_the_prefill_backlog_of_all_vms(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Long prompts wait for each other while half of the engines prefill nothing.
+    """Guards against long prompts that wait while half of the engines prefill nothing.
 
-    Load: a burst of long prompts through as many VMs, each of which sees one of them.
+    Load: a burst of long prompts, each received by another VM.
     """
     pool = make_busy_pool()
     before = len(lane.restrict(make(make_request, LONG), pool, 0.0))
@@ -137,21 +137,21 @@
 ) -> None:
     pool = make_pool()
     huge = make(make_request, 600_000)
-    n_readers = len(lane.restrict_helpers(huge, pool, 0.0))
-    assert n_readers == N_ENGINES * 3 / 4, (
+    n_lane = len(lane.restrict_helpers(huge, pool, 0.0))
+    assert n_lane == N_ENGINES * 3 / 4, (
         "a quarter is reserved for requests that arrive meanwhile"
     )
-    assert FIGURES.prefill_ms(600_000, n_parts=n_readers) < 0.8 * huge.target_ms
+    assert FIGURES.prefill_ms(600_000, n_parts=n_lane) < 0.8 * huge.target_ms
 
 
 def test_huge_prompts_leave_engines_to_running_answers(
     lane: ReadingLane, make_request: Callable[..., Request]
 ) -> None:
-    """Short answers stop while huge prompts are prefilled.
+    """Guards against huge prompts that stop all short answers during their prefill.
 
     Load: twenty short answers at a time, and two prompts of half a million tokens that
-    exceed the capacity of all engines within their target. Given all engines, they
-    delay every answer for over a second and are late themselves.
+    all engines together cannot prefill within their target. Prefilled by all engines,
+    they would delay every answer for over a second and still be late.
     """
     pool = make_pool()
     for number in range(20):
--- a/tests/decisions/memory/test_ledger.py
+++ b/tests/decisions/memory/test_ledger.py
@@ -33,8 +33,8 @@
 def test_note_report_sums_only_later_attempts_as_unreported() -> None:
     """A report from 100 ms ago cannot include attempts started since.
 
-    Counting only the report would fill the engine twice over; adding all own attempts
-    to the report would leave half of its memory unused.
+    With the report alone, the engine's memory would be allocated twice; with all own
+    attempts added to the report, half of it would stay unused.
     """
     ledger = MemoryLedger()
     ledger.reserve(make_attempt("old", 10, at_ms=0))
--- a/tests/decisions/placement/test_busy_helpers.py
+++ b/tests/decisions/placement/test_busy_helpers.py
@@ -1,9 +1,9 @@
 """Helpers that refuse prompt parts because they are busy.
 
 An engine that prefills parts for as many prompts as it has slots refuses the next one.
-When this was taken for a dead engine, the engine got no work for a second, and the next
-attempt named another busy engine: one prompt ejected five of fourteen engines, and all
-other requests waited for the rest.
+When the refusal was treated as a failure of the engine, the engine got no work for a
+second, and the next attempt named another busy engine: one prompt ejected five of
+fourteen engines, and all other requests waited for the remaining nine.
 """
 
 from __future__ import annotations
--- a/tests/decisions/placement/test_first_token.py
+++ b/tests/decisions/placement/test_first_token.py
@@ -81,10 +81,10 @@
 def test_engine_loaded_by_other_vms_is_left_out(
     policy: FirstToken, make_request: Callable[..., Request]
 ) -> None:
-    """A prompt of 45,000 tokens waits for three seconds although most engines are idle.
+    """Guards against naming engines as helpers that prefill long prompts of other VMs.
 
-    Some engines prefill long prompts of other VMs. As helpers they would prefill their
-    part last, and the first token follows the last part.
+    Their parts would be prefilled last, and the first token follows the last part: a
+    prompt of 45,000 tokens waited for three seconds although most engines were idle.
     """
     pool = make_pool()
     for state in pool[:8]:
--- a/tests/decisions/placement/test_refused_help.py
+++ b/tests/decisions/placement/test_refused_help.py
@@ -1,4 +1,4 @@
-"""A quarter of the engines leaves, and the VMs cannot learn of it from the store.
+"""A quarter of the engines is leaving, and the VMs cannot learn of it from the store.
 
 These engines answer requests but refuse to prefill parts of other prompts. Each attempt
 of a long prompt names sixteen helpers, some of them leaving, and is refused as a whole;
--- a/tests/decisions/queueing/test_fair.py
+++ b/tests/decisions/queueing/test_fair.py
@@ -75,9 +75,9 @@
 def test_take_gives_no_credit_for_time_before_the_first_request(
     make_request: MakeRequest,
 ) -> None:
-    """A customer starts to send after another one has been served for long.
+    """A customer starts to send after another one has been served for a long time.
 
-    With credit for the time before, the new customer would starve the old one.
+    With credit for the time without requests, the new customer would starve the old.
     """
     queue = FairQueue()
     for _ in range(300):
@@ -102,7 +102,7 @@
 
 
 def test_take_skips_a_request_that_cannot_be_placed(make_request: MakeRequest) -> None:
-    """A long head request waits for capacity; a short one behind it must not."""
+    """A long head request waits for capacity; a short one behind it must not wait."""
     queue = FairQueue()
     queue.push(make_request(30_000, customer="blocked"))
     queue.push(make_request(1_000, customer="other", arrived_ms=500_000.0))
