--- a/src/quetzaldeck/decisions/queueing/fifo.py
+++ b/src/quetzaldeck/decisions/queueing/fifo.py
@@ -16,7 +16,7 @@
 
 @queue_policies.register("fifo")
 class FifoQueue(QueuePolicy):
-    """Serves requests in order of arrival; the head blocks until it can be placed.
+    """Serves requests in order of arrival; an unplaceable head blocks the others.
 
     Load pattern: uniform requests of one customer. Kept as the baseline that other
     policies are measured against.
--- a/src/quetzaldeck/decisions/queueing/start_time_fair_queue.py
+++ b/src/quetzaldeck/decisions/queueing/start_time_fair_queue.py
@@ -79,7 +79,7 @@
         self._n_requests += 1
 
     def discard(self, request: Request) -> None:
-        """Remove a queued request, served or not."""
+        """Remove a queued request, whether it was served or not."""
         self._queues[request.customer].discard(request.request_id)
         self._n_requests -= 1
 
--- a/src/quetzaldeck/decisions/queueing/target_queue.py
+++ b/src/quetzaldeck/decisions/queueing/target_queue.py
@@ -24,8 +24,9 @@
 class TargetQueue:
     """Serves priorities in order, 0 first, with a fair queue of customers in each.
 
-    Lower priorities are guaranteed a share while higher ones have work. Otherwise a
-    high-priority customer that keeps its queue full would starve all others.
+    Lower priorities earn credit for tokens served at higher ones, and a priority with
+    credit is served first. Without this guaranteed share, a high-priority customer that
+    keeps its queue full would starve all others.
     """
 
     def __init__(self) -> None:
@@ -47,7 +48,7 @@
         queue.push(request, due_ms)
 
     def discard(self, request: Request) -> None:
-        """Remove a queued request that is not served."""
+        """Remove a queued request without serving it."""
         queue = self._queues[request.priority]
         queue.discard(request)
         if not queue:
