--- a/src/quetzaldeck/decisions/queueing/target_queue.py
+++ b/src/quetzaldeck/decisions/queueing/target_queue.py
@@ -17,15 +17,16 @@
 """Tokens of credit that each lower priority earns per token served at a higher one."""
 
 MAX_CREDIT_TOKENS = 200_000.0
-"""Limit of the credit of a priority. Without it, a priority that could not be placed
-for a long time would then take the whole fleet for minutes."""
+"""Limit of the credit of a priority. Without it, requests of a priority that could not
+be placed for a long time would later take the whole fleet for minutes."""
 
 
 class TargetQueue:
     """Serves priorities in order, 0 first, with a fair queue of customers in each.
 
-    Lower priorities are guaranteed a share while higher ones have work. Otherwise a
-    high-priority customer that keeps its queue full would starve all others.
+    Lower priorities earn credit for tokens served at higher ones, and a priority with
+    credit is served first. Without this guaranteed share, a high-priority customer that
+    keeps its queue full would starve all others.
     """
 
     def __init__(self) -> None:
@@ -47,7 +48,7 @@
         queue.push(request, due_ms)
 
     def discard(self, request: Request) -> None:
-        """Remove a queued request that is not served."""
+        """Remove a queued request without serving it."""
         queue = self._queues[request.priority]
         queue.discard(request)
         if not queue:
