--- a/src/quetzaldeck/belief/__init__.py
+++ b/src/quetzaldeck/belief/__init__.py
@@ -1,7 +1,8 @@
-"""A VM's belief: its local, possibly outdated copy of the state of the fleet.
+"""A VM's fleet state: its local, possibly outdated copy of the state of the fleet.
 
-The belief covers the routing configuration and the replicas. It comes from a source
-that the VM can only read, either directly or through another VM.
+The fleet state, called belief in names, covers the routing configuration and the
+replicas. It comes from a source that the VM can only read, either directly or through
+another VM.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/belief/api.py
+++ b/src/quetzaldeck/belief/api.py
@@ -1,4 +1,4 @@
-"""The interface of a source of belief."""
+"""The interface of a source of the fleet state."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/belief/belief_event.py
+++ b/src/quetzaldeck/belief/belief_event.py
@@ -1,4 +1,4 @@
-"""A change of the belief, for the log."""
+"""A change of the fleet state, for the log."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class BeliefEvent(NamedTuple):
-    """What a change from the source did to the belief.
+    """What a change from the source did to the fleet state.
 
     :param event: name of the log event, in snake case
     :param fields: fields of the log event, which explain the decision
--- a/src/quetzaldeck/belief/bounds.py
+++ b/src/quetzaldeck/belief/bounds.py
@@ -1,4 +1,4 @@
-"""Time limits on what a VM believes about the fleet."""
+"""Time limits on a VM's copy of the fleet state."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class BeliefBounds(NamedTuple):
-    """How old the believed configuration and replicas may be.
+    """How old the configuration and the replicas of a VM's fleet state may be.
 
     :param key_revocation_ms: time after which a revoked API key must be rejected; the
-        operators promise this to their customers
+        operators guarantee this to their customers
     :param leaving_ms: time after which a leaving replica must get no new requests
     :param source_staleness_ms: longest time for which the source may answer that
         nothing has changed although something has, while it discards its history;
--- a/src/quetzaldeck/belief/change_log.py
+++ b/src/quetzaldeck/belief/change_log.py
@@ -20,7 +20,7 @@
     Load pattern: a release replaces one replica after another, while most VMs learn of
     it from a few watchers. If each change were answered with the complete state, every
     one of the 50 VMs of a zone would read about a hundred kilobytes for a single
-    replica. With the changes since the revision that it knows, it reads one entry.
+    replica. A VM that is sent only the changes since its own revision reads one entry.
     """
 
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
--- a/src/quetzaldeck/belief/changes.py
+++ b/src/quetzaldeck/belief/changes.py
@@ -1,4 +1,4 @@
-"""The answers of a source of belief and the changes in them."""
+"""The answers of a source of the fleet state and the changes in them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ReplicaRead(NamedTuple):
-    """A replica's entry was read that is new or has changed."""
+    """A new or changed entry of a replica was read."""
 
     replica: Replica
 
@@ -33,8 +33,8 @@
 
     :param key: key of the entry
     :param error: what is wrong with it
-    :param replica_id: the replica that the entry belongs to; ``None``: it is no
-        replica's entry
+    :param replica_id: the replica that the entry belongs to; ``None``: the entry is
+        not a replica's
     """
 
     key: str
--- a/src/quetzaldeck/belief/fleet_belief.py
+++ b/src/quetzaldeck/belief/fleet_belief.py
@@ -10,10 +10,10 @@
 - Each answer of the source has an age, measured by a clock that keeps running while the
   VM is paused. Keys are accepted while that age is within the limit.
 - A replica whose entry disappears is removed, but see :mod:`quetzaldeck.belief.lapses`.
-- An undecodable entry names no replica: whoever wrote it, a request sent to its address
-  might reach something else. The replica that had the entry is removed at once, without
-  the grace period for expired entries, since its entry did not expire. Other entries
-  remain valid.
+- An undecodable entry does not describe a replica: a request sent to the address in it
+  might reach another program. The replica that had the entry is removed at once,
+  without the grace period for expired entries, since its entry did not expire. Other
+  entries remain valid.
 - A replica may restart under the same id. Late writes of its earlier incarnation are
   ignored, as they may announce that the earlier one leaves.
 """
@@ -86,7 +86,7 @@
         return None if replica_id in self._lapses else self._replicas.get(replica_id)
 
     def trouble_age_ms(self, now_ms: float) -> float | None:
-        """:returns: time since the last trouble with the source; ``None``: none"""
+        """:returns: time since the source last had trouble; ``None``: it had none"""
         return self._lapses.trouble_age_ms(now_ms)
 
     def age_ms(self, now_ms: float) -> float:
@@ -100,7 +100,7 @@
         """:returns: whether the keys are fresh enough to admit a request now
 
         A key may have been revoked since the last confirmation. Within this limit the
-        time that a revocation may take has not passed yet.
+        time allowed for a revocation to take effect has not passed yet.
         """
         return self.age_ms(now_ms) <= self._bounds.max_key_age_ms
 
@@ -118,8 +118,8 @@
     ) -> list[BeliefEvent]:
         """Apply an answer of the source.
 
-        :param asked_ms: uptime at which the request was sent; the answer is no older
-        :returns: the resulting changes of the belief
+        :param asked_ms: uptime at which the request was sent; the answer is not older
+        :returns: the resulting changes of the fleet state
         """
         if answer.trouble_age_ms is not None:
             self._lapses.note_trouble(now_ms - answer.trouble_age_ms)
@@ -127,7 +127,7 @@
         if answer.is_complete:
             events.extend(self._remove_absent(answer, now_ms))
         self._revision = answer.revision
-        # A request that was cut short was not held for as long as it asked for.
+        # If the request was cut short, the source did not hold it for ``waited_ms``.
         was_held = asked_ms + answer.waited_ms <= now_ms
         confirmed_ms = asked_ms + (answer.waited_ms if was_held else 0.0)
         confirmed_ms -= answer.age_ms
@@ -137,7 +137,7 @@
     def expire(self, now_ms: float) -> list[BeliefEvent]:
         """Remove replicas that did not register again after trouble with the source.
 
-        :returns: the resulting changes of the belief
+        :returns: the resulting changes of the fleet state
         """
         return [
             self._drop(replica_id, "did not return")
--- a/src/quetzaldeck/belief/lapses.py
+++ b/src/quetzaldeck/belief/lapses.py
@@ -2,8 +2,8 @@
 
 Failure scenario: the source is down for longer than entries live without a heartbeat,
 and comes back under full load. Without this module the first answer after the outage
-lists hardly any replica. A VM that trusts it would refuse every request for the two
-seconds in which the replicas register again, although all of them are healthy.
+lists hardly any replica. A VM that trusted this answer would refuse every request for
+the two seconds in which the replicas register again, although all of them are healthy.
 
 If an entry disappears and the source had no trouble, its replica is removed at once.
 After trouble the replica has a grace period in which running replicas register again.
@@ -11,9 +11,10 @@
 requests, since the entry may also be missing because its replica left.
 
 The period starts at the last confirmation, not when the VM learns that the entry is
-missing. Otherwise a VM that learns it late, because the VM that it asks had lost the
+missing. Otherwise a VM that learns this late, because the VM that it polls had lost the
 source, would add its own delay to the limit. After an outage longer than the limit,
-the limit cannot be met anyway, and the period starts when the VM learns it.
+the limit cannot be met anyway, and the period starts when the VM learns that the entry
+is missing.
 """
 
 from __future__ import annotations
@@ -62,7 +63,7 @@
         self._trouble_ms = max(self._trouble_ms, now_ms)
 
     def trouble_age_ms(self, now_ms: float) -> float | None:
-        """:returns: time since the last trouble with the source; ``None``: none"""
+        """:returns: time since the source last had trouble; ``None``: it had none"""
         age_ms = now_ms - self._trouble_ms
         return age_ms if math.isfinite(age_ms) else None
 
--- a/src/quetzaldeck/belief/sharing_bounds.py
+++ b/src/quetzaldeck/belief/sharing_bounds.py
@@ -13,7 +13,7 @@
 RETRY_SHARE = 1 / 4
 
 MIN_HOLD_MS = 1.0
-"""Shortest long-poll wait, used when this VM's belief only needs confirmation."""
+"""Shortest long-poll wait, used when this VM's fleet state only needs confirmation."""
 
 MAX_DOUBLINGS = 16
 """Keeps the pause between retries finite however long an outage lasts."""
@@ -24,19 +24,18 @@
 
     A VM that gets its updates from another VM may notice late that the other has
     stopped, or has itself lost the source. In the worst case it accepts an answer that
-    is just young enough, waits in vain for the next one, and then asks the source:
+    is just young enough, waits in vain for the next one, and then queries the source:
     ``max_answer_age_ms + wait_ms + answer_ms``, which is 1,700 of 2,000 ms.
 
-    Requests to the source cost money and are rate-limited, requests between VMs are
-    not. The long polls of a watcher are therefore longer than those of the VMs that
-    ask it.
+    Requests to the source are billed and rate-limited, requests between VMs are not.
+    The long polls of a watcher are therefore longer than those of the VMs that poll it.
 
     :param min_deadline_ms: shortest time within which a change must take effect
     :param max_answers_per_core_s: answers per second that a watcher with one core gives
-        to other VMs while nothing changes; they take a third of the core
+        to other VMs while nothing changes; these answers take a third of the core
     :param max_retries_s: requests per second to a failing source, by all VMs together
         except the watchers
-    :param suspect_ms: time for which a VM that failed to answer is not asked again; a
+    :param suspect_ms: time for which a VM that failed to answer is not polled again; a
         restart takes one or two seconds
     """
 
@@ -54,11 +53,11 @@
         """:returns: duration of a watcher's next long poll of the source
 
         An answer that carries a change does not state how long the source held the
-        request, so the belief counts as old as the request. The next poll is shortened
-        by that age; otherwise the VMs that ask this watcher would conclude that it has
-        lost the source.
+        request, so the fleet state counts as old as the request. The next poll is
+        shortened by that age; otherwise the VMs that poll this watcher would conclude
+        that it has lost the source.
 
-        :param age_ms: age of the watcher's belief
+        :param age_ms: age of the watcher's fleet state
         """
         return max(MIN_HOLD_MS, self.source_wait_ms - max(0.0, age_ms))
 
@@ -84,21 +83,21 @@
     def max_answer_age_ms(self) -> float:
         """:returns: age above which an answer shows that a watcher has lost the source
 
-        A watcher's belief is at most as old as a full long poll of the source plus the
-        pause after a change, see :meth:`hold_ms`. The long poll of the VM that asks it
+        A watcher's fleet state is at most as old as a full long poll of the source plus
+        the pause after a change, see :meth:`hold_ms`. The long poll of the polling VM
         and the time until the answer arrives are added to that.
         """
         return self.source_wait_ms + self.wait_ms + self.batch_ms + self.answer_ms
 
     @property
     def retry_ms(self) -> float:
-        """:returns: how long to ask other VMs instead after the source failed once"""
+        """:returns: time for which other VMs are polled after the source failed once"""
         return self.min_deadline_ms * RETRY_SHARE
 
     def retry_pause_ms(self, n_failures: int, n_vms: int) -> float:
-        """:returns: pause before a VM that is not a watcher asks the source again
+        """:returns: pause before a VM that is not a watcher queries the source again
 
-        Meanwhile it asks other VMs and learns from them when the source recovers. The
+        Meanwhile it polls other VMs and learns from them when the source recovers. The
         pause can therefore grow exponentially, and starts long in a large fleet.
 
         :param n_failures: consecutive failed requests of this VM to the source
--- a/src/quetzaldeck/belief/source_selector.py
+++ b/src/quetzaldeck/belief/source_selector.py
@@ -13,9 +13,9 @@
 message; a brief disagreement only causes some additional requests.
 
 Every answer states its age. A VM that does not answer, has left, or sends outdated
-answers is suspected for a while, and the source is asked next. No VM therefore depends
+answers is suspected for a while, and the source is polled next. No VM therefore depends
 on another one for longer than the time limits allow. If a VM of another zone does not
-answer, the zones may be partitioned: until it is trusted again, the VMs of a zone
+answer, the zones may be partitioned: until the suspicion ends, the VMs of a zone
 select their watchers among themselves.
 
 While the source fails, a VM polls random other VMs, which may reach the source or at
@@ -66,7 +66,7 @@
         self._n_source_errors = 0
         self._source_failed_ms = float("-inf")
         self._source_retry_ms = float("-inf")
-        self._must_ask_source = True
+        self._must_poll_source = True
         self._is_watcher = False
         self._n_vms = 1
 
@@ -99,7 +99,7 @@
         self._n_vms = 1 + len(neighbours) + len(others)
         if self.is_source_failing and now_ms < self._get_retry_ms():
             return self._choose_any_vm(watchers, {*neighbours, *others}, seeds)
-        if self._must_ask_source or self.is_source_failing or self._is_watcher:
+        if self._must_poll_source or self.is_source_failing or self._is_watcher:
             return None
         return self._choose_watcher(watchers, neighbours)
 
@@ -123,12 +123,12 @@
 
     def note_source_answer(self) -> None:
         """Record that the source answered this VM or another one."""
-        self._must_ask_source = False
+        self._must_poll_source = False
         self._n_source_errors = 0
 
     def note_history_dropped(self) -> None:
         """Record that the complete state has to be read from the source."""
-        self._must_ask_source = True
+        self._must_poll_source = True
 
     def note_source_error(self, now_ms: float) -> None:
         """Record that the source failed."""
@@ -144,7 +144,7 @@
         An answer as young as a watcher's shows that the source works again, so a VM
         that is not a watcher need not retry it.
 
-        :param age_ms: age of this VM's belief after the answer
+        :param age_ms: age of this VM's fleet state after the answer
         :returns: whether the other VM is now suspected of having lost the source
         """
         is_fresh = age_ms <= self._bounds.max_answer_age_ms
@@ -158,7 +158,7 @@
     def note_peer_error(self, address: str, now_ms: float) -> None:
         """Record that another VM did not answer, or that its answer was of no use."""
         self._suspected_until_ms[address] = now_ms + self._bounds.suspect_ms
-        self._must_ask_source = True
+        self._must_poll_source = True
 
     def _get_retry_ms(self) -> float:
         if self._is_watcher:
@@ -168,7 +168,7 @@
     def _choose_watcher(
         self, watchers: Collection[str], neighbours: Collection[str]
     ) -> str:
-        """:returns: a watcher of this zone if these suffice for the zone, else any
+        """:returns: a watcher of this zone if the zone has enough, else any watcher
 
         Traffic between zones is billed by the byte.
         """
--- a/src/quetzaldeck/entry/attempt.py
+++ b/src/quetzaldeck/entry/attempt.py
@@ -100,8 +100,8 @@
             helpers = self._list_helpers(dispatch)
             self._members = frozenset()
             if dispatch.plan is not None:
-                until_ms = self._call.admitted.deadline_ms
-                reservation = MemoryReservation(self._state, dispatch, until_ms)
+                deadline_ms = self._call.admitted.deadline_ms
+                reservation = MemoryReservation(self._state, dispatch, deadline_ms)
                 await stack.enter_async_context(reservation)
                 self._members = frozenset(dispatch.plan.upstreams)
                 self._ticket.note_reserved(dispatch.attempt_id)
@@ -129,7 +129,7 @@
     ) -> aiohttp.ClientResponse:
         http_request = self._call.http_request
         name = dispatch.upstreams[-1]
-        terms = ForwardingParameters(
+        parameters = ForwardingParameters(
             name,
             self._call.admitted.customer,
             self._call.admitted.deadline_ms - self._state.clock.now_ms(),
@@ -139,7 +139,7 @@
         )
         replica = self._find_replica(name)
         self._incarnation = replica.incarnation
-        headers = build_request_headers(http_request.headers, terms)
+        headers = build_request_headers(http_request.headers, parameters)
         self._may_have_run = True
         return await self._state.upstreams.send(
             replica.address,
@@ -206,11 +206,13 @@
     def _raise_not_run(self, name: str, head: ResponseHead) -> None:
         """Classify a request that was not run: the replica is busy, or it is gone.
 
-        If another replica responds at the address, the one addressed is gone. A helper
-        that did not take its prompt part is either gone or busy with other prompts, and
-        the response does not say which; a member that has just reserved memory is
-        alive. A busy helper that is taken for dead is excluded from all prompts for a
-        second, so that each attempt of one long prompt would exclude another helper.
+        If another replica responds at the address, the one addressed is gone. The
+        replica addressed is busy if it responds itself. So is a member of the plan, as
+        it was alive when it reserved memory a moment ago. Any other helper that did not
+        take its prompt part is either gone or busy with other prompts; the response
+        does not say which, so the fault is ``HELPER``. A helper classified as gone is
+        excluded from all prompts for a second: if busy helpers were, each attempt of
+        one long prompt would exclude another helper.
 
         :raises UpstreamError: always
         """
--- a/src/quetzaldeck/entry/belief_task.py
+++ b/src/quetzaldeck/entry/belief_task.py
@@ -21,7 +21,7 @@
 
 EXPIRY_POLL_MS = 50.0
 """Interval between expiry checks while the entries of some replicas are missing. It is
-within the margin of the bound after which a leaving replica gets no work."""
+shorter than the margin of the bound after which a leaving replica gets no work."""
 
 
 class BeliefTask:
--- a/src/quetzaldeck/entry/error_response.py
+++ b/src/quetzaldeck/entry/error_response.py
@@ -1,4 +1,4 @@
-"""Builds the HTTP responses that tell callers of failures."""
+"""Builds the HTTP responses that report failures to callers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def error_response(failure: Failure, call_id: str, id_header: str) -> web.Response:
-    """:returns: the response that tells a caller of a failure
+    """:returns: the response that reports a failure to a caller
 
     :param id_header: header in which responses echo the caller's id
     """
--- a/src/quetzaldeck/entry/handler.py
+++ b/src/quetzaldeck/entry/handler.py
@@ -131,10 +131,10 @@
     async def _run(self, call: Call, view: RoutingView) -> web.StreamResponse:
         ticket = self._state.dispatch.open_ticket(build_request(call, view))
         run = CallRun(self._state, call, ticket)
-        left_ms = call.admitted.deadline_ms - self._state.clock.now_ms()
+        remaining_ms = call.admitted.deadline_ms - self._state.clock.now_ms()
         try:
             with self._state.in_flight.translate_abort(call.request_id):
-                async with asyncio.timeout(max(0.0, left_ms) / 1_000), ticket:
+                async with asyncio.timeout(max(0.0, remaining_ms) / 1_000), ticket:
                     response = await run.run()
         except TimeoutError:
             ran = Ran.UNKNOWN if run.may_have_run else Ran.NO
--- a/src/quetzaldeck/entry/memory_reservation.py
+++ b/src/quetzaldeck/entry/memory_reservation.py
@@ -31,10 +31,12 @@
     Each order holds the memory for a short time only, so that it is soon free again if
     this VM dies.
 
-    :param until_ms: monotonic time by which the response is due
+    :param deadline_ms: monotonic time by which the response is due
     """
 
-    def __init__(self, state: EntryState, dispatch: Dispatch, until_ms: float) -> None:
+    def __init__(
+        self, state: EntryState, dispatch: Dispatch, deadline_ms: float
+    ) -> None:
         assert dispatch.plan is not None
         self._state = state
         self._plan = dispatch.plan
@@ -48,12 +50,12 @@
             request_memory=self._reserve,
             release=self._release,
             clock=state.clock,
-            deadline_ms=until_ms,
+            deadline_ms=deadline_ms,
             bounds=state.group_bounds,
         )
 
     async def __aenter__(self) -> MemoryReservation:
-        # The hold time of the first member starts with its response and may need
+        # The hold time of the first member starts when its order arrives; it may need
         # renewal before the last member has responded.
         self._renewal = asyncio.create_task(self._renew())
         try:
@@ -73,7 +75,7 @@
         await self._reservation.__aexit__(exc_type, exc, traceback)
 
     def list_helpers(self) -> tuple[Helper, ...]:
-        """:returns: the members, headed by the engine that the request is sent to"""
+        """:returns: the members, first the engine that the request is sent to"""
         replicas = self._state.belief.replicas
         return tuple(
             Helper(replicas[name].address, self._reservation_id)
--- a/src/quetzaldeck/entry/pace_task.py
+++ b/src/quetzaldeck/entry/pace_task.py
@@ -1,7 +1,7 @@
 """Polls engines for their pace and publishes the slow ones to the other VMs.
 
-The pace is the slowdown that an engine reports of itself: how many times longer than
-stated its work takes.
+The pace is the slowdown factor that an engine reports of itself: the time that its work
+takes, relative to the time by its configured figures.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 POLL_INTERVAL_MS = 1_000.0
 """Time between two polls of an engine. Including the lag of the reports, a slow engine
-is detected within 1.5 s. Each poll is paid for: polling twice as often would cost twice
+is detected within 1.5 s. Each poll is billed: polling twice as often would cost twice
 as much to gain half a second."""
 
 
--- a/src/quetzaldeck/entry/peers/messages.py
+++ b/src/quetzaldeck/entry/peers/messages.py
@@ -38,9 +38,10 @@
 
 
 class CrashUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A request that was running on an engine when it crashed, or was cleared.
+    """The crash of an engine while it ran a request, or the clearing of a request.
 
-    See ``CrashSighting`` for the fields.
+    A request is cleared when an engine has answered it. See ``CrashSighting`` for the
+    fields.
     """
 
     fingerprint: int
--- a/src/quetzaldeck/entry/peers/node.py
+++ b/src/quetzaldeck/entry/peers/node.py
@@ -141,7 +141,7 @@
         if message.number:
             self._send(PeerMessage(self._vm, confirmed=message.number), address)
         if message.confirmed:
-            # Also if it was no longer expected: a VM that acknowledges late is alive.
+            # Noted even if no longer expected: a VM that acknowledges late is alive.
             self._pending_acks.acknowledge(message.confirmed, address)
             self._selector.note_ack(address)
         if message.join:
@@ -210,7 +210,7 @@
             self._send_join("relay", address, now_ms)
 
     def _join(self, now_ms: float) -> None:
-        """Subscribe to the updates of the relay, or of the other relays."""
+        """Subscribe to the updates of this VM's relay or, as a relay, of the others."""
         self._joined_ms = now_ms
         if len(self._table) <= self._bounds.n_peers_joining:
             return
@@ -267,16 +267,18 @@
                     self._send(message, *addresses)
 
     def _resend_unacked(self, now_ms: float) -> None:
-        """Resend messages that were not acknowledged, finally by way of another VM."""
-        for late in self._pending_acks.pop_overdue(now_ms):
-            if late.n_sent < self._bounds.n_sends:
-                self._send_with_ack(late.message, late.address, now_ms, late.n_sent + 1)
+        """Resend unacknowledged messages; after the last resend, use another VM."""
+        for overdue in self._pending_acks.pop_overdue(now_ms):
+            if overdue.n_sent < self._bounds.n_sends:
+                self._send_with_ack(
+                    overdue.message, overdue.address, now_ms, overdue.n_sent + 1
+                )
                 continue
-            self._selector.note_missed_ack(late.address, now_ms)
-            if late.address == self._selector.parent:
+            self._selector.note_missed_ack(overdue.address, now_ms)
+            if overdue.address == self._selector.parent:
                 self._join(now_ms)
-            if late.message.news:
-                self._forward_to_fleet(late.message.news, now_ms)
+            if overdue.message.news:
+                self._forward_to_fleet(overdue.message.news, now_ms)
 
     def _send_with_ack(
         self, message: PeerMessage, address: str, now_ms: float, n_sent: int = 1
--- a/src/quetzaldeck/entry/peers/table.py
+++ b/src/quetzaldeck/entry/peers/table.py
@@ -10,7 +10,7 @@
     from collections.abc import Mapping
 
 PEER_TTL_MS = 20_000.0
-"""A VM that neither sent nor was reported by others for this long is removed. Sending
+"""A VM that neither sent a message nor was reported for this long is removed. Sending
 to a dead VM costs a few bytes; one that was paused or unreachable should still be known
 when it comes back."""
 
--- a/src/quetzaldeck/entry/peers/task.py
+++ b/src/quetzaldeck/entry/peers/task.py
@@ -38,8 +38,9 @@
 GREETING_INTERVAL_MS = 500.0
 """Interval of greetings: VMs that start together know each other within seconds."""
 N_GREETED = 3
+"""Number of VMs greeted in each interval."""
 N_GREETED_STABLE = 2
-"""Number of VMs greeted in each interval, also in a stable fleet; see ``PeerTable``."""
+"""The same number in a stable fleet; see ``PeerTable``."""
 
 UNDECODABLE_LOG_INTERVAL_MS = 10_000.0
 """Minimum time between two log lines about undecodable datagrams of one peer."""
@@ -208,9 +209,10 @@
     def _send_state_to_new_peer(self, address: str, now_ms: float) -> None:
         """Send the known VMs and this VM's loads to a VM that has just started.
 
-        It does not know what the others have sent to the engines, and would place its
-        first requests behind their long prefills until they repeat their loads, a
-        second later. In a fleet with relays, it receives the loads on joining a relay.
+        The new VM does not know what the others have sent to the engines. It would
+        place its first requests behind their long prefills until the others repeat
+        their loads, a second later. In a fleet with relays, the new VM receives the
+        loads on joining a relay.
         """
         self._send(self._build_greeting(now_ms), (address,))
         own_loads = self._state.dispatch.list_own_loads()
--- a/src/quetzaldeck/entry/peers/update_store.py
+++ b/src/quetzaldeck/entry/peers/update_store.py
@@ -18,7 +18,7 @@
 
 MAX_FORWARDED_END_AGE_MS = 1_000.0
 """Age up to which the end of a load is sent to a VM that joins: its previous relay may
-have told it of the load."""
+have sent it the load."""
 
 SEQUENCE_TTL_MS = 20_000.0
 """Age at which the sequence number of a load is dropped; no datagram is under way for
--- a/src/quetzaldeck/entry/service.py
+++ b/src/quetzaldeck/entry/service.py
@@ -16,9 +16,9 @@
 
 
 SHUTDOWN_TIMEOUT_S = 0.1
-"""Wait for open connections at shutdown. Since the shutdown began each response has
-asked its caller to close the connection; waiting for callers that do not would exceed
-the grace period."""
+"""Time to wait for open connections at shutdown. Since the shutdown began, each
+response has asked its caller to close the connection; waiting for callers that do not
+would exceed the grace period."""
 
 
 class EntryService(HttpServiceBase):
@@ -80,7 +80,7 @@
         return application
 
     async def close(self) -> None:
-        """Nothing is open but the socket."""
+        """Do nothing: the socket, the only resource, is closed already."""
 
     async def _metrics(self, request: web.Request) -> web.Response:
         return metrics_response(self._entry.session.metrics.registry)
@@ -107,7 +107,7 @@
         return application
 
     async def close(self) -> None:
-        """Nothing is open but the socket."""
+        """Do nothing: the socket, the only resource, is closed already."""
 
     async def _readyz(self, request: web.Request) -> web.Response:
         is_ready = self._entry.session.state.is_ready
--- a/src/quetzaldeck/entry/settings.py
+++ b/src/quetzaldeck/entry/settings.py
@@ -73,7 +73,7 @@
 
 
 class EntryProcessor(NamedTuple):
-    """Processor of a VM: those with more capacity watch and relay for other VMs."""
+    """Processor of a VM; VMs with more capacity watch the store and relay updates."""
 
     share: Annotated[
         float, Option("Share of the time for which the VM may run.", minimum=0.001)
--- a/src/quetzaldeck/entry/state.py
+++ b/src/quetzaldeck/entry/state.py
@@ -40,7 +40,7 @@
 callers, closing connections and exiting. Operators tolerate aborted requests in the
 last sixth of that time, not before."""
 
-CUT_OFF_NOTICE_MS = 200
+ABORT_NOTICE_MS = 200
 """Time to notify callers of aborted requests, at the end of the grace period."""
 
 
@@ -138,7 +138,7 @@
     return ShutdownSettings(
         balancer_lag_ms=lag_ms,
         max_drain_ms=max(1, round(grace_ms * (1.0 - EXIT_RESERVE_SHARE)) - lag_ms),
-        farewell_ms=CUT_OFF_NOTICE_MS,
+        farewell_ms=ABORT_NOTICE_MS,
     )
 
 
--- a/src/quetzaldeck/entry/upstream_protocol.py
+++ b/src/quetzaldeck/entry/upstream_protocol.py
@@ -27,16 +27,17 @@
 PROBE_IDLE_S = 1
 PROBE_INTERVAL_S = 1
 N_PROBES = 2
-"""TCP keep-alive detects a connection that a device on the path has dropped after three
-seconds of silence, while it is idle, instead of failing the next request on it."""
+"""TCP keep-alive detects within three seconds that a device on the path has dropped an
+idle connection; otherwise the next request on it would fail."""
 
 DEFAULT_KEEP_ALIVE_MS = 900.0
-"""Keep-alive time assumed for an upstream that states none: one that keeps idle
+"""Keep-alive time assumed for an upstream that states none: an upstream that keeps idle
 connections for a second or longer is required to state it."""
 
 KEEP_ALIVE_SHARE = 0.6
-"""Share of the keep-alive time for which a connection is reused. Whether a request ran
-that was sent just as the upstream closed the connection cannot be determined."""
+"""Share of the keep-alive time for which a connection is reused. If a request is
+sent just as the upstream closes the connection, it cannot be determined whether the
+request ran."""
 
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
@@ -46,9 +47,10 @@
 
     - A body without a length ends with its connection. If the connection is reset,
       aiohttp takes the bytes received so far for the whole body; here the body fails.
-    - An upstream may send a response to no request. If it arrives while the connection
-      is idle, the connection is not reused. If it arrives in place of the expected
-      response, the id that it echoes shows this, and the next response is awaited.
+    - An upstream may send a response that no request asked for. If it arrives while the
+      connection is idle, the connection is not reused. If it arrives in place of the
+      expected response, the id that it echoes shows this, and the next response is
+      awaited.
     - A connection is reused only within the keep-alive time that the upstream states,
       as it may be closed at any moment after that.
     """
--- a/src/quetzaldeck/platform/headers.py
+++ b/src/quetzaldeck/platform/headers.py
@@ -15,7 +15,7 @@
     from quetzaldeck.entry.forwarding_parameters import ForwardingParameters, Helper
 
 CALL_ID = "Quetzaldeck-Attempt-Id"
-"""Id of one attempt of a caller; its own retry has another id."""
+"""Id of one attempt of a caller; a retry by the caller has another id."""
 _KEY = "Quetzaldeck-Key"
 _DEADLINE = "Quetzaldeck-Deadline-Ms"
 """A duration, not a point in time."""
--- a/src/quetzaldeck/platform/orders.py
+++ b/src/quetzaldeck/platform/orders.py
@@ -29,7 +29,8 @@
     id: str
     tokens: int | msgspec.UnsetType = msgspec.UNSET
     hold_ms: int | msgspec.UnsetType = msgspec.UNSET
-    """Counts from the arrival of the order, even while the memory is in use."""
+    """Time for which the memory is reserved, even if it is in use longer; counted from
+    the arrival of the order."""
 
 
 class ReplicaOrders:
--- a/src/quetzaldeck/platform/store.py
+++ b/src/quetzaldeck/platform/store.py
@@ -30,8 +30,9 @@
 CONFIGURATION_KEY = "op/config"
 REPLICA_PREFIX = "servers/"
 READ_TIMEOUT_MS = 1_000
-"""The answer normally takes about 4 ms. A store that is a hundred times slower is still
-waited for, and an outage is noticed well within the age bounds of the fleet state."""
+"""The answer normally takes about 4 ms. The timeout allows for a store that is a
+hundred times slower, and an outage is noticed well within the age bounds of the fleet
+state."""
 GONE_STATUS = 410
 
 
--- a/src/quetzaldeck/platform/wire_replica.py
+++ b/src/quetzaldeck/platform/wire_replica.py
@@ -1,8 +1,8 @@
 """A replica's entry in the platform's store, and its translation.
 
-Entries may come from another writer. An entry that does not have the form in which
-replicas write it is rejected: requests would be sent to an address where no replica can
-run them.
+Other programs may also write entries. An entry that does not have the form that
+replicas write is rejected: otherwise requests would be sent to an address where no
+replica can run them.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/routing/replica.py
+++ b/src/quetzaldeck/routing/replica.py
@@ -12,7 +12,7 @@
     :param address: IP address and port
     :param is_leaving: whether it has announced that it will stop
     :param n_slots: number of requests that it runs at a time
-    :param cold_ms: remaining time for which it is slow after its start
+    :param cold_ms: remaining time for which it runs slowly after its start
     :param started_ms: wall-clock time of its start, which identifies the incarnation; 0
         if it is not published
     """
@@ -28,7 +28,7 @@
 
     @property
     def incarnation(self) -> str:
-        """:returns: identifies the incarnation under its id; ``""`` if not published"""
+        """:returns: id of the incarnation of this replica; ``""`` if not published"""
         return str(self.started_ms) if self.started_ms else ""
 
 
--- a/src/quetzaldeck/routing/route.py
+++ b/src/quetzaldeck/routing/route.py
@@ -24,7 +24,8 @@
     :param prefix: path prefix that it applies to
     :param kind: whether its requests may be repeated and how they are answered
     :param timeout_ms: longest time that a caller has to wait
-    :param target_latency_ms: time within which an answer has its full value
+    :param target_latency_ms: latency target of an answer, or of the first event of a
+        stream; a later one is worth less to the caller
     :param priority: 0 is the highest
     :param targets: services that may run its requests
     :param max_attempts: maximum number of upstreams that may run one request
--- a/tests/belief/test_fleet_belief.py
+++ b/tests/belief/test_fleet_belief.py
@@ -1,4 +1,4 @@
-"""Versions, ages and disappearing replicas in one VM's belief."""
+"""Versions, ages and disappearing replicas in one VM's fleet state."""
 
 from __future__ import annotations
 
@@ -133,10 +133,10 @@
 def test_late_update_does_not_extend_the_grace_period() -> None:
     """Guards against sending requests to a replica for too long after it left.
 
-    Its entry is removed at 200 ms. The VM that this one polls has lost the source. This
-    VM notices that by the age of the answers and asks the source itself at 1,300 ms.
-    Because of the trouble it takes the entry for expired. A grace period counted from
-    then on would last until 3,100 ms.
+    The replica's entry is removed at 200 ms. The VM that this one polls has lost the
+    source. This VM notices that by the age of the answers, polls the source itself at
+    1,300 ms and, because of the trouble, takes the entry for expired. A grace period
+    counted from then on would last until 3,100 ms.
     """
     belief = FleetBelief(BOUNDS)
     apply(belief, ReplicaRead(make_replica()), now_ms=100)
@@ -166,8 +166,9 @@
 def test_replica_with_an_undecodable_entry_is_removed(*, is_complete: bool) -> None:
     """Guards against sending requests to a replica that has announced its leave.
 
-    Another writer overwrites its entry with undecodable bytes, and the replica starts
-    to leave. If the last decodable entry stayed in force, that would go unnoticed.
+    Another program overwrites the replica's entry with undecodable bytes, and the
+    replica starts to leave. If the last decodable entry stayed in force, the VM would
+    not notice that.
     """
     belief = FleetBelief(BOUNDS)
     others = ReplicaRead(make_replica("r2"))
@@ -193,8 +194,9 @@
 def test_late_entry_of_an_earlier_incarnation_is_ignored() -> None:
     """Guards against a healthy, restarted replica that gets no requests.
 
-    It announced that it leaves, crashed, and restarted under the same id. The last
-    entry of its earlier incarnation reaches the source after the entry of the new one.
+    The replica announced that it leaves, crashed, and restarted under the same id. The
+    last entry of its earlier incarnation reaches the source after the entry of the new
+    one.
     """
     belief = FleetBelief(BOUNDS)
     first = make_replica()._replace(started_ms=1_000)
--- a/tests/belief/test_sharing_bounds.py
+++ b/tests/belief/test_sharing_bounds.py
@@ -15,7 +15,7 @@
 def test_watcher_stays_fresh_while_changes_arrive(
     bounds: SharingBounds,
 ) -> None:
-    """Guards against all VMs asking the source because a watcher's answers seem old."""
+    """Guards against all VMs polling the source as a watcher's answers seem old."""
     oldest_ms = bounds.max_answer_age_ms - bounds.wait_ms
     for tenth in range(11):
         changed_ms = bounds.source_wait_ms * tenth / 10
--- a/tests/belief/test_source_selector.py
+++ b/tests/belief/test_source_selector.py
@@ -103,7 +103,7 @@
     assert len(watchers) == 4
 
 
-def test_vms_poll_watchers_of_their_own_zone_if_these_suffice() -> None:
+def test_vms_poll_watchers_of_their_own_zone_if_it_has_enough() -> None:
     """Guards against needless traffic between zones, which is billed by the byte."""
     polled = Fleet(22).poll_all(0.0)
     zones = {_zone(own) for own, address in polled.items() if address is None}
@@ -216,7 +216,7 @@
 def test_few_vms_call_the_source_often_during_an_outage() -> None:
     """Guards against a request of every VM in every second of an outage.
 
-    The watchers retry often and so notice its end, and the others only rarely.
+    The watchers retry often, to notice the end of the outage; the others rarely.
     """
     fleet = Fleet(195)
     watchers = [own for own, polled in fleet.poll_all(0.0).items() if polled is None]
--- a/tests/entry/peers/test_load_update.py
+++ b/tests/entry/peers/test_load_update.py
@@ -32,7 +32,7 @@
 def test_load_arrives_as_it_was_sent(load: VmLoad) -> None:
     """Guards against a field that is sent but not read by the receiver.
 
-    Each VM would then have to find out by itself what others know already.
+    Each VM would then have to detect by itself what other VMs have announced.
     """
     wire = msgspec.json.encode(build_load_update("e0", load))
     update = msgspec.json.decode(wire, type=LoadUpdate)
--- a/tests/entry/test_answers.py
+++ b/tests/entry/test_answers.py
@@ -21,7 +21,7 @@
 
 
 def test_response_without_length_that_is_reset_is_not_whole() -> None:
-    """A truncated response is forwarded as complete.
+    """Guards against a truncated response that is forwarded as complete.
 
     The replica sends a response that ends with its connection and crashes, which resets
     the connection. aiohttp returns the bytes received so far as the whole body.
@@ -52,7 +52,7 @@
 
 
 def test_second_response_to_a_request_is_dropped() -> None:
-    """A caller receives the response to another caller's request.
+    """Guards against a caller that receives the response to another's request.
 
     The replica responds to a request twice. The second response stays in the connection
     and is taken for the response to the next request on it.
@@ -72,9 +72,10 @@
 
 
 def test_late_second_response_is_dropped() -> None:
-    """As above, but it arrives after the next request was sent on the connection.
+    """Guards against a second response that arrives after the next request was sent.
 
-    Only the echoed id shows which request it belongs to; the expected response follows.
+    Only the echoed id shows which request the late response belongs to; the expected
+    response follows it.
     """
     previous: list[Arrival] = []
 
@@ -120,7 +121,7 @@
 
 
 def test_early_response_does_not_corrupt_the_next_request() -> None:
-    """The next request is read as the rest of the previous request's body.
+    """Guards against a request that is read as the rest of the previous one's body.
 
     The replica responds before it has read a long body. If the connection were reused
     while the rest is unsent, the replica would take the next request for that rest.
--- a/tests/entry/test_at_most_once.py
+++ b/tests/entry/test_at_most_once.py
@@ -29,11 +29,11 @@
 
 
 def test_booking_whose_response_is_lost_is_not_retried() -> None:
-    """A booking runs twice.
+    """Guards against a booking that runs twice.
 
     The replica runs the booking and crashes before it responds. A retry on any replica
-    would run it again, and so would the caller's retry after a status that claims it
-    has not run.
+    would run the booking again, and so would the caller's retry after a status that
+    claims that the booking has not run.
     """
 
     async def test(site: Site) -> None:
@@ -84,7 +84,7 @@
 
 
 def test_replica_at_a_reused_address_does_not_run_the_request() -> None:
-    """A request is run by another service that got the address of its replica.
+    """Guards against a request run by another service at the address of its replica.
 
     The request names the replica that it is for. Another replica responds with status
     421, which proves that it did not run the request.
@@ -102,10 +102,10 @@
 
 
 def test_deadline_of_a_refused_request_is_reported_as_not_run() -> None:
-    """A caller does not retry a booking although it has not run.
+    """Guards against a caller that does not retry a booking that has not run.
 
-    The only replica refuses the booking, which is then queued until its deadline. As it
-    is known not to have run, the caller has to be told so.
+    The only replica refuses the booking, which is then queued until its deadline. As
+    the booking is known not to have run, the response has to say so.
     """
 
     async def test(site: Site) -> None:
--- a/tests/entry/test_clock.py
+++ b/tests/entry/test_clock.py
@@ -38,7 +38,7 @@
 
 
 def test_wall_clock_changes_do_not_affect_callers() -> None:
-    """VMs reject keys or abort requests when their wall clock is set.
+    """Guards against VMs that reject keys or abort requests when the clock is set.
 
     The wall clock is set forward and back while requests run. Deadlines and the age of
     the fleet state use monotonic clocks, so callers notice nothing.
--- a/tests/entry/test_entries.py
+++ b/tests/entry/test_entries.py
@@ -37,7 +37,7 @@
 
 
 def test_restarted_replica_serves_at_once() -> None:
-    """Requests are refused for seconds although their only replica has restarted.
+    """Guards against refusing requests for seconds after their replica restarted.
 
     The replica crashes while it runs two bookings and is excluded as dead. When it
     restarts under the same id, the new incarnation must not inherit the exclusion.
@@ -62,7 +62,7 @@
 
 
 def test_entries_of_a_foreign_writer_do_not_affect_callers() -> None:
-    """Requests are sent to replicas that do not exist.
+    """Guards against requests to replicas that do not exist.
 
     A foreign writer adds entries to those of the replicas: with an unknown state or
     service, with wrong types, without an address, and bytes that are not valid UTF-8.
--- a/tests/entry/test_forwarding.py
+++ b/tests/entry/test_forwarding.py
@@ -39,10 +39,10 @@
 
 
 def test_key_is_removed_and_the_customer_is_set() -> None:
-    """A caller has its call billed to another customer, or its key leaks.
+    """Guards against a call billed to another customer, and against a leaked key.
 
-    The replica trusts the customer header of a request. So the VM sets the header by
-    the key, whatever the caller sent, and does not forward the key itself.
+    The replica trusts the customer header of a request. So the VM sets the header
+    according to the key, whatever the caller sent, and does not forward the key itself.
     """
 
     async def test(site: Site) -> None:
--- a/tests/entry/test_keys_and_routes.py
+++ b/tests/entry/test_keys_and_routes.py
@@ -54,7 +54,7 @@
 
 
 def test_older_configuration_is_ignored() -> None:
-    """A revoked key is accepted again.
+    """Guards against a revoked key that is accepted again.
 
     The store returns an older configuration, because it was restored from a backup or
     the read is stale. The version in force must never decrease.
@@ -85,11 +85,11 @@
 
 
 def test_keys_are_not_accepted_beyond_the_revocation_bound() -> None:
-    """A revoked key is accepted for as long as the store is unreachable.
+    """Guards against a revoked key that is accepted while the store is unreachable.
 
     The VM loses its connection to the store and cannot learn of revocations. Once its
     key list is older than the bound it refuses all requests with keys. Public routes
-    are served throughout, and all routes are again once the store is back.
+    are served throughout, and the other routes again once the store is back.
     """
     bounds = EntryBounds(key_revocation_ms=1_600)
 
@@ -136,7 +136,7 @@
 
 
 def test_queued_request_is_checked_again_before_it_is_sent() -> None:
-    """A request runs with a key that was revoked while the request was queued.
+    """Guards against a request whose key was revoked while the request was queued.
 
     All replicas are full, so the request is queued. Before it is sent, its route and
     key are looked up again in the configuration that is then in force.
@@ -185,7 +185,7 @@
 
 
 def test_replica_whose_entry_does_not_reappear_gets_no_work_after_the_bound() -> None:
-    """A replica that left during an outage of the store gets work for too long.
+    """Guards against work for a replica that left during an outage of the store.
 
     After an outage the entries of running replicas may be missing as well, so a missing
     one is tolerated for a while. This time has to end by the clock, not with the
--- a/tests/entry/test_memory_reservation.py
+++ b/tests/entry/test_memory_reservation.py
@@ -122,7 +122,7 @@
 
 
 def test_all_reservations_are_released_when_one_member_refuses() -> None:
-    """Two long prompts deadlock: each holds half of the engines the other one needs."""
+    """Guards against a deadlock of two prompts that hold each other's engines."""
     memory = Memory()
 
     async def refuse(arrival: Arrival, connection: Connection) -> None:
@@ -141,10 +141,10 @@
 
 
 def test_prompt_that_no_group_can_prefill_in_time_is_refused_at_once() -> None:
-    """A prompt is admitted although all engines together cannot meet its deadline.
+    """Guards against a prompt whose deadline all engines together cannot meet.
 
-    It would reserve memory and be prefilled in vain, and its caller would learn of the
-    failure only at the deadline.
+    If admitted, the prompt would reserve memory and be prefilled in vain, and its
+    caller would learn of the failure only at the deadline.
     """
 
     async def test(site: Site) -> None:
--- a/tests/entry/test_overload.py
+++ b/tests/entry/test_overload.py
@@ -37,7 +37,7 @@
 
 
 def test_request_that_would_miss_its_deadline_is_refused_at_once() -> None:
-    """Queued requests that cannot be served wait in vain until their deadline.
+    """Guards against requests that wait in vain until their deadline.
 
     Sixty requests arrive at once for an engine that runs eight at a time. The first
     ones are served. Once the drain rate of the queue is known, requests whose turn
--- a/tests/entry/test_settings.py
+++ b/tests/entry/test_settings.py
@@ -34,10 +34,10 @@
 
 
 def test_addresses_without_a_port_are_reported_with_their_line() -> None:
-    """A VM exits with a traceback because an address in its settings has no port.
+    """Guards against a VM that exits with a traceback on an address without a port.
 
-    The validation of the settings must find this; without it the error only shows when
-    the socket is opened.
+    The validation of the settings must find the missing port; otherwise the error shows
+    only when the socket is opened.
     """
     with pytest.raises(FindingsError) as caught:
         load_text(WITHOUT_PORTS, EntrySettings, "entry.yaml")
@@ -62,7 +62,7 @@
 
 
 def test_each_address_is_checked_before_a_socket_is_opened() -> None:
-    """A VM exits with a traceback because of an invalid port or seed address."""
+    """Guards against a VM that exits with a traceback on an invalid port or seed."""
     with pytest.raises(FindingsError) as caught:
         load_text(IMPOSSIBLE_ADDRESSES, EntrySettings, "entry.yaml")
     assert [finding.render() for finding in caught.value.findings] == [
@@ -80,7 +80,7 @@
     ],
 )
 def test_empty_sections_take_their_defaults(text: str) -> None:
-    """A VM refuses to start because sections of a template were left empty.
+    """Guards against a VM that refuses to start on empty sections of a template.
 
     An empty section is read as null, not as a mapping.
     """
@@ -92,7 +92,7 @@
 
 
 def test_empty_section_with_required_keys_is_refused() -> None:
-    """An empty section hides that its required keys are missing."""
+    """Guards against an empty section that hides that required keys are missing."""
     text = WITH_PORTS.replace(
         '{callers: "10.1.0.40:8227", readiness: "10.1.0.40:8220"}', ""
     )
--- a/tests/entry/test_settings_watch.py
+++ b/tests/entry/test_settings_watch.py
@@ -49,7 +49,7 @@
 
 
 def test_signal_reloads_at_once(tmp_path: Path) -> None:
-    """SIGHUP terminates a VM, because nothing handles the signal."""
+    """Guards against a VM that SIGHUP terminates, because nothing handles it."""
     changed = TEXT.replace("2000", "3000")
     applied = watch(tmp_path / "s.yaml", changed, has_signal=True)
     assert [settings.bounds.leaving_ms for settings in applied] == [3_000]
--- a/tests/entry/test_sharing.py
+++ b/tests/entry/test_sharing.py
@@ -43,7 +43,7 @@
 
 
 def test_one_vm_watches_the_store_for_all() -> None:
-    """Each VM watches the store itself: a call every 0.33 s without changes."""
+    """Guards against VMs that each watch the store, with a call every 0.33 s."""
 
     async def test(fleet: EntryFleet) -> None:
         n_before = fleet.store.n_calls
@@ -112,7 +112,7 @@
 
 
 def test_vm_that_starts_while_the_store_is_down_learns_from_a_peer() -> None:
-    """A VM that is restarted while the store is down refuses all requests.
+    """Guards against a VM that starts while the store is down and refuses requests.
 
     Its peers know the configuration and the replicas.
     """
@@ -130,7 +130,7 @@
 
 
 def test_shared_state_keeps_its_age() -> None:
-    """Revoked keys are accepted for as long as the store is down.
+    """Guards against revoked keys that are accepted while the store is down.
 
     If the state received from a peer counted as fresh on arrival, VMs would confirm
     their key lists to each other until the store is back.
--- a/tests/entry/test_shutdown.py
+++ b/tests/entry/test_shutdown.py
@@ -20,10 +20,10 @@
 def test_nothing_is_aborted_before_the_last_sixth_of_the_grace_period(
     grace_s: float,
 ) -> None:
-    """A request is aborted although it would complete within the grace period.
+    """Guards against aborting a request that would complete in the grace period.
 
-    It arrived before the load balancer noticed the shutdown, ran for three seconds and
-    was aborted after three quarters of the grace period.
+    The request arrived before the load balancer noticed the shutdown, ran for three
+    seconds and was aborted after three quarters of the grace period.
     """
     shutdown = build_shutdown(EntryBounds(grace_s=grace_s))
     cut_off_ms = shutdown.balancer_lag_ms + shutdown.max_drain_ms
--- a/tests/entry/test_silence_watch.py
+++ b/tests/entry/test_silence_watch.py
@@ -37,10 +37,10 @@
 
 
 def test_response_that_arrives_during_the_decision_is_used() -> None:
-    """A response that arrives while the scheduler decides to abandon it is dropped.
+    """Guards against dropping a response that arrives while the scheduler decides.
 
-    The caller would wait for another attempt while the first upstream goes on working
-    for nobody.
+    The caller would wait for another attempt, while the first upstream would go on
+    working on a response that nobody reads.
     """
 
     async def run() -> None:
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -53,7 +53,7 @@
 
 
 def test_broken_stream_is_resumed_on_another_replica() -> None:
-    """A caller receives the first half of an event twice.
+    """Guards against a caller that receives the first half of an event twice.
 
     A replica crashes in the middle of an event. The incomplete event must not be
     forwarded, as the next replica sends it again from its beginning.
@@ -107,7 +107,7 @@
 
 
 def test_silent_replica_is_abandoned_for_another() -> None:
-    """A caller waits for a silent replica although others are idle.
+    """Guards against waiting for a silent replica although others are idle.
 
     The replica accepts the request and never responds, because it hangs or a device on
     the path dropped the connection. Only a timeout detects this.
@@ -127,7 +127,7 @@
 
 
 def test_stream_aborted_at_shutdown_is_not_followed_by_an_error_body() -> None:
-    """An error body is written into a stream that has started.
+    """Guards against an error body written into a stream that has started.
 
     The VM is stopped while a long stream runs, and aborts the stream at the end of the
     grace period. The caller must see an incomplete stream, not an error within it.
@@ -147,7 +147,7 @@
 
 
 def test_call_ends_at_the_replica_when_its_caller_disconnects() -> None:
-    """A replica goes on generating for a caller that has disconnected."""
+    """Guards against a replica that generates for a caller that has disconnected."""
 
     async def test(site: Site) -> None:
         call = asyncio.create_task(site.call(PLAN_PATH))
@@ -173,7 +173,7 @@
 
 
 def test_unreachable_helper_is_not_chosen_again() -> None:
-    """Long prompts are refused while one of fourteen replicas is dead.
+    """Guards against refusing long prompts while one of fourteen replicas is dead.
 
     The replica names the helper that it could not reach. If this counted as a busy
     replica, further attempts would use the dead helper until the retry budget is spent.
@@ -201,10 +201,10 @@
 
 
 def test_busy_engine_is_not_abandoned_while_its_backlog_explains_the_silence() -> None:
-    """A burst of long prompts is prefilled twice, which doubles all waiting times.
+    """Guards against prefilling a burst of prompts twice, which doubles all waits.
 
-    All engines are busy for longer than a first token usually takes. Attempts are
-    abandoned as if the engines hung, and retried on others that are as busy.
+    All engines are busy for longer than a first token usually takes. Attempts
+    would be abandoned as if the engines hung, and retried on others that are as busy.
     """
 
     async def respond_late(arrival: Arrival, connection: Connection) -> None:
@@ -227,10 +227,10 @@
 
 
 def test_late_response_is_forwarded_if_no_other_engine_is_available() -> None:
-    """A caller gets an error in place of a late response.
+    """Guards against a caller that gets an error in place of a late response.
 
-    The only engine is slow. The attempt is abandoned as if the engine hung, although
-    the request cannot be sent anywhere else.
+    The only engine is slow. The attempt would be abandoned as if the engine hung,
+    although the request cannot be sent anywhere else.
     """
 
     async def respond_late(arrival: Arrival, connection: Connection) -> None:
--- a/tests/entry/test_upstream_protocol.py
+++ b/tests/entry/test_upstream_protocol.py
@@ -19,7 +19,7 @@
 def test_connection_is_not_reused_near_the_end_of_its_keep_alive_time(
     keep_alive: str, *, is_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It cannot be determined whether a booking has run.
+    """Guards against a booking of which nobody can determine whether it has run.
 
     The request is sent just as the replica closes the connection, which was idle for as
     long as the replica keeps connections.
