--- a/src/quetzaldeck/entry/upstream_protocol.py
+++ b/src/quetzaldeck/entry/upstream_protocol.py
@@ -114,7 +114,7 @@
 
 
 class UpstreamRequest(ClientRequest):
-    """A request that tells its connection which response to expect."""
+    """A request that sets the response that its connection has to expect."""
 
     async def send(self, conn: Connection) -> ClientResponse:
         """Send; see the base class."""
--- a/src/quetzaldeck/platform/wire_configuration.py
+++ b/src/quetzaldeck/platform/wire_configuration.py
@@ -1,7 +1,7 @@
 """The configuration as the platform's operator writes it, and its translation.
 
 Field names are those of the wire format, which has them in camel case. Where a name
-does not tell what the field holds, a comment does.
+does not say what the field holds, a comment does.
 """
 
 from __future__ import annotations
--- a/tests/entry/test_at_most_once.py
+++ b/tests/entry/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Which requests are retried, and what a refusal tells the caller."""
+"""Which requests are retried, and what a refusal states to the caller."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_entries.py
+++ b/tests/entry/test_entries.py
@@ -1,4 +1,4 @@
-"""Replicas that restart under the same id, and entries of a foreign writer."""
+"""Replicas that restart under the same id, and entries written by other programs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from tests.support.platform.site import Site
 
 N_CALLS = 12
-FOREIGN = "servers/foreign"
+OTHER_PROGRAM_PREFIX = "servers/foreign"
 
 
 class CrashingReplica:
@@ -64,13 +64,13 @@
 def test_entries_of_a_foreign_writer_do_not_affect_callers() -> None:
     """Guards against requests to replicas that do not exist.
 
-    A foreign writer adds entries to those of the replicas: with an unknown state or
+    Another program adds entries to those of the replicas: with an unknown state or
     service, with wrong types, without an address, and bytes that are not valid UTF-8.
     """
 
     async def test(site: Site) -> None:
         valid = build_entry(DESK, "127.0.0.1:9")
-        foreign = [
+        other_entries = [
             {**valid, "state": "asleep"},
             {**valid, "service": "nowhere"},
             {**valid, "slots": "many"},
@@ -78,9 +78,9 @@
             [valid],
             None,
         ]
-        for number, entry in enumerate(foreign):
-            site.store.put(f"{FOREIGN}{number}", entry)
-        site.store.put(f"{FOREIGN}9", b"\xff\xfe{")
+        for number, entry in enumerate(other_entries):
+            site.store.put(f"{OTHER_PROGRAM_PREFIX}{number}", entry)
+        site.store.put(f"{OTHER_PROGRAM_PREFIX}9", b"\xff\xfe{")
         await asyncio.sleep(0.5)
         calls = [site.call(LOOK_PATH) for _ in range(N_CALLS)]
         assert {answer.status for answer in await asyncio.gather(*calls)} == {200}
--- a/tests/entry/test_silence_watch.py
+++ b/tests/entry/test_silence_watch.py
@@ -18,22 +18,24 @@
 BOUND_MS = 20.0
 
 
-class SlowJudge:
+class SlowScheduler:
     """A scheduler that abandons every attempt, after a delay set by the test."""
 
     def __init__(self) -> None:
-        self.asked = asyncio.Event()
-        self.answers = asyncio.Event()
+        self.consulted = asyncio.Event()
+        self.may_answer = asyncio.Event()
 
     async def judge_silence(self, attempt_id: str, silent_ms: float) -> SilenceVerdict:
-        """Abandon the attempt once the test sets ``answers``."""
-        self.asked.set()
-        await self.answers.wait()
+        """Abandon the attempt once the test sets ``may_answer``."""
+        self.consulted.set()
+        await self.may_answer.wait()
         return SilenceVerdict.ABANDON
 
 
-def make_watch(judge: SlowJudge, bound_ms: float | None = BOUND_MS) -> SilenceWatch:
-    return SilenceWatch(cast("Ticket", judge), Clock(), "a1", "call1", bound_ms)
+def make_watch(
+    scheduler: SlowScheduler, bound_ms: float | None = BOUND_MS
+) -> SilenceWatch:
+    return SilenceWatch(cast("Ticket", scheduler), Clock(), "a1", "call1", bound_ms)
 
 
 def test_response_that_arrives_during_the_decision_is_used() -> None:
@@ -44,18 +46,18 @@
     """
 
     async def run() -> None:
-        judge = SlowJudge()
+        scheduler = SlowScheduler()
         has_response = asyncio.Event()
 
         async def send() -> str:
             await has_response.wait()
             return "answer"
 
-        waiting = asyncio.create_task(make_watch(judge).wait(send))
-        await judge.asked.wait()
+        waiting = asyncio.create_task(make_watch(scheduler).wait(send))
+        await scheduler.consulted.wait()
         has_response.set()
         await asyncio.sleep(0)
-        judge.answers.set()
+        scheduler.may_answer.set()
         assert await waiting == "answer"
 
     uvloop.run(run())
@@ -63,8 +65,8 @@
 
 def test_abandoned_attempt_is_cancelled() -> None:
     async def run() -> None:
-        judge = SlowJudge()
-        judge.answers.set()
+        scheduler = SlowScheduler()
+        scheduler.may_answer.set()
         is_cancelled = False
 
         async def hang() -> None:
@@ -76,7 +78,7 @@
                 raise
 
         with pytest.raises(TimeoutError):
-            await make_watch(judge).wait(hang)
+            await make_watch(scheduler).wait(hang)
         assert is_cancelled
 
     uvloop.run(run())
@@ -84,13 +86,13 @@
 
 def test_wait_without_a_bound_does_not_consult_the_scheduler() -> None:
     async def run() -> None:
-        judge = SlowJudge()
+        scheduler = SlowScheduler()
 
         async def answer_late() -> str:
             await asyncio.sleep(3 * BOUND_MS / 1_000)
             return "answer"
 
-        assert await make_watch(judge, None).wait(answer_late) == "answer"
-        assert not judge.asked.is_set()
+        assert await make_watch(scheduler, None).wait(answer_late) == "answer"
+        assert not scheduler.consulted.is_set()
 
     uvloop.run(run())
--- a/tests/entry/test_starting.py
+++ b/tests/entry/test_starting.py
@@ -42,7 +42,7 @@
 
 
 def test_request_that_waited_in_vain_is_refused_before_its_deadline() -> None:
-    """No configuration is loaded; the caller must be told while it can still retry."""
+    """No configuration is loaded; the refusal must come in time for another retry."""
 
     async def test(site: Site) -> None:
         began_s = time.monotonic()
