--- a/src/quetzaldeck/bundle/summary.py
+++ b/src/quetzaldeck/bundle/summary.py
@@ -16,7 +16,7 @@
 
 
 def render_summary(bundle: Bundle) -> str:
-    """:returns: the models and services of a bundle, and how many use and serve them"""
+    """:returns: version, size and counts of a bundle, then its models and services"""
     valid_until = datetime.fromtimestamp(bundle.valid_until_ms / MS_PER_SECOND, UTC)
     payload = encode_bundle(bundle)
     n_packed = len(encode_envelope(Envelope("", "", payload.decode())))
--- a/src/quetzaldeck/cli/log_commands.py
+++ b/src/quetzaldeck/cli/log_commands.py
@@ -144,7 +144,7 @@
 
 
 def _describe_counts(counts: Counter[str]) -> str:
-    return " ".join(f"{what}={count}" for what, count in counts.most_common())
+    return " ".join(f"{result}={count}" for result, count in counts.most_common())
 
 
 __all__ = ("logs_group",)
--- a/src/quetzaldeck/config/convert.py
+++ b/src/quetzaldeck/config/convert.py
@@ -15,9 +15,9 @@
     PLAIN_OPTION,
     REQUIRED,
     Field,
-    Shape,
+    ValueKind,
+    kind_of_value,
     list_fields,
-    shape_of,
 )
 from quetzaldeck.config.finding import Finding
 from quetzaldeck.config.option import Option
@@ -66,16 +66,16 @@
         self._document = document
         self._findings = findings
         self._base = base
-        self._by_shape: dict[Shape, _Conversion] = {
-            Shape.OPTIONAL: self._convert_optional,
-            Shape.SECTION: self._convert_section,
-            Shape.LIST: self._convert_list,
-            Shape.MAPPING: self._convert_mapping,
-            Shape.ANYTHING: self._convert_anything,
-            Shape.FLAG: self._convert_flag,
-            Shape.NUMBER: self._convert_number,
-            Shape.TEXT: self._convert_text,
-            Shape.PATH: self._convert_path,
+        self._by_kind: dict[ValueKind, _Conversion] = {
+            ValueKind.OPTIONAL: self._convert_optional,
+            ValueKind.SECTION: self._convert_section,
+            ValueKind.LIST: self._convert_list,
+            ValueKind.MAPPING: self._convert_mapping,
+            ValueKind.ANYTHING: self._convert_anything,
+            ValueKind.FLAG: self._convert_flag,
+            ValueKind.NUMBER: self._convert_number,
+            ValueKind.TEXT: self._convert_text,
+            ValueKind.PATH: self._convert_path,
         }
 
     def convert(self, cls: type[T]) -> T | None:
@@ -100,7 +100,7 @@
     def _convert(
         self, value: Any, of_type: Any, option: Option, place: ValuePath | None
     ) -> Any:
-        return self._by_shape[shape_of(of_type)](value, of_type, option, place)
+        return self._by_kind[kind_of_value(of_type)](value, of_type, option, place)
 
     def _convert_optional(
         self, value: Any, of_type: Any, option: Option, place: ValuePath | None
@@ -114,7 +114,7 @@
         self, value: Any, cls: Any, option: Option, place: ValuePath | None
     ) -> Any:
         if value is None and place is not None:
-            # A template that omits all lines of a section leaves ``bounds:`` alone.
+            # A template that omits all options of a section leaves a key without value.
             value = {}
         if not isinstance(value, dict):
             return self._add_finding(
@@ -161,7 +161,7 @@
                 place, f"must be a list, not {_describe_type(value)}"
             )
         item_type, item_option = _split_item_type(of_type, option)
-        convert = self._by_shape[shape_of(item_type)]
+        convert = self._by_kind[kind_of_value(item_type)]
         items = tuple(
             [
                 convert(item, item_type, item_option, ValuePath(place, index))
--- a/src/quetzaldeck/config/fields.py
+++ b/src/quetzaldeck/config/fields.py
@@ -65,7 +65,7 @@
     return isinstance(of_type, type) and hasattr(of_type, "_fields")
 
 
-class Shape(Enum):
+class ValueKind(Enum):
     """Kinds of values; each has its own conversion in the checked loader."""
 
     OPTIONAL = auto()
@@ -80,36 +80,36 @@
 
 
 _SCALARS = {
-    Any: Shape.ANYTHING,
-    bool: Shape.FLAG,
-    int: Shape.NUMBER,
-    float: Shape.NUMBER,
-    str: Shape.TEXT,
+    Any: ValueKind.ANYTHING,
+    bool: ValueKind.FLAG,
+    int: ValueKind.NUMBER,
+    float: ValueKind.NUMBER,
+    str: ValueKind.TEXT,
 }
 
 
 @cache
-def shape_of(of_type: Any) -> Shape:
+def kind_of_value(of_type: Any) -> ValueKind:
     """:returns: the kind of value that ``of_type`` describes"""
     origin = get_origin(of_type)
     if origin in (Union, types.UnionType):
-        return Shape.OPTIONAL
+        return ValueKind.OPTIONAL
     if is_section(of_type):
-        return Shape.SECTION
+        return ValueKind.SECTION
     if origin is tuple:
-        return Shape.LIST
+        return ValueKind.LIST
     if origin is dict:
-        return Shape.MAPPING
-    return _SCALARS.get(of_type, Shape.PATH)
+        return ValueKind.MAPPING
+    return _SCALARS.get(of_type, ValueKind.PATH)
 
 
 __all__ = (
     "PLAIN_OPTION",
     "REQUIRED",
     "Field",
-    "Shape",
+    "ValueKind",
     "is_section",
+    "kind_of_value",
     "list_fields",
-    "shape_of",
     "split_annotation",
 )
--- a/src/quetzaldeck/directory/http.py
+++ b/src/quetzaldeck/directory/http.py
@@ -39,8 +39,8 @@
     ) -> Published | None:
         """Wait for a newer value; see :meth:`ConfigurationService.watch`.
 
-        The time-out is enforced here and not left to the service: otherwise a watch on
-        a connection that fell silent would delay every later bundle.
+        The timeout is enforced here and not left to the service: otherwise a watch on a
+        connection that stopped responding would delay every later bundle.
         """
         path = f"/v1/keys/{key}?after={after_revision}&timeout_ms={round(timeout_ms)}"
         return await self._get(path, timeout_ms + WATCH_TIMEOUT_MARGIN_MS)
--- a/src/quetzaldeck/gateway/__init__.py
+++ b/src/quetzaldeck/gateway/__init__.py
@@ -1,7 +1,7 @@
 """The gateway, which serves the requests of callers on one VM.
 
-Nothing is imported here: the entry uses some of the modules, and after a power failure
-its callers wait until everything that it imports has been loaded.
+This file imports no modules: an entry VM uses only some of them, and after a power
+failure callers wait until it has loaded every module that it imports.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/gateway/body.py
+++ b/src/quetzaldeck/gateway/body.py
@@ -17,15 +17,15 @@
 async def read_body(request: web.Request, bounds: CallerBounds) -> bytes:
     """Read a body.
 
-    A sender that stops midway would occupy memory forever without any error. So each
-    pause and the total time are limited, and the length is checked before the bytes are
-    stored.
+    A caller that stops sending midway would occupy memory forever without any error.
+    So the time without data and the total time are limited, and the length is checked
+    before the bytes are stored.
 
-    :raises RequestError: if the body is too long or too slow
+    :raises RequestError: if the body is too long or does not arrive in time
     """
     n_declared = request.content_length
     if n_declared is not None and n_declared > bounds.max_body_bytes:
-        raise RequestError(_too_large(bounds))
+        raise RequestError(_build_size_failure(bounds))
     parts: list[bytes] = []
     n_bytes = 0
     try:
@@ -37,14 +37,14 @@
                     return b"".join(parts)
                 n_bytes += len(part)
                 if n_bytes > bounds.max_body_bytes:
-                    raise RequestError(_too_large(bounds))
+                    raise RequestError(_build_size_failure(bounds))
                 parts.append(part)
     except TimeoutError:
         detail = f"received only {n_bytes} bytes of the body in time"
         raise RequestError(Failure(Reason.SLOW_SENDER, detail=detail)) from None
 
 
-def _too_large(bounds: CallerBounds) -> Failure:
+def _build_size_failure(bounds: CallerBounds) -> Failure:
     detail = f"the body is larger than {bounds.max_body_bytes} bytes"
     return Failure(Reason.BODY_TOO_LARGE, detail=detail)
 
--- a/src/quetzaldeck/gateway/claimed_call.py
+++ b/src/quetzaldeck/gateway/claimed_call.py
@@ -33,8 +33,8 @@
 RETRY_AFTER_MS = 1_000.0
 """Wait before a retry if the agent does not respond; it restarts within that time."""
 AGENT_MARGIN_MS = 50.0
-"""Added to the agent's time for a claim, for the round trip between gateway and
-agent."""
+"""Added to the timeout of the request for a claim, for the round trip between gateway
+and agent."""
 
 _DECISION = msgspec.json.Decoder(ClaimDecision)
 _AGENT_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError)
@@ -56,14 +56,14 @@
         self._state = state
         self._client = client
         self._claim_request = claim_request
-        self._guard = PauseGuard(
+        self._pause_guard = PauseGuard(
             state.clock,
             max_pause_ms=0.0,
             on_pause=lambda _: state.metrics.ended_claims.inc(),
         )
-        self._started = self._guard.begin()
+        self._started = self._pause_guard.begin()
         self._lease_ms = 0.0
-        self._has_run = False
+        self._may_have_run = False
         self._answer: ServiceAnswer | None = None
         self._is_replayed = False
 
@@ -93,9 +93,9 @@
             await asyncio.shield(self._report_end())
 
     @property
-    def has_run(self) -> bool:
+    def may_have_run(self) -> bool:
         """:returns: whether any byte of the call may have reached an upstream"""
-        return self._has_run
+        return self._may_have_run
 
     @property
     def answer(self) -> ServiceAnswer | None:
@@ -106,21 +106,21 @@
         """Check the claim; must be called right before the first byte may be sent.
 
         If this VM was paused after the claim was granted, the voters may have dropped
-        it meanwhile and another VM may have run the call.
+        the claim meanwhile, and another VM may have run the call.
 
         :raises RequestError: if the call must no longer be dispatched
         """
         try:
-            self._guard.check(self._started, max_ms=self._lease_ms)
+            self._pause_guard.check(self._started, max_ms=self._lease_ms)
         except PauseError as error:
-            ran = Ran.UNKNOWN if self._has_run else Ran.NO
+            ran = Ran.UNKNOWN if self._may_have_run else Ran.NO
             failure = Failure(Reason.DEADLINE_EXCEEDED, ran, detail=str(error))
             raise RequestError(failure) from error
-        self._has_run = True
+        self._may_have_run = True
 
     def undo_dispatch(self) -> None:
         """Record that no byte can have reached the upstream."""
-        self._has_run = False
+        self._may_have_run = False
 
     def store_answer(self, answer: ServiceAnswer) -> None:
         """Store the answer, to be replayed when the caller resends the call."""
@@ -139,14 +139,14 @@
             return _DECISION.decode(await response.read())
 
     async def _report_end(self) -> None:
-        """Report the end of the call to the agent, if it can be reached.
+        """Report the end of the call to the agent.
 
-        If it cannot, the claim stays held until its window has passed. Resends are then
-        answered with ``ran: unknown``, which is correct.
+        If the agent cannot be reached, the claim stays held until its window has
+        passed. Resends are then answered with ``ran: unknown``, which is correct.
         """
         end = ClaimEnd(
             self._claim_request.claim_request_id,
-            self._has_run,
+            self._may_have_run,
             _to_kept_answer(self._answer),
         )
         try:
--- a/src/quetzaldeck/gateway/completions.py
+++ b/src/quetzaldeck/gateway/completions.py
@@ -45,8 +45,8 @@
     ) -> web.StreamResponse:
         """Serve one call.
 
-        :raises RequestError: if it is refused or fails; if its response was started,
-            the error has it
+        :raises RequestError: if the call is refused or fails; the error holds the
+            streamed response if it was started
         """
         arrived_ms = self._state.clock.now_ms()
         headers = http_request.headers
--- a/src/quetzaldeck/gateway/crash_records.py
+++ b/src/quetzaldeck/gateway/crash_records.py
@@ -38,9 +38,9 @@
     def handle(self, record: Record) -> None:
         """Pass the sightings of another VM to the scheduler."""
         forget_ms = self._dispatch.poison_bounds.forget_ms
-        travelled_ms = max(0.0, forget_ms - record.remaining_ms)
+        record_age_ms = max(0.0, forget_ms - record.remaining_ms)
         fingerprint = int(record.key, _KEY_BASE)
-        sightings = decode_crash_record(fingerprint, record.value, travelled_ms)
+        sightings = decode_crash_record(fingerprint, record.value, record_age_ms)
         if sightings:
             self._dispatch.send(ObserveCrashes(sightings))
 
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -79,12 +79,12 @@
         return self._scheduler.poison.bounds
 
     async def wait_for_crash(self) -> None:
-        """Wait until an attempt ended with a broken connection, as after a crash."""
+        """Wait until an attempt ends with a broken connection, as after a crash."""
         await self._crash_seen.wait()
         self._crash_seen.clear()
 
     async def wait_for_load_change(self) -> None:
-        """Wait until an attempt started, received its first token, or ended."""
+        """Wait until an attempt starts, receives its first token, or ends."""
         await self._load_changed.wait()
         self._load_changed.clear()
 
@@ -111,13 +111,13 @@
     def send_deferrable(self, message: Message) -> None:
         """Add a message that has no effect unless a request has to be placed.
 
-        Load pattern: VMs send each other their loads, many messages a second for each
-        request that a VM serves itself. Waking the task for each of them would poll the
-        scheduler when there is nothing to decide.
+        VMs send each other their loads: a VM receives many of these messages a second
+        for each request that it serves itself. Waking the task for each message would
+        poll the scheduler when there is nothing to decide.
 
-        So they are deferred until the next message or the next poll, for half a second
-        at most, and are handled before it. While requests are queued the task is woken
-        at once, since the message may report free capacity.
+        So the messages are deferred, for half a second at most: they are handled before
+        the next other message or the next poll. While requests are queued, the task is
+        woken at once, since the message may report free capacity.
         """
         if self._scheduler.n_queued:
             self._mailbox.put_nowait(message)
--- a/src/quetzaldeck/gateway/drain.py
+++ b/src/quetzaldeck/gateway/drain.py
@@ -26,9 +26,9 @@
 class Drain:
     """Shuts a gateway down without aborting requests.
 
-    Leaving: the gateway is not ready, but still accepts requests, since the load
-    balancer notices this with a delay and continues to send them. If the gateway
-    refused at once, callers would be rejected that another VM could serve.
+    Leaving: the gateway reports that it is not ready, but still accepts requests, since
+    the load balancer notices this with a delay and sends requests until then. If the
+    gateway refused them at once, callers that another VM could serve would be rejected.
 
     Draining: no new requests are accepted. Those in progress end on their own, at the
     latest at their deadlines. A second signal, or the time limit of the settings,
--- a/src/quetzaldeck/gateway/exchange_task.py
+++ b/src/quetzaldeck/gateway/exchange_task.py
@@ -28,7 +28,7 @@
 
 
 class ExchangeTask:
-    """Gets updates from the agent, which has already verified every bundle."""
+    """Exchanges reports with the agent, which has already verified every bundle."""
 
     def __init__(self, state: GatewayState, client: aiohttp.ClientSession) -> None:
         self._state = state
@@ -42,8 +42,8 @@
     async def run(self) -> None:
         """Run exchanges until cancelled: at an interval, and at once after a crash.
 
-        Until the other VMs know of a crash, the same request may crash one more engine
-        on each of them.
+        Until the other VMs know of a crash, each of them may dispatch the same request
+        and so crash one more engine.
         """
         interval_s = self._state.settings.exchange_interval_ms / 1_000
         while True:
--- a/src/quetzaldeck/gateway/in_flight.py
+++ b/src/quetzaldeck/gateway/in_flight.py
@@ -16,7 +16,7 @@
 class _TrackedRequest:
     """One request in progress.
 
-    :param task: the task that handles it
+    :param task: the task that handles the request
     """
 
     def __init__(self, task: asyncio.Task[object]) -> None:
@@ -25,7 +25,7 @@
 
 
 class InFlightRequests:
-    """Tracks requests in progress, and aborts them if a shutdown cannot wait."""
+    """Tracks requests in progress, and aborts them when a shutdown stops waiting."""
 
     def __init__(self) -> None:
         self._requests: dict[str, _TrackedRequest] = {}
@@ -41,8 +41,8 @@
     ) -> Iterator[None]:
         """Track a request while the context is open.
 
-        :param task: the task that handles it; the current one if not given
-        :raises RequestError: if it was aborted meanwhile
+        :param task: the task that handles the request; the current task if not given
+        :raises RequestError: if the request was aborted meanwhile
         """
         task = task or asyncio.current_task()
         assert task is not None
--- a/src/quetzaldeck/gateway/parse.py
+++ b/src/quetzaldeck/gateway/parse.py
@@ -80,7 +80,7 @@
     return CompletionCall(
         model=fields["model"],
         prompt=prompt,
-        max_output_tokens=_read_output_bound(fields, bounds),
+        max_output_tokens=_read_max_output_tokens(fields, bounds),
         messages=messages,
         adapter=fields.get("adapter", ""),
         is_streamed=fields.get("stream", False),
@@ -102,7 +102,7 @@
     return str(prompt if isinstance(prompt, str) else prompt[0])
 
 
-def _read_output_bound(fields: dict[str, Any], bounds: CallerBounds) -> int:
+def _read_max_output_tokens(fields: dict[str, Any], bounds: CallerBounds) -> int:
     for name in ("max_completion_tokens", "max_tokens"):
         value = fields.get(name)
         if value is None:
--- a/src/quetzaldeck/gateway/release_task.py
+++ b/src/quetzaldeck/gateway/release_task.py
@@ -24,11 +24,12 @@
 REPEAT_INTERVAL_MS = 2_000.0
 """Shorter than the time for which unused memory may stay allocated."""
 STOP_TIMEOUT_MS = 1_000.0
-"""Timeout of running releases at shutdown; the rest is freed by the end of leases."""
+"""Timeout of running releases at shutdown; allocations that remain are freed when their
+leases end."""
 
 
 class Release(NamedTuple):
-    """Cancel an id at an engine: a sequence, or a reservation with its exports.
+    """Release a sequence at an engine, or a reservation with its exports.
 
     :param upstream: name of the engine
     :param held_id: id of the allocation
@@ -42,13 +43,13 @@
 
 
 class ReleaseTask:
-    """Cancels ids at engines, and retries if an engine does not respond.
+    """Releases allocations at engines, and retries if an engine does not respond.
 
     Closing a connection is not enough: the engine may not notice it if the network
     drops the packets. The handler cannot release either, since it is cancelled when its
     caller disconnects. The memory would stay allocated until the engine's own timeout.
 
-    :param cancel: cancels one id
+    :param cancel: releases one allocation
     :param metrics: counts the releases
     """
 
--- a/src/quetzaldeck/gateway/request_headers.py
+++ b/src/quetzaldeck/gateway/request_headers.py
@@ -38,8 +38,8 @@
 
     :raises RequestError: if the header is not a number in range
     """
-    asked = _read_int(headers, PRIORITY_HEADER, 0, MAX_PRIORITY, customer.priority)
-    return max(asked, customer.priority)
+    requested = _read_int(headers, PRIORITY_HEADER, 0, MAX_PRIORITY, customer.priority)
+    return max(requested, customer.priority)
 
 
 def read_idempotency_key(headers: Mapping[str, str]) -> str:
--- a/src/quetzaldeck/gateway/service.py
+++ b/src/quetzaldeck/gateway/service.py
@@ -48,13 +48,13 @@
         self._settings = settings
         clock = clock or Clock()
         self._session = GatewaySession(settings, clock)
-        self._guard_task: asyncio.Task[None] | None = None
+        self._connection_guard_task: asyncio.Task[None] | None = None
         self._connection_guard = ConnectionGuard(
             lambda: self.connections,
             clock,
             request_timeout_ms=settings.callers.request_head_ms,
             read_timeout_ms=settings.callers.write_idle_ms,
-            on_break=self._note_broken_connection,
+            on_abort=self._note_aborted_connection,
         )
 
     @property
@@ -65,17 +65,19 @@
     async def open(self) -> web.Application:
         """Start the session."""
         await self._session.__aenter__()
-        self._guard_task = asyncio.create_task(self._connection_guard.run())
-        completions = self._guard(
+        self._connection_guard_task = asyncio.create_task(self._connection_guard.run())
+        completions = self._report_errors(
             "model", CompletionHandler(self._session.state).handle
         )
-        services = self._guard("service", ServiceHandler(self._session.state).handle)
+        services = self._report_errors(
+            "service", ServiceHandler(self._session.state).handle
+        )
         application = web.Application(middlewares=[self._note_connection])
         application.add_routes(
             [
                 web.post("/v1/completions", completions),
                 web.post("/v1/chat/completions", completions),
-                web.get("/v1/models", self._guard("models", self._list_models)),
+                web.get("/v1/models", self._report_errors("models", self._list_models)),
                 web.get("/healthz", self._healthz),
                 web.get("/readyz", self._readyz),
                 web.get("/v1/status", self._status),
@@ -97,8 +99,8 @@
 
     async def close(self) -> None:
         """Close the session."""
-        if self._guard_task is not None:
-            self._guard_task.cancel()
+        if self._connection_guard_task is not None:
+            self._connection_guard_task.cancel()
         await self._session.__aexit__(None, None, None)
 
     @web.middleware
@@ -108,7 +110,7 @@
         self._connection_guard.note_request(request.protocol)
         return await handler(request)
 
-    def _guard(
+    def _report_errors(
         self, kind: str, handler: Handler
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
         """:returns: ``handler``, with errors turned into JSON error responses"""
@@ -163,7 +165,7 @@
         if self._session.state.drain.is_leaving and not response.prepared:
             response.force_close()
 
-    def _note_broken_connection(self, stall: Stall) -> None:
+    def _note_aborted_connection(self, stall: Stall) -> None:
         self._session.metrics.connections_broken.labels(stall.value).inc()
         log_event("connection_broken", why=stall.value)
 
--- a/src/quetzaldeck/gateway/services.py
+++ b/src/quetzaldeck/gateway/services.py
@@ -42,7 +42,7 @@
     ) -> web.StreamResponse:
         """Serve one call.
 
-        :raises RequestError: if it is refused or fails
+        :raises RequestError: if the call is refused or fails
         """
         arrived_ms = self._state.clock.now_ms()
         headers = http_request.headers
@@ -109,7 +109,7 @@
             return await asyncio.shield(running)
         except asyncio.CancelledError:
             is_aborted = self._state.in_flight.is_aborted(request.request_id)
-            if claimed.has_run and not is_aborted:
+            if claimed.may_have_run and not is_aborted:
                 self._state.detached_calls.add(request.request_id, running)
             else:
                 running.cancel()
--- a/src/quetzaldeck/gateway/stream_writer.py
+++ b/src/quetzaldeck/gateway/stream_writer.py
@@ -95,12 +95,12 @@
                 await self._write(b"event: error\n" + encode_event(body))
                 await self._response.write_eof()
             except (RequestError, ConnectionError):
-                self._break()
+                self._abort_connection()
         else:
-            self._break()
+            self._abort_connection()
         return RequestError(failure, self._response)
 
-    def _break(self) -> None:
+    def _abort_connection(self) -> None:
         if self._http_request.transport is not None:
             self._http_request.transport.abort()
 
--- a/src/quetzaldeck/http/connection_guard.py
+++ b/src/quetzaldeck/http/connection_guard.py
@@ -27,7 +27,7 @@
 class _Progress(NamedTuple):
     """Last progress of a connection.
 
-    :param n_buffered: bytes in the write buffer, not yet taken by the reader
+    :param n_buffered: bytes in the write buffer that the caller has not read yet
     :param since_ms: time of the last change of ``n_buffered``
     """
 
@@ -46,7 +46,7 @@
     :param list_connections: returns the open connections
     :param request_timeout_ms: time limit for the first request head on a connection
     :param read_timeout_ms: time limit for the caller to read more of a buffered answer
-    :param on_break: called with the reason for each connection that is aborted
+    :param on_abort: called with the reason for each connection that is aborted
     """
 
     def __init__(
@@ -56,13 +56,13 @@
         *,
         request_timeout_ms: float,
         read_timeout_ms: float,
-        on_break: Callable[[Stall], None],
+        on_abort: Callable[[Stall], None],
     ) -> None:
         self._list_connections = list_connections
         self._clock = clock
         self._request_timeout_ms = request_timeout_ms
         self._read_timeout_ms = read_timeout_ms
-        self._on_break = on_break
+        self._on_abort = on_abort
         self._progress: dict[RequestHandler, _Progress] = {}
         self._with_request: set[RequestHandler] = set()
 
@@ -94,7 +94,7 @@
         stall = self._find_stall(connection, n_buffered, now_ms - progress.since_ms)
         if stall is not None and transport is not None:
             transport.abort()
-            self._on_break(stall)
+            self._on_abort(stall)
         return progress
 
     def _find_stall(
--- a/src/quetzaldeck/telemetry/predictions.py
+++ b/src/quetzaldeck/telemetry/predictions.py
@@ -55,7 +55,7 @@
         if predicted_ms > 0:
             length = classify_length(n_tokens).value
             pairs.setdefault(length, []).append((measured_ms, predicted_ms))
-    return [_summarize(length, found) for length, found in pairs.items()]
+    return [_summarize(length, times) for length, times in pairs.items()]
 
 
 def _summarize(length: str, pairs: list[tuple[float, float]]) -> PredictionRow:
--- a/src/quetzaldeck/telemetry/request_trace.py
+++ b/src/quetzaldeck/telemetry/request_trace.py
@@ -1,8 +1,8 @@
 """Trace of one request, collected from the logs of all VMs.
 
-Each attempt of a caller reaches one VM, and nothing outside shows which one. The trace
-also lists faults that other requests met at the same upstreams at the same time, to
-tell a fault of an upstream from a fault of a VM.
+Each send of a caller reaches one VM, and only the logs show which one. The trace also
+lists faults of other requests on the same upstreams at the same time, to distinguish a
+fault of an upstream from a fault of a VM.
 """
 
 from __future__ import annotations
@@ -105,9 +105,13 @@
         end_ms = max(self._own).at_ms + margin_ms
         faults = []
         for (_, name), entries in self._faults.items():
-            near = [entry for entry in entries if begin_ms <= entry.at_ms <= end_ms]
-            if near and name in self._upstreams:
-                faults.append(UpstreamFault(min(near), len(near)))
+            entries_in_range = [
+                entry for entry in entries if begin_ms <= entry.at_ms <= end_ms
+            ]
+            if entries_in_range and name in self._upstreams:
+                faults.append(
+                    UpstreamFault(min(entries_in_range), len(entries_in_range))
+                )
         return RequestTrace(sorted(self._own), sorted(faults))
 
 
--- a/src/quetzaldeck/upstreams/api.py
+++ b/src/quetzaldeck/upstreams/api.py
@@ -115,7 +115,7 @@
 
     @abstractmethod
     async def call(self, call: ServiceCall, timeout_ms: float) -> ServiceAnswer:
-        """Forward a call, exactly one time.
+        """Forward a call once, without resending it.
 
         :raises UpstreamError: if no complete response is received
         """
--- a/src/quetzaldeck/upstreams/connections.py
+++ b/src/quetzaldeck/upstreams/connections.py
@@ -57,7 +57,10 @@
 
     @asynccontextmanager
     async def use_engine(self, name: str) -> AsyncIterator[EngineUpstream]:
-        """Use an engine's adapter for one call, even if a newer bundle lacks it."""
+        """Use an engine's adapter for one call.
+
+        The engine may be missing from a newer bundle: running requests still use it.
+        """
         spec = self._specs[name]
         adapter = engine_protocols.get(spec.protocol)
         async with self._use(name) as pool:
--- a/src/quetzaldeck/upstreams/http_service.py
+++ b/src/quetzaldeck/upstreams/http_service.py
@@ -34,7 +34,7 @@
     """Forwards calls unchanged."""
 
     async def call(self, call: ServiceCall, timeout_ms: float) -> ServiceAnswer:
-        """Forward a call, exactly one time; see :meth:`ServiceUpstream.call`."""
+        """Forward a call once; see :meth:`ServiceUpstream.call`."""
         async with (
             translate_faults(self._spec.name),
             self._session.request(
--- a/src/quetzaldeck/upstreams/openai_engine.py
+++ b/src/quetzaldeck/upstreams/openai_engine.py
@@ -74,17 +74,19 @@
             origin.read_header(response)
             incarnation = origin.incarnation
             check_status(name, response)
-            has_end = False
+            is_complete = False
             try:
                 async for data in self._read_events(response):
                     chunk = self._decode_chunk(data)
                     is_own = chunk.attempt_id == attempt.attempt_id
-                    has_end = has_end or (is_own and chunk.finish_reason is not None)
+                    is_complete = is_complete or (
+                        is_own and chunk.finish_reason is not None
+                    )
                     yield chunk
             finally:
-                if has_end:
+                if is_complete:
                     await _read_to_end(response)
-            if has_end:
+            if is_complete:
                 return
         raise UpstreamError(
             AttemptFault.BROKEN,
--- a/src/quetzaldeck/upstreams/send_once.py
+++ b/src/quetzaldeck/upstreams/send_once.py
@@ -21,8 +21,9 @@
 
     If the connection is lost, aiohttp resends GET, PUT and DELETE once, without knowing
     which calls may be repeated: a call that ran before the connection was lost would
-    run twice. It resends only after two of its errors, so these are raised as another
-    one here. Errors of refused connections and connect timeouts are passed on.
+    run twice. aiohttp resends only after ``ClientOSError`` and
+    ``ServerDisconnectedError``, so both are raised as :class:`ConnectionLostError`.
+    Errors of refused connections and connect timeouts are passed on.
 
     :raises ConnectionLostError: if the connection was lost
     """
--- a/tests/http/test_connection_guard.py
+++ b/tests/http/test_connection_guard.py
@@ -37,7 +37,7 @@
         clock,
         request_timeout_ms=1_000,
         read_timeout_ms=5_000,
-        on_break=broken.append,
+        on_abort=broken.append,
     )
 
 
