--- a/src/quetzaldeck/bundle/diff.py
+++ b/src/quetzaldeck/bundle/diff.py
@@ -76,13 +76,13 @@
     new_by_key = {_key_of(item): item for item in new}
     for key, item in old_by_key.items():
         if key not in new_by_key:
-            yield Change(ChangeKind.REMOVED, _path_of_item(place, item), old=item)
+            yield Change(ChangeKind.REMOVED, _place_of_item(place, item), old=item)
         elif _is_named(item):
-            inner = _path_of_item(place, item)
-            yield from _diff_sections(item, new_by_key[key], inner)
+            item_place = _place_of_item(place, item)
+            yield from _diff_sections(item, new_by_key[key], item_place)
     for key, item in new_by_key.items():
         if key not in old_by_key:
-            yield Change(ChangeKind.ADDED, _path_of_item(place, item), new=item)
+            yield Change(ChangeKind.ADDED, _place_of_item(place, item), new=item)
 
 
 def _is_named(value: Any) -> bool:
@@ -93,7 +93,7 @@
     return item.name if _is_named(item) else item
 
 
-def _path_of_item(place: str, item: Any) -> str:
+def _place_of_item(place: str, item: Any) -> str:
     return f"{place}[{item.name}]" if _is_named(item) else place
 
 
--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -89,7 +89,7 @@
         self._load_changed.clear()
 
     def pop_crash_sightings(self) -> list[tuple[CrashSighting, ...]]:
-        """:returns: by request, crash sightings to be sent to the other VMs"""
+        """:returns: crash sightings to be sent to the other VMs, grouped by request"""
         return self._scheduler.fleet.pop_crash_sightings()
 
     def list_own_loads(self) -> list[tuple[str, VmLoad]]:
@@ -131,13 +131,13 @@
     async def run(self) -> None:
         """Handle messages until cancelled."""
         while True:
-            await self._receive()
+            await self._handle_mailbox()
             self._deliver_decisions()
             self._degraded_log.check(self._clock.now_ms())
             self._metrics.queued.set(self._scheduler.n_queued)
             self._metrics.running.set(self._scheduler.n_running)
 
-    async def _receive(self) -> None:
+    async def _handle_mailbox(self) -> None:
         """Handle all messages in the mailbox; wait for one if it is empty.
 
         The wait is bounded so that expired requests and outdated reports are noticed
@@ -268,9 +268,9 @@
     def _submit(self, message: Submit) -> None:
         """Admit a request after placing queued requests for which there is capacity.
 
-        Several requests may arrive between two polls: a burst, or everything that came
-        in while the VM was paused. If the earlier ones still counted as queued, the
-        last ones would be refused although upstreams are idle.
+        Several requests may arrive between two polls: a burst, or all requests that
+        came in while the VM was paused. If the earlier requests still counted as
+        queued, the last ones would be refused although upstreams are idle.
         """
         if self._scheduler.n_queued:
             self._deliver_decisions()
--- a/tests/bundle/test_signing.py
+++ b/tests/bundle/test_signing.py
@@ -23,9 +23,10 @@
 def test_encode_envelope_fits_the_configuration_service(
     key_pair: tuple[str, str],
 ) -> None:
-    """A bundle of 9,200 customers, expected within two years, cannot be rolled out.
+    """Guards against a bundle of 9,200 customers that cannot be rolled out.
 
-    Its plain JSON has 1.8 MB, and the configuration service stores 1 MB at most.
+    That number is expected within two years. The plain JSON has 1.8 MB, and the
+    configuration service stores at most 1 MB.
     """
     bundle = build_large_bundle(N_CUSTOMERS_DESIGNED_FOR)
     envelope = sign_bundle(bundle, "ops", key_pair[0])
@@ -35,10 +36,10 @@
 
 
 def test_decode_envelope_limits_decompressed_size() -> None:
-    """A payload of a few kilobytes decompresses to far more.
+    """Guards against a payload of a few kilobytes that decompresses to far more.
 
-    It is decompressed before its signature is verified; without a limit the agent
-    would run out of memory.
+    The payload is decompressed before its signature is verified; without a limit, the
+    agent would run out of memory.
     """
     compressed = zlib.compress(b" " * (MAX_PAYLOAD_BYTES + 1))
     payload = base64.b64encode(compressed).decode()
--- a/tests/bundle/test_store.py
+++ b/tests/bundle/test_store.py
@@ -19,9 +19,9 @@
 
 
 def test_offer_never_lowers_the_version(key_pair: tuple[str, str]) -> None:
-    """The configuration service returns an old bundle after a newer one.
+    """Guards against a VM that goes back to an old bundle.
 
-    If the order of arrival decided, the VM would go back to the old bundle.
+    The configuration service returns the old bundle after a newer one.
     """
     private_key, public_key = key_pair
     store = BundleStore({"ops": public_key})
@@ -58,7 +58,7 @@
 
 
 def test_offer_accepts_bundles_of_both_keys_during_key_rotation() -> None:
-    """Operators replace their signing key and continue to roll out bundles.
+    """Guards against a key rotation that interrupts the rollout of bundles.
 
     Agents trust both keys for a time. Once the old key is removed from their settings,
     bundles signed with it are rejected.
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -153,7 +153,10 @@
 def test_bundle_verify_rejects_tampered_bundle(
     bundle_path: Path, key: tuple[Path, str]
 ) -> None:
-    """The weight of a customer is changed in a bundle after it was signed."""
+    """Guards against accepting a bundle that was changed after it was signed.
+
+    The weight of a customer is changed.
+    """
     key_path, public_key = key
     signed = sign(bundle_path, key_path)
     words = ("bundle", "verify", "--public-key", public_key)
--- a/tests/cli/test_entry.py
+++ b/tests/cli/test_entry.py
@@ -39,6 +39,6 @@
 def test_entry_does_not_load_what_only_other_programs_use(
     loaded: frozenset[str], module: str
 ) -> None:
-    """Every entry VM would keep a library in memory that it never calls."""
+    """Guards against entry VMs that keep unused libraries in memory."""
     assert "quetzaldeck.cli.entry" in loaded
     assert module not in loaded
--- a/tests/config/test_compiled.py
+++ b/tests/config/test_compiled.py
@@ -1,4 +1,4 @@
-"""The fast decoder and the checked loader accept the same documents."""
+"""Tests that the fast decoder and the checked loader accept the same documents."""
 
 from __future__ import annotations
 
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("head", [b"", b"POST /v1/completions HTTP/1.1\r\nHost:"])
-def test_connection_without_a_request_is_broken(head: bytes) -> None:
+def test_connection_without_a_request_is_aborted(head: bytes) -> None:
     """Guards against connections that stay open without a complete request head.
 
     No handler is started for them, so no timeout of a handler applies.
@@ -291,10 +291,10 @@
             with suppress(ConnectionResetError):
                 assert await reader.read() == b""
         gateway = fleet.vms["entry-1"].gateway
-        broken = gateway.session.metrics.registry.get_sample_value(
+        n_aborted = gateway.session.metrics.registry.get_sample_value(
             "quetzaldeck_connections_broken_total", {"why": "no_request"}
         )
-        assert broken == 1
+        assert n_aborted == 1
 
     run(check)
 
--- a/tests/gateway/test_usage_records.py
+++ b/tests/gateway/test_usage_records.py
@@ -156,7 +156,7 @@
     assert submit(second_scheduler, clock, 20) == 6
 
 
-def test_usage_of_an_unknown_shape_is_ignored(clock: ManualClock) -> None:
+def test_usage_in_an_unknown_format_is_ignored(clock: ManualClock) -> None:
     """Guards against a failure when a VM of a newer version sends another format."""
     dispatch, scheduler = make_dispatch(clock, 1)
     record = Record(
--- a/tests/http/test_connection_guard.py
+++ b/tests/http/test_connection_guard.py
@@ -30,25 +30,25 @@
 
 
 def make_guard(
-    clock: ManualClock, connections: list[FakeConnection], broken: list[Stall]
+    clock: ManualClock, connections: list[FakeConnection], stalls: list[Stall]
 ) -> ConnectionGuard:
     return ConnectionGuard(
         lambda: cast("Any", connections),
         clock,
         request_timeout_ms=1_000,
         read_timeout_ms=5_000,
-        on_abort=broken.append,
+        on_abort=stalls.append,
     )
 
 
 def test_guard_aborts_connection_whose_answer_is_not_read(clock: ManualClock) -> None:
-    """A caller requests a long answer and does not read it.
+    """Guards against a caller that requests a long answer and does not read it.
 
     The answer would stay in the gateway's memory, at no cost to the caller.
     """
-    broken: list[Stall] = []
+    stalls: list[Stall] = []
     reader, idle = FakeConnection(), FakeConnection()
-    guard = make_guard(clock, [reader, idle], broken)
+    guard = make_guard(clock, [reader, idle], stalls)
     for connection in (reader, idle):
         guard.note_request(cast("RequestHandler", connection))
     reader.transport.n_buffered = 10_000
@@ -58,19 +58,19 @@
     guard.check_connections()
     clock.advance(4_999)
     guard.check_connections()
-    assert broken == []
+    assert stalls == []
     clock.advance(1)
     guard.check_connections()
-    assert broken == [Stall.SLOW_READER]
+    assert stalls == [Stall.SLOW_READER]
     assert reader.transport.is_aborted
     assert not idle.transport.is_aborted
 
 
 def test_guard_aborts_connection_without_request(clock: ManualClock) -> None:
-    broken: list[Stall] = []
+    stalls: list[Stall] = []
     connections = [FakeConnection()]
-    guard = make_guard(clock, connections, broken)
+    guard = make_guard(clock, connections, stalls)
     guard.check_connections()
     clock.advance(1_000)
     guard.check_connections()
-    assert broken == [Stall.NO_REQUEST]
+    assert stalls == [Stall.NO_REQUEST]
--- a/tests/telemetry/test_log.py
+++ b/tests/telemetry/test_log.py
@@ -45,9 +45,9 @@
 
 
 def test_log_event_cannot_be_forged_by_a_value() -> None:
-    """A caller sends a model name that contains a forged log line.
+    """Guards against a log that shows a shutdown that did not happen.
 
-    The log would show a shutdown that did not happen.
+    A caller sends a model name that contains a forged log line.
     """
     stream = io.StringIO()
     configure_logging(stream)
@@ -58,9 +58,10 @@
 
 
 def test_library_logs_do_not_quote_callers() -> None:
-    """A caller sends a malformed header that contains its API key.
+    """Guards against API keys in the log.
 
-    The HTTP library logs the bytes that it could not parse.
+    A caller sends a malformed header that contains its API key, and the HTTP library
+    logs the bytes that it could not parse.
     """
     stream = io.StringIO()
     configure_logging(stream)
--- a/tests/telemetry/test_log_writer.py
+++ b/tests/telemetry/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Logging never blocks a program, and reports dropped lines."""
+"""Tests that logging never blocks a program and that it reports dropped lines."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class StuckStream(io.StringIO):
-    """A full pipe that nobody reads until ``has_room`` is set."""
+    """A full pipe that nobody reads until ``may_write`` is set."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.has_room = threading.Event()
+        self.may_write = threading.Event()
 
     def write(self, text: str) -> int:
-        self.has_room.wait()
+        self.may_write.wait()
         return super().write(text)
 
 
@@ -35,28 +35,31 @@
 
 
 def test_stopped_reader_does_not_block_the_program() -> None:
-    """Nobody reads the standard output of a VM, and all its callers wait.
+    """Guards against blocking all callers of a VM when nobody reads its output.
 
     The pipe is full, so that the next log line would block the event loop.
     """
     stream = StuckStream()
     with LogWriter(stream) as writer:
-        begun = time.monotonic()
+        started_s = time.monotonic()
         for _ in range(2 * MAX_QUEUED_LINES):
             writer.write("line\n")
-        assert time.monotonic() - begun < 1.0
+        assert time.monotonic() - started_s < 1.0
         assert writer.n_dropped
-        stream.has_room.set()
+        stream.may_write.set()
 
 
 def test_burst_is_limited_and_dropped_lines_are_reported() -> None:
-    """A burst of 50,000 failures is logged."""
+    """Guards against a burst of failures that takes processor time from serving.
+
+    50,000 lines are logged at once.
+    """
     stream = io.StringIO()
     with LogWriter(stream) as writer:
-        begun = time.monotonic()
+        started_s = time.monotonic()
         for _ in range(50_000):
             writer.write("line\n")
-        elapsed_s = time.monotonic() - begun
+        elapsed_s = time.monotonic() - started_s
         time.sleep(2 / MAX_LINES_PER_S)
         writer.write("last\n")
     lines = stream.getvalue().splitlines()
--- a/tests/telemetry/test_request_trace.py
+++ b/tests/telemetry/test_request_trace.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-FORM = "time=2026-03-31T08:04:{} level=INFO event={}"
+LINE_FORMAT = "time=2026-03-31T08:04:{} level=INFO event={}"
 LOGS = {
     "a-1": (
         ("04.703+00:00", "dispatched request=r1 upstream=e1 readers=e2,e3"),
@@ -33,7 +33,7 @@
 @pytest.fixture
 def files(tmp_path: Path) -> list[str]:
     for name, lines in LOGS.items():
-        text = "\n".join(FORM.format(*line) for line in lines)
+        text = "\n".join(LINE_FORMAT.format(*line) for line in lines)
         (tmp_path / name).write_text(text)
     return [str(tmp_path / name) for name in LOGS]
 
--- a/tests/upstreams/test_pools.py
+++ b/tests/upstreams/test_pools.py
@@ -25,7 +25,7 @@
 def test_replace_replaces_a_pool_once() -> None:
     """Guards against replacing the new pool when several reads on the old one time out.
 
-    Three reads on one pool time out, and each tries to replace it.
+    Three reads on the old pool time out, and each tries to replace that pool.
     """
 
     async def check() -> None:
@@ -40,11 +40,11 @@
 
 def test_replaced_pool_stays_open_while_it_is_used() -> None:
     async def check() -> None:
-        async with ConnectionPools() as pools, pools.use("e") as other_user:
+        async with ConnectionPools() as pools, pools.use("e") as pool_of_other_user:
             async with pools.use("e") as pool:
                 pools.replace("e", pool)
-            assert not other_user.session.closed
-        assert other_user.session.closed
+            assert not pool_of_other_user.session.closed
+        assert pool_of_other_user.session.closed
 
     run(check())
 
