--- a/src/quetzaldeck/gateway/dispatch_task.py
+++ b/src/quetzaldeck/gateway/dispatch_task.py
@@ -79,17 +79,17 @@
         return self._scheduler.poison.bounds
 
     async def wait_for_crash(self) -> None:
-        """Wait until an attempt ended with a broken connection, as after a crash."""
+        """Wait until an attempt ends with a broken connection, as after a crash."""
         await self._crash_seen.wait()
         self._crash_seen.clear()
 
     async def wait_for_load_change(self) -> None:
-        """Wait until an attempt started, received its first token, or ended."""
+        """Wait until an attempt starts, receives its first token, or ends."""
         await self._load_changed.wait()
         self._load_changed.clear()
 
     def pop_crash_sightings(self) -> list[tuple[CrashSighting, ...]]:
-        """:returns: by request, crash sightings to be sent to the other VMs"""
+        """:returns: crash sightings to be sent to the other VMs, grouped by request"""
         return self._scheduler.fleet.pop_crash_sightings()
 
     def list_own_loads(self) -> list[tuple[str, VmLoad]]:
@@ -111,13 +111,13 @@
     def send_deferrable(self, message: Message) -> None:
         """Add a message that has no effect unless a request has to be placed.
 
-        Load pattern: VMs send each other their loads, many messages a second for each
-        request that a VM serves itself. Waking the task for each of them would poll the
-        scheduler when there is nothing to decide.
+        VMs send each other their loads: a VM receives many of these messages a second
+        for each request that it serves itself. Waking the task for each message would
+        poll the scheduler when there is nothing to decide.
 
-        So they are deferred until the next message or the next poll, for half a second
-        at most, and are handled before it. While requests are queued the task is woken
-        at once, since the message may report free capacity.
+        So the messages are deferred, for half a second at most: they are handled before
+        the next other message or the next poll. While requests are queued, the task is
+        woken at once, since the message may report free capacity.
         """
         if self._scheduler.n_queued:
             self._mailbox.put_nowait(message)
@@ -131,13 +131,13 @@
     async def run(self) -> None:
         """Handle messages until cancelled."""
         while True:
-            await self._receive()
+            await self._handle_mailbox()
             self._deliver_decisions()
             self._degraded_log.check(self._clock.now_ms())
             self._metrics.queued.set(self._scheduler.n_queued)
             self._metrics.running.set(self._scheduler.n_running)
 
-    async def _receive(self) -> None:
+    async def _handle_mailbox(self) -> None:
         """Handle all messages in the mailbox; wait for one if it is empty.
 
         The wait is bounded so that expired requests and outdated reports are noticed
@@ -268,9 +268,9 @@
     def _submit(self, message: Submit) -> None:
         """Admit a request after placing queued requests for which there is capacity.
 
-        Several requests may arrive between two polls: a burst, or everything that came
-        in while the VM was paused. If the earlier ones still counted as queued, the
-        last ones would be refused although upstreams are idle.
+        Several requests may arrive between two polls: a burst, or all requests that
+        came in while the VM was paused. If the earlier requests still counted as
+        queued, the last ones would be refused although upstreams are idle.
         """
         if self._scheduler.n_queued:
             self._deliver_decisions()
