--- a/src/quetzaldeck/decisions/__init__.py
+++ b/src/quetzaldeck/decisions/__init__.py
@@ -1,4 +1,8 @@
-"""Scheduling decisions, free of I/O; the clock and random state are passed in."""
+"""Decides which requests of a VM are admitted, and when and where they run.
+
+The scheduler gets requests, events of attempts and loads, and returns dispatches and
+failures. It does no I/O; the clock and the random state are passed in.
+"""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/admission/api.py
+++ b/src/quetzaldeck/decisions/admission/api.py
@@ -52,8 +52,8 @@
         """:returns: time after which a dispatch would be too late"""
 
     @abstractmethod
-    def give_up(self, request: Request, now_ms: float) -> Failure:
-        """:returns: failure of a request that waited past its latest start time"""
+    def expiry_failure(self, request: Request, now_ms: float) -> Failure:
+        """:returns: failure of a request whose latest start time has passed"""
 
     def update_retry_after(
         self, request: Request, failure: Failure, now_ms: float
--- a/src/quetzaldeck/decisions/admission/bounds_only.py
+++ b/src/quetzaldeck/decisions/admission/bounds_only.py
@@ -47,7 +47,7 @@
         """:returns: the deadline"""
         return request.deadline_ms
 
-    def give_up(self, request: Request, now_ms: float) -> Failure:
+    def expiry_failure(self, request: Request, now_ms: float) -> Failure:
         """:returns: a failure with the reason that the deadline has passed"""
         return Failure(Reason.DEADLINE_EXCEEDED)
 
--- a/src/quetzaldeck/decisions/admission/predicted_wait.py
+++ b/src/quetzaldeck/decisions/admission/predicted_wait.py
@@ -70,20 +70,20 @@
         """:returns: time to the last token"""
         return self.wait_ms + self.first_token_ms + self.answer_ms
 
-    def lateness_ms(self, left_ms: float, idle_left_ms: float) -> float:
+    def lateness_ms(self, remaining_ms: float, idle_remaining_ms: float) -> float:
         """Compute how late the answer would be.
 
         The caller's idle timeout counts only if the request has to wait: a request
         that starts at once cannot be served any sooner.
 
-        :param left_ms: time until the deadline
-        :param idle_left_ms: time until the caller disconnects for lack of a token
+        :param remaining_ms: time until the deadline
+        :param idle_remaining_ms: time until the caller disconnects for lack of a token
         :returns: lateness; 0 or less: in time
         """
-        late_ms = self.total_ms - left_ms
+        late_ms = self.total_ms - remaining_ms
         if self.wait_ms <= 0:
             return late_ms
-        return max(late_ms, self.wait_ms + self.first_token_ms - idle_left_ms)
+        return max(late_ms, self.wait_ms + self.first_token_ms - idle_remaining_ms)
 
 
 @admission_policies.register("predicted_wait")
@@ -92,8 +92,8 @@
 
     Load pattern: overload. Without prediction all requests are admitted, wait until it
     is nearly too late, and are then started: engines spend most of their time on
-    answers that are cut off, and callers wait until the deadline for a refusal that
-    could have been sent on arrival.
+    answers that do not end before the deadline, and callers wait until then for a
+    refusal that could have been sent on arrival.
 
     The predicted wait is the number of tokens ahead of the request, divided by the rate
     at which its queue class drains. The run time is predicted from recent requests of
@@ -127,15 +127,15 @@
     def check(
         self, request: Request, now_ms: float, *, can_start: bool
     ) -> Failure | None:
-        """:returns: the refusal if the request would be late or the queue is full"""
+        """:returns: the refusal if the answer would be late or the queue is full"""
         prediction = self.predict(request, now_ms, can_start=can_start)
         refusal = super().check(request, now_ms, can_start=can_start)
         if refusal is not None:
             wait_ms = prediction.wait_ms / 2
             return self._refuse(refusal.reason, request, now_ms, wait_ms, prediction)
-        left_ms = request.deadline_ms - now_ms
-        idle_left_ms = self._caller_idle_deadline_ms(request) - now_ms
-        lateness_ms = prediction.lateness_ms(left_ms, idle_left_ms)
+        remaining_ms = request.deadline_ms - now_ms
+        idle_remaining_ms = self._caller_idle_deadline_ms(request) - now_ms
+        lateness_ms = prediction.lateness_ms(remaining_ms, idle_remaining_ms)
         if lateness_ms <= 0:
             self._predicted_waits[request.request_id] = prediction.uncorrected_wait_ms
             return None
@@ -145,7 +145,7 @@
     def predict(
         self, request: Request, now_ms: float, *, can_start: bool
     ) -> Prediction:
-        """:returns: predicted times of a request that arrives now"""
+        """:returns: predicted times of a request, if it arrives now"""
         load = self._load_of(request, now_ms)
         times = self._service_times_of(request)
         first_token_ms = times.predict_first_token_ms(request, now_ms)
@@ -163,7 +163,7 @@
         latest_ms = min(request.deadline_ms, self._caller_idle_deadline_ms(request))
         return latest_ms - self._service_times_of(request).fastest_ms(request)
 
-    def give_up(self, request: Request, now_ms: float) -> Failure:
+    def expiry_failure(self, request: Request, now_ms: float) -> Failure:
         """:returns: failure of a request that can no longer be answered in time"""
         prediction = self.predict(request, now_ms, can_start=False)
         reason = Reason.DEADLINE_UNREACHABLE
@@ -242,7 +242,7 @@
     def _describe(self, request: Request, now_ms: float, prediction: Prediction) -> str:
         """:returns: prediction behind a refusal, for the caller and the logs"""
         n_waiting = self._load_of(request, now_ms).n_requests
-        caller_left_ms = (
+        caller_remaining_ms = (
             min(request.deadline_ms, self._caller_idle_deadline_ms(request)) - now_ms
         )
         return (
@@ -250,7 +250,7 @@
             f"the queue, {prediction.first_token_ms:.0f} ms to the first token, "
             f"{prediction.answer_ms:.0f} ms to the last; waited "
             f"{now_ms - request.arrived_ms:.0f} ms, caller times out in "
-            f"{caller_left_ms:.0f} ms"
+            f"{caller_remaining_ms:.0f} ms"
         )
 
     def _caller_idle_deadline_ms(self, request: Request) -> float:
--- a/src/quetzaldeck/decisions/admission/queue_class_load.py
+++ b/src/quetzaldeck/decisions/admission/queue_class_load.py
@@ -15,9 +15,10 @@
 
 
 class QueueClass(NamedTuple):
-    """Requests that wait for the same capacity: the long or the other ones of a target.
+    """Requests for one target that wait for the same capacity.
 
     :param target: model name, or key of a plain service
+    :param is_long: whether their prompts exceed ``MAX_MEDIUM_TOKENS``
     """
 
     target: str
@@ -105,8 +106,8 @@
         tokens of its customer that are due before it, scaled up by the weights of the
         customers that share the queue with it, up to all tokens queued there.
 
-        :param stretch: stretch of the queue. A longer request is served first if it has
-            waited for longer than the difference between the due times
+        :param stretch: stretch of the queue. A longer request that arrived earlier is
+            served first if it has waited longer than the difference of the due times
         :param rate: tokens of the queue class that are dispatched in a millisecond
         :returns: number of tokens
         """
--- a/src/quetzaldeck/decisions/admission/startup_wait.py
+++ b/src/quetzaldeck/decisions/admission/startup_wait.py
@@ -1,4 +1,4 @@
-"""How long requests wait for the first configuration of a starting VM.
+"""Limits how long requests wait for the first configuration of a starting VM.
 
 Load pattern: all VMs lose power or are killed at the same moment and restart under full
 load. No VM is ready, so the load balancer uses all of them. A VM accepts connections
--- a/src/quetzaldeck/decisions/caller_idle_timeout.py
+++ b/src/quetzaldeck/decisions/caller_idle_timeout.py
@@ -1,4 +1,4 @@
-"""Infers after how long without a token the caller of a stream disconnects.
+"""Infers how long the caller of a stream waits for a token before it disconnects.
 
 Load pattern: more requests arrive than engines can start, for example when a group of
 engines dies in a burst. A caller allows ten seconds for the whole answer, but
@@ -8,7 +8,7 @@
 disconnected, and an engine would start an answer that nobody receives.
 
 The constants are the limits at which the callers' clients abandon a stream. A client
-with other limits receives its refusal early or late, but it does receive one.
+with other limits still receives a refusal, but too early or too late.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/decisions/estimation/correction.py
+++ b/src/quetzaldeck/decisions/estimation/correction.py
@@ -7,9 +7,9 @@
 HALF_LIFE_MS = 30_000.0
 MIN_FACTOR = 0.5
 MAX_FACTOR = 1.5
-"""Bounds of the factor. An outcome is known only after the wait itself, so that in a
-growing queue the ratio belongs to old predictions; unbounded, it would refuse requests
-that could complete in time."""
+"""Bounds of the factor. A wait is measured only when it ends, so in a growing queue
+the ratio describes old predictions; an unbounded factor would refuse requests that
+could complete in time."""
 _BASE_MS = 100.0
 """Added to both means, since waits of milliseconds say nothing about waits of
 seconds."""
--- a/src/quetzaldeck/decisions/estimation/drain_rate.py
+++ b/src/quetzaldeck/decisions/estimation/drain_rate.py
@@ -9,22 +9,22 @@
 one, each such prefill would look like a stall."""
 
 PRIOR_WEIGHT_MS = 500.0
-"""Weight of the prior, the dispatch rate with and without a backlog, as time of a
-backlog. It prevails until the drain rate has been measured."""
+"""Weight of the prior, as the time of a backlog with the same weight. The prior is the
+dispatch rate with and without a backlog; it prevails until a backlog is measured."""
 
 _MIN_OBSERVED_MS = 1_000.0
 
 _MIN_BACKLOG_AGE_MS = 5.0
 """Age of a backlog below which dispatched requests did not really wait. Counting them
-would add tokens in no time and turn the rate into that of the arrivals."""
+would add tokens but hardly any time, and the result would follow the arrival rate."""
 
 
 class DrainRate:
     """Tokens dispatched per millisecond of backlog, as a decaying average.
 
     The dispatch rate without a backlog is only the arrival rate, a lower bound that
-    serves as the prior. While nothing can be dispatched, the rate falls, and with it
-    the predicted wait grows, without any event.
+    serves as the prior. While nothing can be dispatched, the rate falls and the
+    predicted wait grows without any event.
     """
 
     def __init__(self, now_ms: float) -> None:
--- a/src/quetzaldeck/decisions/estimation/service_times.py
+++ b/src/quetzaldeck/decisions/estimation/service_times.py
@@ -24,7 +24,7 @@
 between lengths without samples."""
 
 _DEFAULT_MIN_SCALE = 0.5
-"""Largest scale of the reference that is assumed until there are enough samples."""
+"""Upper limit of the scale until there are ``_MIN_SAMPLES`` samples."""
 
 _MAX_EXTRAPOLATED_DOUBLINGS = 2
 """Doublings of the length over which contention is taken to grow proportionally."""
@@ -39,8 +39,9 @@
 
     Samples include the contention at the engines, as a prediction must. The fastest
     samples give the minimum time of a request; if the bundle has figures of the
-    engines, these give it from the first request on. Without figures a newly started VM
-    has to guess, and refuses the longest prompts, which many engines prefill together.
+    engines, these figures give the minimum from the first request on. Without figures a
+    newly started VM has to guess, and refuses the longest prompts, which many engines
+    prefill together.
     """
 
     def __init__(self) -> None:
@@ -96,7 +97,7 @@
 
         Without samples of the prompt's length, the contention of shorter prompts is
         used, scaled by length if they are not much shorter. The contention of longer
-        prompts says nothing, since shorter ones are served before them.
+        prompts is no indication, since shorter ones are served before them.
         """
         uncontended_ms = self.fastest_ms(request)
         request_bucket = request.n_prompt_tokens.bit_length()
--- a/src/quetzaldeck/decisions/estimation/token_estimator.py
+++ b/src/quetzaldeck/decisions/estimation/token_estimator.py
@@ -33,7 +33,7 @@
     """Learns the ratio of actual to estimated prompt tokens by customer and model.
 
     Load pattern: prompts in Nepali, French legal prose, tables or code have two to five
-    characters per token. A single figure is wrong by a factor of two for some
+    characters per token. A single ratio is wrong by a factor of two for some
     customers: their prompts get the wrong length class, too little memory is reserved,
     and their waits are mispredicted.
 
--- a/src/quetzaldeck/decisions/expiry.py
+++ b/src/quetzaldeck/decisions/expiry.py
@@ -22,9 +22,9 @@
     return f"{request_id}{EXPIRY_MARKER}{seconds:x}"
 
 
-def read_expiry_ms(holding_id: str) -> float | None:
-    """:returns: wall-clock deadline in the id, ``None`` if it contains none"""
-    match = _EXPIRY.search(holding_id)
+def read_expiry_ms(resource_id: str) -> float | None:
+    """:returns: wall-clock deadline in the id, ``None`` if there is none in it"""
+    match = _EXPIRY.search(resource_id)
     return None if match is None else float(int(match.group(1), 16) * MS_PER_SECOND)
 
 
--- a/src/quetzaldeck/decisions/fleet_observer.py
+++ b/src/quetzaldeck/decisions/fleet_observer.py
@@ -70,17 +70,17 @@
         self._table.observe((report,), self._clock.now_ms())
         self._waiting.note_capacity_freed()
 
-    def observe_peer(self, vm: str, shares: Iterable[tuple[str, VmLoad]]) -> None:
+    def observe_peer(self, vm: str, loads: Iterable[tuple[str, VmLoad]]) -> None:
         """Apply the loads that another VM puts on upstreams.
 
         Ignores loads on another incarnation of an upstream than the one known here.
         Both VMs agree again once they have learned of the latest incarnation.
         """
         now_ms = self._clock.now_ms()
-        for name, share in shares:
+        for name, load in loads:
             state = self._table.get(name)
-            if state is not None and not state.is_other_incarnation(share.incarnation):
-                state.update_peer_load(vm, share, now_ms)
+            if state is not None and not state.is_other_incarnation(load.incarnation):
+                state.update_peer_load(vm, load, now_ms)
         self._waiting.note_capacity_freed()
 
     def observe_paces(self, paces: Iterable[tuple[str, float]]) -> None:
--- a/src/quetzaldeck/decisions/health/bounds.py
+++ b/src/quetzaldeck/decisions/health/bounds.py
@@ -25,7 +25,7 @@
         many times that of its peers
     :param n_latencies: answers needed before latency is judged. A VM is one of many
         and sees few answers of one upstream; slowness only raises the placement cost,
-        so an error is cheap.
+        so an error costs little.
     :param slow_half_life_ms: half-life of a measured slowness; an upstream that gets
         no requests yields no latencies that could correct it
     """
--- a/src/quetzaldeck/decisions/health/monitor.py
+++ b/src/quetzaldeck/decisions/health/monitor.py
@@ -129,7 +129,7 @@
 def _is_help_refused(end: AttemptEnd, upstreams: Sequence[str]) -> bool:
     """:returns: whether an upstream refused to prefill a part of the prompt
 
-    It may have been asked as a helper, or as a member of a group of engines.
+    The upstream was asked as a helper, or as a member of a group of engines.
     """
     if end.fault is AttemptFault.OVERLOADED:
         return end.upstream in upstreams[:-1]
--- a/src/quetzaldeck/decisions/health/pace.py
+++ b/src/quetzaldeck/decisions/health/pace.py
@@ -3,8 +3,9 @@
 Failure scenario: one of fourteen engines runs at a fifth of its speed for some seconds
 but still answers. A prompt of 130,000 tokens is prefilled in parts by up to seventeen
 engines, and its first token has to wait for the last part, so one slow engine delays
-every such prompt. The time of a prompt does not show which of its engines was slow, and
-an engine that prefills parts for others yields no answers by which it could be judged.
+every such prompt. The prefill time of a prompt does not show which of its engines was
+slow, and an engine that prefills parts for others yields no answers by which it could
+be judged.
 
 Therefore one VM polls each engine for its pace about once a second and sends it to the
 other VMs. Old reports expire: an engine without a recent report counts as not slow.
--- a/src/quetzaldeck/decisions/health/partial_failures.py
+++ b/src/quetzaldeck/decisions/health/partial_failures.py
@@ -46,8 +46,8 @@
     :param pool: all upstreams that serve the request, used for comparison
     """
     avoided = find_failing(pool, now_ms)
-    sound = [state for state in candidates if state.spec.name not in avoided]
-    return sound or list(candidates)
+    remaining = [state for state in candidates if state.spec.name not in avoided]
+    return remaining or list(candidates)
 
 
 def find_failing(pool: Sequence[UpstreamState], now_ms: float) -> dict[str, Outcomes]:
--- a/src/quetzaldeck/decisions/health/peer_outcomes.py
+++ b/src/quetzaldeck/decisions/health/peer_outcomes.py
@@ -29,7 +29,7 @@
     def __len__(self) -> int:
         return len(self._counts)
 
-    def take(self, vm: str, outcomes: Outcomes, now_ms: float) -> None:
+    def update(self, vm: str, outcomes: Outcomes, now_ms: float) -> None:
         """Record outcomes reported by a VM; a repeated report keeps its age."""
         count = self._counts.setdefault(vm, DecayingOutcomes())
         if outcomes == count.last:
--- a/src/quetzaldeck/decisions/health/upstream_health.py
+++ b/src/quetzaldeck/decisions/health/upstream_health.py
@@ -1,7 +1,7 @@
 """Health of one upstream, judged by one VM from its own requests there.
 
 Failure scenario: some engines of a pool are dead, restart over and over, hang because
-the network lost a flow, or run at a fraction of their speed, while requests keep
+their connections went silent, or run at a fraction of their speed, while requests keep
 arriving. Without this module requests would still be sent to the faulty upstreams
 first: a dead one looks idle and attracts requests, a silent one costs each request its
 idle timeout, and one slow engine determines the tail latency of the whole pool.
@@ -13,7 +13,7 @@
 ========== ================================================ =========================
 warming    new, restarted or recovered                      cost raised, falling
 slow       first-token time over 1.5 times its peers'       cost raised in proportion
-silent     reads without a byte, also on a new pool         ejected until a probe
+silent     silent reads in a row, each on a new pool        ejected until a probe
 dead       refused connection, or broken answers in a row   ejected until a probe
 crash loop restarts in a short time                         ejected until it stays up
 ========== ================================================ =========================
@@ -57,11 +57,11 @@
         self._n_holds = 0
         self._hold_until_ms = 0.0
         self._ejected: HealthState | None = None
-        self._warm_since_ms: float | None = None
+        self._warm_up_started_ms: float | None = None
         self._restarts: deque[float] = deque(maxlen=self._bounds.n_crashes)
         self._ms_per_token: float | None = None
         self._n_latencies = 0
-        self._latency_ms = 0.0
+        self._measured_ms = 0.0
         self._probe_id = ""
         self._last_fault: AttemptFault | None = None
 
@@ -109,9 +109,9 @@
 
     def warm_up_share(self, now_ms: float) -> float:
         """:returns: share of its full load that the upstream should get, up to 1"""
-        if self._warm_since_ms is None:
+        if self._warm_up_started_ms is None:
             return 1.0
-        elapsed_ms = now_ms - self._warm_since_ms
+        elapsed_ms = now_ms - self._warm_up_started_ms
         return min(1.0, max(MIN_WARM_UP_SHARE, elapsed_ms / self._bounds.warm_up_ms))
 
     def slow_factor(
@@ -122,8 +122,8 @@
     ) -> float:
         """Compare the first-token latency with the peers'.
 
-        :param pending_ms_per_token: the value that :meth:`note_first_token` would
-            compute if the oldest attempt got its first token now; without it an
+        :param pending_ms_per_token: highest value that :meth:`note_first_token` would
+            compute if a running attempt got its first token now; without it an
             upstream that is ten times too slow would look healthy until its first
             answers arrive
         :returns: 1 unless slow, else how many times slower than its peers
@@ -131,7 +131,7 @@
         if not peer_ms_per_token:
             return 1.0
         measured = (self.ms_per_token or 0.0) / peer_ms_per_token
-        elapsed_ms = max(0.0, now_ms - self._latency_ms)
+        elapsed_ms = max(0.0, now_ms - self._measured_ms)
         weight = math.pow(0.5, elapsed_ms / self._bounds.slow_half_life_ms)
         ratio = max(
             1.0 + (measured - 1.0) * weight, pending_ms_per_token / peer_ms_per_token
@@ -142,7 +142,7 @@
 
     def start_warm_up(self, now_ms: float) -> None:
         """Ramp up the load of a new or recovered upstream from now on."""
-        self._warm_since_ms = now_ms
+        self._warm_up_started_ms = now_ms
 
     def note_restart(self, now_ms: float) -> None:
         """Record a report of a new incarnation.
@@ -220,7 +220,7 @@
 
         :param n_tokens: prompt tokens queued at dispatch, including the attempt's own
         """
-        self._latency_ms = now_ms
+        self._measured_ms = now_ms
         sample = compute_ms_per_token(n_tokens, duration_ms)
         average = self._ms_per_token
         self._n_latencies += 1
@@ -284,6 +284,6 @@
 _LIVENESS_FAULTS = frozenset(
     (AttemptFault.OVERLOADED, AttemptFault.REFUSED, AttemptFault.TOO_LONG)
 )
-"""Faults with which an upstream answers, and so proves that it is alive."""
+"""Faults that an upstream reports itself, which proves that it is alive."""
 
 __all__ = ("UpstreamHealth", "compute_ms_per_token")
--- a/src/quetzaldeck/decisions/limits/__init__.py
+++ b/src/quetzaldeck/decisions/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet-wide limits of customers, kept without shared writes."""
+"""Fleet-wide limits of customers, enforced by each VM without a shared counter."""
 
 from __future__ import annotations
 
--- a/src/quetzaldeck/decisions/limits/limiter.py
+++ b/src/quetzaldeck/decisions/limits/limiter.py
@@ -51,7 +51,7 @@
 class CustomerLimiter:
     """Enforces one VM's part of the limits of all customers.
 
-    Customers without limits cost nothing, and each decision looks at one customer only.
+    Customers without limits have no state, and each decision reads one customer's only.
 
     :param random_state: source of the jitter
     :param bounds: parameters, the defaults if not given
@@ -136,7 +136,7 @@
     def _retry_after_ms(
         self, state: CustomerState, request: Request, now_ms: float
     ) -> float | None:
-        """:returns: time until the request may be admitted, ``None`` for now"""
+        """:returns: time until the request may be admitted; ``None``: now"""
         limits = state.limits
         peers = state.list_peers(now_ms, self._bounds.expiry_ms)
         checks = (
--- a/src/quetzaldeck/decisions/limits/share.py
+++ b/src/quetzaldeck/decisions/limits/share.py
@@ -37,8 +37,8 @@
     one VM gets nearly its whole limit there.
 
     :param own: usage at this VM
-    :param peers: known usage at other VMs; VMs of unknown usage are taken to use
-        nothing
+    :param peers: known usage at other VMs; a VM whose usage is unknown counts as
+        using nothing
     :param borrower_threshold: part of its share from which a VM counts as a borrower
     :param may_borrow: whether this VM may use more than its share
     :returns: what this VM may use
@@ -56,8 +56,8 @@
 def may_use(allowance: Allowance, own: float, cost: float) -> bool:
     """:returns: whether this VM may use ``cost`` more
 
-    A VM may borrow only what the fleet as a whole has left: another VM that borrowed
-    before gives it back only as its requests end.
+    A VM may borrow only what the fleet as a whole has left: capacity that another
+    VM has borrowed is returned only when the requests there end.
     """
     if own + cost <= allowance.share:
         return True
--- a/src/quetzaldeck/decisions/limits/token_bucket.py
+++ b/src/quetzaldeck/decisions/limits/token_bucket.py
@@ -25,7 +25,7 @@
     def wait_ms(self, tokens_per_s: float, burst_ms: float, now_ms: float) -> float:
         """Refill the bucket for the elapsed time.
 
-        :returns: time until tokens may be consumed, 0 for now
+        :returns: time until tokens may be consumed; 0: now
         """
         self._refill(tokens_per_s, burst_ms, now_ms)
         if self._level is None or self._level > 0:
--- a/src/quetzaldeck/decisions/load_changes.py
+++ b/src/quetzaldeck/decisions/load_changes.py
@@ -8,8 +8,8 @@
 upstream. The end of a prompt part is sent at once too: the next long prompt skips
 engines that still seem to prefill a part, and is then spread over fewer engines. Other
 decreases and the outcomes of requests may be delayed and sent with the next update; the
-allowed delay grows with the number of VMs. An engine that seems to have one more short
-prompt to prefill for a quarter of a second is chosen as often as before.
+allowed delay grows with the number of VMs. An engine whose load is
+overstated by one short prompt for a quarter of a second is chosen as often as before.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/decisions/pace_polling.py
+++ b/src/quetzaldeck/decisions/pace_polling.py
@@ -6,8 +6,8 @@
 rendezvous hashing with the engine's name, which needs no messages. VMs in the engine's
 availability zone are preferred, because traffic between zones is billed.
 
-While the views of the VMs differ, an engine is polled twice, or by no VM until a dead
-one is removed from the view. Its pace is then unknown and treated as normal.
+While the views of the VMs differ, an engine may be polled by two VMs, or by none until
+its dead owner is removed from the views. An unknown pace is treated as normal.
 
 Only slow engines are published: once a second while they are slow, and once when they
 have recovered. With several hundred engines, the paces of the others would make up most
--- a/src/quetzaldeck/decisions/peer_load.py
+++ b/src/quetzaldeck/decisions/peer_load.py
@@ -92,7 +92,7 @@
         if before is not None or load.needs_refresh:
             self._total_until_ms = -math.inf
         if load.outcomes.n_all:
-            self.outcomes.take(vm, load.outcomes, now_ms)
+            self.outcomes.update(vm, load.outcomes, now_ms)
         n_before = 0
         if before is not None and now_ms - before[0] <= PEER_LOAD_TTL_MS:
             n_before = before[1].n_prefill_tokens
--- a/src/quetzaldeck/decisions/poison/registry.py
+++ b/src/quetzaldeck/decisions/poison/registry.py
@@ -1,9 +1,9 @@
 """Identifies requests that crash engines, and clears those that only ran alongside.
 
 Failure scenario: one request crashes each engine that runs it, and its caller retries
-it, each time through whichever VM the load balancer picks. Without this module it takes
-down an engine every few seconds, with all requests running there, until the pool is
-gone.
+it, each time through whichever VM the load balancer picks. Without this module the
+request crashes an engine every few seconds, and all requests running there fail, until
+no engine of the pool is left.
 
 A crash makes suspects of all requests that were running on the engine. Suspects are
 isolated: an engine runs at most one of them, and a VM runs only one copy of a suspect
@@ -18,8 +18,8 @@
 crashes at most ``n_crashes`` engines over all VMs. Copies that run through ``c`` VMs at
 the same time, or before the updates arrive, can each crash one more engine, at most
 ``n_crashes - 1 + c`` in total. While other engines crash without it as well,
-``max_crashes`` takes the place of ``n_crashes``. VMs that cannot exchange updates keep
-the limit each on their own.
+``max_crashes`` takes the place of ``n_crashes``. While VMs cannot exchange updates,
+each enforces the limit by itself.
 """
 
 from __future__ import annotations
@@ -95,10 +95,12 @@
 
     def count_verdicts(self, now_ms: float) -> Counter[Verdict]:
         """:returns: number of requests that were in a crash, by verdict"""
-        return Counter(self.verdict(item, now_ms) for item in self._crashes)
+        return Counter(
+            self.verdict(fingerprint, now_ms) for fingerprint in self._crashes
+        )
 
     def pop_newly_refused(self, now_ms: float) -> list[int]:
-        """:returns: refused requests of those with new sightings since the last call"""
+        """:returns: refused requests with new sightings since the last call"""
         sighted = sorted(self._newly_sighted)
         self._newly_sighted.clear()
         return [f for f in sighted if self.verdict(f, now_ms) is Verdict.REFUSED]
@@ -106,9 +108,9 @@
     def pause_ms(self, fingerprint: int, now_ms: float) -> float:
         """:returns: pause before a suspect runs; 0 for any other request
 
-        It starts at the last known crash. Otherwise a copy that arrives at this VM
-        while another VM runs one could crash an engine before this VM learns of the
-        other crash.
+        The pause starts at the last known crash. Without it, a copy that arrives at
+        this VM while another VM runs one could crash an engine before this VM learns of
+        the other crash.
         """
         if self.verdict(fingerprint, now_ms) is not Verdict.SUSPECT:
             return 0.0
@@ -158,7 +160,7 @@
     def pop_changed_sightings(self, now_ms: float) -> list[tuple[CrashSighting, ...]]:
         """:returns: sightings of the requests that this VM has to announce, by request
 
-        They are those of which it saw a crash or an answer since the last call.
+        These are the requests whose crash or answer it saw since the last call.
         """
         unannounced = sorted(self._unannounced)
         self._unannounced.clear()
@@ -213,7 +215,7 @@
     def _crash_limit(self, fingerprint: int, n_crashes: int) -> int:
         """:returns: number of crashes at which a request is refused
 
-        It is the higher one while about as many engines crash without the request.
+        This is ``max_crashes`` while about as many engines crash without the request.
         """
         if n_crashes < self._bounds.n_crashes:
             return self._bounds.n_crashes
@@ -233,7 +235,7 @@
     ) -> bool:
         """:returns: whether a crash is one of a request's own crashes
 
-        It may be recorded under another incarnation, see ``same_crash_ms``.
+        The crash may be recorded under another incarnation, see ``same_crash_ms``.
         """
         return crash in own or any(
             other.upstream == crash.upstream
@@ -242,7 +244,7 @@
         )
 
     def _highest_crash_count(self, crash: _Crash) -> int:
-        """:returns: number of crashes of the request of ``crash`` that was in most"""
+        """:returns: most crashes that any one request of ``crash`` was in"""
         return max(
             len(self._crashes[other]) for other in self._requests_by_crash[crash]
         )
--- a/src/quetzaldeck/decisions/prefill_backlog.py
+++ b/src/quetzaldeck/decisions/prefill_backlog.py
@@ -1,11 +1,11 @@
 """Estimates how long an engine still needs to prefill the prompts sent to it.
 
 Load pattern: prompts of 100,000 to 600,000 tokens, each prefilled for seconds by
-several engines, arrive in bursts through as many VMs. A VM knows at once what was sent,
+several engines, arrive in bursts through several VMs. A VM knows at once what was sent,
 but learns only from the first token that a prompt has been prefilled. If a prompt
-counted in full until then, an engine that is finishing it would seem to have all of it
-ahead, and nothing a moment later. All requests that wait for capacity at several VMs
-would then start at the same moment.
+counted in full until then, an engine that has nearly finished it would seem to have the
+whole prompt left to prefill, and a moment later none. All requests that wait for
+capacity at several VMs would then start at the same moment.
 
 So prompts are assumed to be prefilled one after the other at the configured speed. If
 that takes longer, because the engine also generates tokens or is slow, a share of the
--- a/src/quetzaldeck/decisions/prefix.py
+++ b/src/quetzaldeck/decisions/prefix.py
@@ -12,7 +12,7 @@
 
 
 def hash_prefixes(prompt: str) -> tuple[int, ...]:
-    """:returns: hashes of the prefixes with the lengths above, shortest first"""
+    """:returns: hashes of the prefixes of ``PREFIX_TOKENS`` lengths, shortest first"""
     hashes = []
     hasher = xxhash.xxh3_64()
     start = 0
--- a/src/quetzaldeck/decisions/relays/relay_selector.py
+++ b/src/quetzaldeck/decisions/relays/relay_selector.py
@@ -15,11 +15,11 @@
 behind in a burst, and its updates would arrive too late to be useful. VMs with
 different views need not agree: a VM relays for all that ask it to, and a VM that is not
 a relay in its own view has a relay itself. Each VM selects a relay that precedes it in
-this order, so updates never travel in a circle.
+this order, so updates never travel in a cycle.
 
 A VM that gets no acknowledgement from its relay switches to the next one. The relay may
-be unreachable for that VM only. If that VM is then a relay itself, the others of its
-zone still use the first relay, so it sends its updates to one of them as well.
+be unreachable for that VM only. If that VM then becomes a relay itself, the others of
+its zone still use the old relay, so it also sends its updates to one of them.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/decisions/relays/subscribers.py
+++ b/src/quetzaldeck/decisions/relays/subscribers.py
@@ -1,4 +1,4 @@
-"""VMs that have subscribed to the updates of this one."""
+"""VMs that have subscribed to the updates of this VM."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     def __init__(self, bounds: RelayBounds | None = None) -> None:
         bounds = RelayBounds() if bounds is None else bounds
-        self._keep_ms = bounds.join_ms * (bounds.n_missed_joins + 0.5)
+        self._subscription_ms = bounds.join_ms * (bounds.n_missed_joins + 0.5)
         self._subscribers: dict[str, _Subscriber] = {}
 
     def __len__(self) -> int:
@@ -31,10 +31,10 @@
         """Add or renew a subscription.
 
         :param vm: id of the VM's incarnation
-        :returns: whether the VM must be sent all that is known already
+        :returns: whether the VM needs the complete current state
         """
         before = self._subscribers.get(address)
-        until_ms = now_ms + self._keep_ms
+        until_ms = now_ms + self._subscription_ms
         self._subscribers[address] = _Subscriber(vm, is_relay, until_ms)
         return before is None or before.vm != vm or before.is_relay != is_relay
 
--- a/src/quetzaldeck/decisions/request.py
+++ b/src/quetzaldeck/decisions/request.py
@@ -23,7 +23,7 @@
 MAX_LONG_TOKENS = 200_000
 """Upper limits of the classes, in tokens. An engine that prefills 20,000 tokens a
 second, and half as many at 200,000 tokens of context, needs 0.2 s, 1.7 s and 15 s for
-them."""
+prompts of these lengths."""
 
 
 def classify_length(n_prompt_tokens: int) -> LengthClass:
@@ -50,7 +50,7 @@
     :param deadline_ms: monotonic time by which it must be complete
     :param prefix_hashes: hashes of prompt prefixes, shortest first
     :param fingerprint: hash of the work that the upstream would run
-    :param max_attempts: attempts that an upstream may start; ``None``: the VM's limit
+    :param max_attempts: maximum attempts that may have run; ``None``: the VM's limit
     :param target_ms: time-to-first-token target; 0: none
     :param max_gap_ms: maximum gap between two tokens; 0: none
     :param caller_idle_timeout_ms: time without a token after which the caller
--- a/src/quetzaldeck/decisions/retries/bounds.py
+++ b/src/quetzaldeck/decisions/retries/bounds.py
@@ -6,9 +6,9 @@
 
 
 class RetryBounds(NamedTuple):
-    """Bounds of retries.
+    """Limits of retries.
 
-    :param max_attempts: maximum attempts of one request that may have run
+    :param max_attempts: maximum number of attempts of one request that may have run
     :param ratio: maximum ratio of retried to admitted work. When one of three zones
         fails, a third of the work in flight is lost; with requests of up to a minute,
         long prompts included, that is under a quarter of the work that the window
--- a/src/quetzaldeck/decisions/retries/history.py
+++ b/src/quetzaldeck/decisions/retries/history.py
@@ -15,11 +15,11 @@
     """Attempts of one request.
 
     :param n_dispatched: dispatched attempts, used to number them
-    :param n_maybe_run: failed attempts that an upstream may have begun to run
-    :param n_not_run: failed attempts that no upstream began to run
+    :param n_maybe_run: failed attempts that an upstream may have started to run
+    :param n_not_run: failed attempts that no upstream started to run
     :param n_no_room: reservations refused for lack of capacity
     :param avoided: upstreams on which the request failed, oldest first
-    :param has_reached: whether any upstream may have begun to run the request
+    :param may_have_run: whether any upstream may have started to run the request
     :param has_output: whether any upstream generated a part of the answer
     """
 
@@ -28,7 +28,7 @@
     n_not_run: int = 0
     n_no_room: int = 0
     avoided: tuple[str, ...] = ()
-    has_reached: bool = False
+    may_have_run: bool = False
     has_output: bool = False
 
     @property
@@ -36,7 +36,7 @@
         """:returns: whether the request ran; ``NO`` only if no attempt can have run"""
         if self.has_output:
             return Ran.YES
-        return Ran.UNKNOWN if self.has_reached else Ran.NO
+        return Ran.UNKNOWN if self.may_have_run else Ran.NO
 
     def after(self, end: AttemptEnd, upstreams: tuple[str, ...]) -> AttemptHistory:
         """:returns: the history with one more failed attempt
@@ -54,7 +54,7 @@
             n_maybe_run=self.n_maybe_run + end.may_have_run,
             n_not_run=self.n_not_run + (not end.may_have_run),
             avoided=self.avoided + failed,
-            has_reached=self.has_reached or end.may_have_run,
+            may_have_run=self.may_have_run or end.may_have_run,
             has_output=self.has_output or end.n_output_tokens > 0,
         )
 
--- a/src/quetzaldeck/decisions/retries/policy.py
+++ b/src/quetzaldeck/decisions/retries/policy.py
@@ -6,8 +6,8 @@
 effect of the budget see :mod:`quetzaldeck.decisions.retries.budget`.
 
 Only safe retries are made: a non-repeatable request is retried only if no upstream can
-have begun to run it. A request that cannot be retried fails at once, so that its caller
-need not wait for the deadline, and with the time after which to retry.
+have started to run it. A request that cannot be retried fails at once, so that its
+caller need not wait for the deadline; the failure says when to retry.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 MAX_NOT_RUN_ATTEMPTS = 20
 """Attempts of one request that were certainly not run, such as refused connections.
-Bounds the work of trying; such attempts put no load on upstreams."""
+Limits the effort spent on them; such attempts put no load on upstreams."""
 
 MAX_DOUBLINGS = 10
 """Bounds the exponent of the backoff; the longest backoff is reached well before."""
 
 ESTIMATE_GROWTH = 1.6
-"""Factor for a prompt estimate that an engine found too low; 2.6 in two steps."""
+"""Factor for a prompt estimate that an engine found too low; two steps give 2.6."""
 
 UPSTREAM_FAILURE_RETRY_AFTER_MS = 2_000.0
 """Time after which callers should retry when upstreams failed; most health probes are
@@ -57,7 +57,7 @@
 
     :param random_state: source of the jitter
     :param bounds: parameters, the defaults if not given
-    :param resend_budget: bound on resends by service, ``None`` for no such bound
+    :param resend_budget: budget of resends by service; ``None``: unlimited
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         failure = Failure(reason, history.ran, retry_after_ms)
         if end.fault is AttemptFault.REFUSED:
             return failure._replace(retry_after_ms=end.retry_after_ms)
-        if not request.is_repeatable and history.has_reached:
+        if not request.is_repeatable and history.may_have_run:
             return failure
         if (
             history.n_maybe_run >= self._max_attempts(request)
--- a/src/quetzaldeck/decisions/retries/silence.py
+++ b/src/quetzaldeck/decisions/retries/silence.py
@@ -2,8 +2,8 @@
 
 Load pattern: two cases that look alike. An upstream hangs and will never respond; its
 request should go elsewhere as soon as possible. Or all upstreams are busy, and parts of
-long prompts are prefilled before waiting requests; an abandoned request then wasted its
-prefill, is prefilled again elsewhere, and delays all others.
+long prompts are prefilled before waiting requests; abandoning a request then wastes its
+prefill, which is repeated elsewhere and delays all other requests.
 
 A fixed timeout abandons attempts on busy engines though none hangs, and when the retry
 budget is spent, the caller gets an error instead of an answer that was under way.
@@ -30,7 +30,7 @@
 
 FIRST_BYTE_TARGET_FACTOR = 2.0
 """Multiple of the time-to-first-token target after which a silent attempt is checked.
-Such a first token is late by as much as its target."""
+A later first token is late by more than its target."""
 
 MIN_FIRST_BYTE_THRESHOLD_MS = 500.0
 """Minimum threshold for the first byte; below it, busy upstreams look silent."""
@@ -62,7 +62,7 @@
 
 
 def stream_gap_threshold_ms(max_gap_ms: float) -> float | None:
-    """:returns: gap in a stream after which its attempt is checked, ``None`` for never
+    """:returns: gap in a stream after which its attempt is checked; ``None``: never
 
     :param max_gap_ms: accepted gap between two tokens; 0: none is stated
     """
@@ -83,7 +83,7 @@
 
 
 class SilencePolicy:
-    """Tells hanging upstreams from busy ones.
+    """Distinguishes hanging upstreams from busy ones.
 
     :param placer: finds whether there is another upstream
     :param retries: decides whether the request may be retried
--- a/src/quetzaldeck/decisions/scheduler.py
+++ b/src/quetzaldeck/decisions/scheduler.py
@@ -229,7 +229,7 @@
         self._waiting.note_capacity_freed()
 
     def note_reserved(self, attempt_id: str) -> None:
-        """Record that an attempt obtained the reservation its dispatch asked for."""
+        """Record that an attempt obtained the reservation its dispatch requested."""
         self._placer.note_reserved(attempt_id)
         self._waiting.note_capacity_freed()
 
@@ -274,7 +274,7 @@
     def _expire(self, now_ms: float) -> Iterable[Rejection]:
         for request_id in self._waiting.pop_expired(now_ms):
             request = self._tracked[request_id].request
-            yield self._reject(request, self._admission.give_up(request, now_ms))
+            yield self._reject(request, self._admission.expiry_failure(request, now_ms))
 
     def _reject_poison(self, now_ms: float) -> Iterable[Rejection]:
         """Reject waiting requests that have crashed too many engines of the fleet."""
--- a/src/quetzaldeck/decisions/scheduler_bounds.py
+++ b/src/quetzaldeck/decisions/scheduler_bounds.py
@@ -14,13 +14,13 @@
 class SchedulerBounds(NamedTuple):
     """Limits of the scheduler of one VM.
 
-    One customer may fill less than half of the queue, so that a full queue of one
-    customer does not cause refusals for the others.
+    One customer may fill less than half of the queue, so that a burst of one customer
+    does not cause refusals for the others.
 
     :param max_queued: maximum number of requests in the queue
-    :param max_queued_tokens: maximum of prompt and output tokens in the queue
-    :param max_customer_share: share of both that one customer may use
-    :param max_requests_per_upstream: concurrent requests at one upstream
+    :param max_queued_tokens: maximum sum of prompt and output tokens in the queue
+    :param max_customer_share: share of these two limits that one customer may use
+    :param max_requests_per_upstream: maximum concurrent requests at one upstream
     """
 
     max_queued: int = 2_000
--- a/src/quetzaldeck/decisions/tuning.py
+++ b/src/quetzaldeck/decisions/tuning.py
@@ -26,8 +26,8 @@
 class Tuning(NamedTuple):
     """Parameters of the queue and of head-of-line protection.
 
-    :param stretch: a request is due after this many times its own prefill time; the
-        higher, the longer short requests are served before long ones
+    :param stretch: a request is due after this many times its own prefill time; with
+        higher values, short requests are served before long ones for longer
     :param long_share: share of the engines on which long prompts have priority
     :param max_short_share: maximum share of the engines kept free of long prompts
     :param short_headroom: share of engines kept for short requests, as a multiple of
--- a/src/quetzaldeck/decisions/upstream_state.py
+++ b/src/quetzaldeck/decisions/upstream_state.py
@@ -53,7 +53,7 @@
 
     @property
     def incarnation(self) -> str:
-        """:returns: incarnation noted, else that of the last report; ``""``: none"""
+        """:returns: the noted incarnation, else the last report's; ``""``: none"""
         reported = "" if self.report is None else self.report.incarnation
         return self._incarnation or reported
 
@@ -94,12 +94,12 @@
         """Apply a report if it is newer than the last one and of this incarnation."""
         if self.is_other_incarnation(report.incarnation):
             return
-        held = self.report
+        last_report = self.report
         measured_ms = now_ms - report.age_ms
-        if held is not None and held.incarnation == report.incarnation:
-            if report.sequence <= held.sequence:
+        if last_report is not None and last_report.incarnation == report.incarnation:
+            if report.sequence <= last_report.sequence:
                 return
-        elif held is not None:
+        elif last_report is not None:
             # A report delayed by a slow reader may be of the previous incarnation.
             # Applying it would look like another restart.
             if measured_ms < self.reported_ms:
@@ -155,7 +155,7 @@
         return self.outcomes.at(now_ms).add(self.peers.outcomes.at(now_ms))
 
     def n_kv_tokens_used(self, now_ms: float | None = None) -> int:
-        """:returns: KV cache in use by the last report and this VM's attempts since
+        """:returns: KV cache in use: last report plus attempts since, at least own ones
 
         :param now_ms: if given, include the loads of the other VMs
         """
@@ -168,7 +168,7 @@
         return max(own, self.report.n_kv_tokens_used + since)
 
     def n_requests(self, now_ms: float | None = None) -> int:
-        """Count requests by the last report and this VM's attempts since.
+        """Count the requests of the last report and this VM's attempts since.
 
         Excludes prompt parts, which occupy no slot.
 
@@ -188,12 +188,12 @@
         return max(known, reported + self.ledger.n_unreported)
 
     def n_answers(self, now_ms: float) -> int:
-        """:returns: requests of all VMs that it answers, prompt parts excluded"""
+        """:returns: requests of all VMs that run here, prompt parts excluded"""
         n_requests = len(self.ledger) + self.peers.total(now_ms).n_requests
         return n_requests - self.n_parts(now_ms)
 
     def n_parts(self, now_ms: float) -> int:
-        """:returns: prompt parts of all VMs that it prefills for other engines"""
+        """:returns: prompt parts of all VMs that the engine prefills for others"""
         return self.ledger.n_parts + self.peers.total(now_ms).n_parts
 
     def may_help(self, now_ms: float) -> bool:
@@ -212,14 +212,14 @@
         return figures is None or self.n_parts(now_ms) < figures.n_slots
 
     def note_help_refused(self, now_ms: float) -> None:
-        """Record that it did not prefill the prompt part of an attempt."""
+        """Record that the engine did not prefill the prompt part of an attempt."""
         figures = self.spec.figures
         if figures is not None:
             n_parts = self.n_parts(now_ms)
             self._help_refusals.note(n_parts, figures.n_slots, now_ms)
 
     def slow_factor(self, peer_ms_per_token: float | None, now_ms: float) -> float:
-        """:returns: 1, or how many times slower it is than its peers if it is slow
+        """:returns: 1, or how many times slower than its peers if it is slow
 
         :param peer_ms_per_token: typical latency of its peers; ``None``: unknown
         """
@@ -245,7 +245,7 @@
         return self._backlog.remaining_ms(n_unprefilled / figures.tokens_per_ms, now_ms)
 
     def n_prefill_tokens(self) -> int:
-        """:returns: prompt tokens to prefill by the last report and own attempts"""
+        """:returns: tokens to prefill: report plus attempts since, at least own ones"""
         own = self.ledger.n_prefill_tokens
         if self.report is None:
             return own
--- a/src/quetzaldeck/decisions/waiting.py
+++ b/src/quetzaldeck/decisions/waiting.py
@@ -70,7 +70,7 @@
     def take(
         self, now_ms: float, place: PlaceFunction
     ) -> tuple[Request, tuple[str, ...]] | None:
-        """Remove the next request that can be placed from the queue.
+        """Find the next request that can be placed and remove it from the queue.
 
         :returns: the request and its upstreams, ``None`` if none can be placed
         """
--- a/tests/decisions/admission/test_predicted_wait.py
+++ b/tests/decisions/admission/test_predicted_wait.py
@@ -137,7 +137,7 @@
     assert policy.latest_start_ms(long) < 90_000.0
     short = make_request(1_000, deadline_ms=100_000.0)
     assert policy.latest_start_ms(short) > 99_000.0
-    failure = policy.give_up(long, 90_000.0)
+    failure = policy.expiry_failure(long, 90_000.0)
     assert failure.reason is Reason.DEADLINE_UNREACHABLE
     assert failure.retry_after_ms is not None
 
--- a/tests/decisions/health/test_peer_outcomes.py
+++ b/tests/decisions/health/test_peer_outcomes.py
@@ -26,7 +26,7 @@
     now_ms = 0.0
     for vm, pause_ms, outcomes in reports:
         now_ms += pause_ms
-        peer_outcomes.take(f"vm-{vm}", outcomes, now_ms)
+        peer_outcomes.update(f"vm-{vm}", outcomes, now_ms)
         counts.setdefault(vm, DecayingOutcomes()).replace(outcomes, now_ms)
         total = Outcomes()
         for count in counts.values():
@@ -39,7 +39,7 @@
     """Guards against a memory leak: each incarnation of a VM reports under a new id."""
     peer_outcomes = PeerOutcomes()
     for number in range(50 * MIN_PRUNE_SIZE):
-        peer_outcomes.take(f"run-{number}", Outcomes(1.0, 0.0), 10_000.0 * number)
+        peer_outcomes.update(f"run-{number}", Outcomes(1.0, 0.0), 10_000.0 * number)
     assert len(peer_outcomes) <= 2 * MIN_PRUNE_SIZE
 
 
@@ -47,5 +47,5 @@
     """Guards against failures that never decay: VMs repeat them every two seconds."""
     peer_outcomes = PeerOutcomes()
     for now_ms in range(0, 60_000, 2_000):
-        peer_outcomes.take("vm-1", Outcomes(0.0, 2.0), float(now_ms))
+        peer_outcomes.update("vm-1", Outcomes(0.0, 2.0), float(now_ms))
     assert peer_outcomes.at(60_000.0).n_failed == pytest.approx(2.0 * 0.5**6)
--- a/tests/decisions/health/test_upstream_health.py
+++ b/tests/decisions/health/test_upstream_health.py
@@ -42,7 +42,7 @@
 
 
 def test_single_silent_reads_do_not_eject() -> None:
-    """Guards against ejecting a healthy engine whose flows the network lost.
+    """Guards against ejecting a healthy engine whose connections went silent.
 
     That would needlessly move its load to the other engines.
     """
--- a/tests/decisions/retries/test_retry_policy.py
+++ b/tests/decisions/retries/test_retry_policy.py
@@ -68,17 +68,17 @@
 
 
 @pytest.mark.parametrize(
-    ("has_reached", "n_output_tokens", "ran"),
+    ("may_have_run", "n_output_tokens", "ran"),
     [(False, 0, Ran.NO), (True, 0, Ran.UNKNOWN), (True, 3, Ran.YES)],
 )
 def test_decide_reports_whether_the_request_ran(
-    *, has_reached: bool, n_output_tokens: int, ran: Ran
+    *, may_have_run: bool, n_output_tokens: int, ran: Ran
 ) -> None:
     end = AttemptEnd(
         "a",
         AttemptFault.BROKEN,
         n_output_tokens=n_output_tokens,
-        may_have_run=has_reached,
+        may_have_run=may_have_run,
     )
     failure = decide(end, timeout_ms=0.0)
     assert isinstance(failure, Failure)
