--- a/src/quetzaldeck/decisions/health/monitor.py
+++ b/src/quetzaldeck/decisions/health/monitor.py
@@ -25,7 +25,8 @@
     )
 )
 """Faults that count as failures of an upstream. Only an upstream that accepted a
-request can fail it, not one that has left, is overloaded or cannot be reached."""
+request can fail the request, not one that has left, is overloaded or cannot be
+reached."""
 
 
 class AttemptMonitor:
@@ -70,7 +71,7 @@
     ) -> HealthState | None:
         """Record the end of an attempt.
 
-        :returns: the state of the upstream that was ejected for it, if any
+        :returns: the health state for which its upstream was ejected, if it was
         """
         if end.fault is None:
             self._note_answered(request, end, upstreams, now_ms)
@@ -79,7 +80,7 @@
         state = self._table.get(name)
         if state is None:
             return None
-        if end.fault is AttemptFault.BROKEN and _is_tracked(request):
+        if end.fault is AttemptFault.BROKEN and _can_be_suspected(request):
             incarnation = end.incarnation or state.incarnation
             self._poison.note_crash(request.fingerprint, name, incarnation, now_ms)
         if _is_help_refused(end, upstreams):
@@ -122,7 +123,7 @@
         answering = self._table.get(upstreams[-1])
         if answering is not None:
             answering.outcomes.note(now_ms, is_answered=True)
-        if _is_tracked(request):
+        if _can_be_suspected(request):
             self._poison.note_answered(request.fingerprint, now_ms)
 
 
@@ -136,7 +137,7 @@
     return end.fault is AttemptFault.HELPER
 
 
-def _is_tracked(request: Request) -> bool:
+def _can_be_suspected(request: Request) -> bool:
     """:returns: whether engine crashes are attributed to this request
 
     This needs a fingerprint, and does not apply to requests to services.
--- a/src/quetzaldeck/decisions/health/pace.py
+++ b/src/quetzaldeck/decisions/health/pace.py
@@ -32,7 +32,7 @@
 than its share of the work saves."""
 
 MAX_PACE_AGE_MS = 3_500.0
-"""Age at which a reported pace expires: three reports, a second apart, may be lost."""
+"""Age at which a pace expires. Reports are a second apart; two in a row may be lost."""
 
 
 class Pace:
--- a/src/quetzaldeck/decisions/tuning.py
+++ b/src/quetzaldeck/decisions/tuning.py
@@ -3,7 +3,7 @@
 Operators weight the same metrics differently: the profile ``short_requests`` favours a
 low slowdown of short requests, ``first_token`` a low time to first token over all
 lengths. Explicit weights select a point on the straight line through both profiles.
-docs/design/queueing.md has the runs behind the parameters of the profiles.
+docs/design/queueing.md has the measurements behind the parameters of the profiles.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/decisions/waiting.py
+++ b/src/quetzaldeck/decisions/waiting.py
@@ -46,7 +46,7 @@
         """Allow the next ``take`` to try placement, as capacity may have become free.
 
         Without this condition a VM whose queue is blocked would try placement at each
-        poll, and use most CPU when it can do least.
+        poll, and use the most CPU time while it can start no request.
         """
         self._next_placement_ms = 0.0
 
--- a/tests/decisions/health/test_upstream_health.py
+++ b/tests/decisions/health/test_upstream_health.py
@@ -178,13 +178,13 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "waits_ms"),
+    ("fault", "wait_ms"),
     [(AttemptFault.CONNECT, 5_000.0), (AttemptFault.BROKEN, 60_000.0)],
 )
 def test_non_repeatable_request_probes_only_when_overdue(
-    fault: AttemptFault, waits_ms: float
+    fault: AttemptFault, wait_ms: float
 ) -> None:
-    """Guards against a replica that stays ejected for ever in a service without others.
+    """Guards against a replica that stays ejected for ever in a non-repeatable service.
 
     A request that must not be repeated may be lost as a probe, so it is used only after
     a longer wait. But a service may get no other requests to probe a replica with.
@@ -197,11 +197,11 @@
         state.health.note_fault("x", fault, clock.now_ms())
     request = make_request(now_ms=1_000.0, timeout_ms=1e6)
     request = request._replace(is_repeatable=False)
-    places = []
-    for at_ms in (waits_ms - 1, waits_ms):
+    placements = []
+    for at_ms in (wait_ms - 1, wait_ms):
         now_ms = state.health.hold_until_ms + at_ms
-        places.append(scheduler.placer.place(request, (), now_ms))
-    assert places == [("e1",), ("e0",)]
+        placements.append(scheduler.placer.place(request, (), now_ms))
+    assert placements == [("e1",), ("e0",)]
 
 
 def test_leaving_upstream_gets_no_new_requests_or_retries() -> None:
--- a/tests/decisions/limits/test_limiter.py
+++ b/tests/decisions/limits/test_limiter.py
@@ -55,7 +55,7 @@
     def run(
         self, vms: set[int], duration_ms: float, n_requests_per_step: int = 20
     ) -> None:
-        """Let the customer send as much as it can to some VMs for a time."""
+        """Let the customer send as much as possible to the given VMs."""
         for _ in range(round(duration_ms / STEP_MS)):
             self.now_ms += STEP_MS
             self._end_requests()
@@ -108,7 +108,7 @@
 
 
 def test_limit_is_nearly_reached_at_a_single_vm(fleet: LimitedFleet) -> None:
-    """All requests of a customer arrive at one VM; it still gets what it bought."""
+    """All requests of a customer arrive at one VM, which may use the whole limit."""
     fleet.run({3}, 1_000)
     assert fleet.max_running == LIMIT // N_VMS
     fleet.run({3}, 9_000)
@@ -120,8 +120,8 @@
 ) -> None:
     """One VM has borrowed the whole limit when the customer starts at the other six.
 
-    Each of them may use its share at once, while the first VM gives back what it
-    borrowed only as its requests end.
+    Each of the six may use its share at once, while the capacity that the first VM
+    borrowed is returned only when the requests there end.
     """
     fleet.run({0}, 10_000)
     fleet.run(set(range(N_VMS)), 1_000)
@@ -138,8 +138,8 @@
 ) -> None:
     """Two parts get no updates from each other but still count all seven VMs.
 
-    Until the VM list drops the other part, each part borrows what it takes for unused
-    there, so that each may reach the limit, and both together twice the limit.
+    Until the VM list drops the other part, each part borrows the shares that seem
+    unused there, so each may reach the limit, and both together twice the limit.
     """
     fleet.run(set(range(N_VMS)), 5_000)
     fleet.partition = {0, 1, 2}
--- a/tests/decisions/poison/test_poison_registry.py
+++ b/tests/decisions/poison/test_poison_registry.py
@@ -136,7 +136,7 @@
     registry = PoisonRegistry()
     registry.observe(sightings, 0.0)
     registry.note_answered(BYSTANDER, 5.0)
-    registry.observe(tuple(n._replace(age_ms=10.0) for n in sightings), 10.0)
+    registry.observe(tuple(item._replace(age_ms=10.0) for item in sightings), 10.0)
     assert registry.verdict(BYSTANDER, 10.0) is Verdict.CLEAR
 
 
--- a/tests/decisions/relays/test_relay_selector.py
+++ b/tests/decisions/relays/test_relay_selector.py
@@ -51,7 +51,7 @@
         else:
             assert selector.parent in relays
             assert not selector.peers
-    parents = [c.parent for c in selectors.values() if c.parent is not None]
+    parents = [s.parent for s in selectors.values() if s.parent is not None]
     most = max(parents.count(relay) for relay in relays)
     assert most <= 2 * BOUNDS.n_members_per_core * CAPACITY
 
@@ -64,7 +64,7 @@
     }
     relays = set()
     for vm in vms:
-        others = {other: size for other, size in capacities.items() if other != vm}
+        others = {other: cores for other, cores in capacities.items() if other != vm}
         selector = RelaySelector(vm, "z0", capacity=capacities[vm])
         selector.update({"z0": others}, 0.0)
         if selector.parent is None:
--- a/tests/decisions/retries/test_silence.py
+++ b/tests/decisions/retries/test_silence.py
@@ -73,7 +73,7 @@
 
 
 def test_attempt_behind_long_prompt_parts_goes_on(clock: ManualClock) -> None:
-    """Other VMs have sent each engine a part of 27,000 tokens, prefilled first."""
+    """Other VMs have sent each engine 27,000 tokens, which are prefilled first."""
     scheduler = make_entry_scheduler(clock, NAMES)
     part = VmLoad(1, 27_000, 0, n_parts=1)
     scheduler.fleet.observe_peer("other", [(name, part) for name in NAMES])
@@ -110,7 +110,7 @@
 
 
 def test_attempt_goes_on_if_the_budget_is_spent(clock: ManualClock) -> None:
-    """If it were abandoned, its caller would get an error instead of a retry."""
+    """If it were abandoned, the caller would get an error instead of a retry."""
     resend_budget = ResendBudget(ratio=0.2, window_ms=10_000, min_resends=1)
     scheduler = make_entry_scheduler(clock, NAMES, arrivals=resend_budget)
     first = dispatch_request(scheduler, clock, "r1")
@@ -151,7 +151,7 @@
 
 
 def test_stream_that_stalls_after_seconds_is_abandoned(clock: ManualClock) -> None:
-    """Its caller has received events until then and keeps listening."""
+    """The caller has received events until then and is still connected."""
     scheduler = make_entry_scheduler(clock, NAMES)
     dispatch = dispatch_request(scheduler, clock)
     scheduler.note_first_token(dispatch.attempt_id)
--- a/tests/decisions/test_caller_idle_timeout.py
+++ b/tests/decisions/test_caller_idle_timeout.py
@@ -155,7 +155,7 @@
 
 
 def test_engines_stay_busy(simulation: Simulation) -> None:
-    """No more requests are refused than the engines lack capacity for."""
+    """Refusals leave little capacity unused: nine tenths of it serve requests."""
     n_served = sum(r.refusal is None for r in simulation.responses)
     capacity = N_ENGINES * FEW_SLOTS.n_slots * 6_000 / ANSWER_MS
     assert n_served >= 0.9 * capacity
--- a/tests/decisions/test_load_changes.py
+++ b/tests/decisions/test_load_changes.py
@@ -115,7 +115,7 @@
 
 
 def test_refusal_to_help_is_sent_at_once_and_refreshed() -> None:
-    """If it were delayed or expired, other VMs would name the engine as a helper."""
+    """If a refusal were delayed or expired, other VMs would name the engine again."""
     refusing = SENT._replace(refuses_help=True)
     idle = VmLoad()
     for before, after in ((SENT, refusing), (idle, idle._replace(refuses_help=True))):
--- a/tests/decisions/test_peer_load.py
+++ b/tests/decisions/test_peer_load.py
@@ -60,11 +60,13 @@
         assert n_more == max(0, load.n_prefill_tokens - n_before)
         latest[vm] = (now_ms, load)
         unexpired = [
-            s for at_ms, s in latest.values() if now_ms - at_ms <= PEER_LOAD_TTL_MS
+            last
+            for at_ms, last in latest.values()
+            if now_ms - at_ms <= PEER_LOAD_TTL_MS
         ]
         total = peers.total(now_ms)
         assert total[:3] == tuple(
-            map(sum, zip(*(s[:3] for s in unexpired), strict=True))
+            map(sum, zip(*(last[:3] for last in unexpired), strict=True))
         )
 
 
--- a/tests/decisions/test_upstream_restart.py
+++ b/tests/decisions/test_upstream_restart.py
@@ -20,7 +20,7 @@
 SPEC = UpstreamSpec("e0", "10.0.0.1:80", models=("plans",), kv_tokens=400_000)
 
 
-def make_busy() -> UpstreamState:
+def make_faulty() -> UpstreamState:
     """:returns: an engine that looks full, slow, failing and dead"""
     state = UpstreamState(SPEC)
     state.note_incarnation(FIRST, 0.0)
@@ -36,7 +36,7 @@
 
 
 def test_restart_resets_the_state() -> None:
-    state = make_busy()
+    state = make_faulty()
     state.note_incarnation(SECOND, 100.0)
     assert state.n_requests(100.0) == 0
     assert state.n_kv_tokens_used(100.0) == 0
@@ -48,8 +48,8 @@
 
 
 def test_attempt_of_the_earlier_incarnation_is_released_once() -> None:
-    """It ends when its connection breaks, after the restart was noticed."""
-    state = make_busy()
+    """The attempt ends when its connection breaks, after the restart was noticed."""
+    state = make_faulty()
     state.note_incarnation(SECOND, 100.0)
     state.mark_prefilled("a1")
     assert state.discard("a1")
@@ -58,7 +58,7 @@
 
 
 def test_late_report_of_the_earlier_incarnation_is_ignored() -> None:
-    state = make_busy()
+    state = make_faulty()
     state.note_incarnation(SECOND, 100.0)
     state.observe(LoadReport("e0", FIRST, 99, 0.0, 8, 4, 350_000, 0), 120.0)
     assert state.n_requests(120.0) == 0
@@ -67,7 +67,7 @@
 
 
 def test_unchanged_incarnation_keeps_the_state() -> None:
-    state = make_busy()
+    state = make_faulty()
     state.note_incarnation(FIRST, 100.0)
     assert state.health.is_ejected
     assert state.n_kv_tokens_used() == 350_000
@@ -83,6 +83,6 @@
 
 def test_repeatedly_restarting_engine_is_ejected() -> None:
     state = UpstreamState(SPEC)
-    for n_start in range(4):
-        state.note_incarnation(str(1_000 + n_start), n_start * 2_000.0)
+    for number in range(4):
+        state.note_incarnation(str(1_000 + number), number * 2_000.0)
     assert state.health.is_ejected
--- a/tests/decisions/test_waiting.py
+++ b/tests/decisions/test_waiting.py
@@ -29,7 +29,8 @@
 ) -> None:
     """In a full fleet each token that arrives causes a poll of the scheduler.
 
-    If each poll tried placement, the VM would use most CPU when it can do least.
+    If each poll tried placement, the VM would use the most CPU time while it can
+    start no request.
     """
     tried: list[str] = []
 
