--- a/tests/decisions/health/test_upstream_health.py
+++ b/tests/decisions/health/test_upstream_health.py
@@ -184,7 +184,7 @@
 def test_non_repeatable_request_probes_only_when_overdue(
     fault: AttemptFault, wait_ms: float
 ) -> None:
-    """Guards against a replica that stays ejected for ever in a non-repeatable service.
+    """Guards against a replica that stays ejected for ever as no request can probe it.
 
     A request that must not be repeated may be lost as a probe, so it is used only after
     a longer wait. But a service may get no other requests to probe a replica with.
