--- a/src/quetzaldeck/decisions/tuning.py
+++ b/src/quetzaldeck/decisions/tuning.py
@@ -3,7 +3,7 @@
 Operators weight the same metrics differently: the profile ``short_requests`` favours a
 low slowdown of short requests, ``first_token`` a low time to first token over all
 lengths. Explicit weights select a point on the straight line through both profiles.
-docs/design/queueing.md has the runs behind the parameters of the profiles.
+docs/design/queueing.md has the measurements behind the parameters of the profiles.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 class Tuning(NamedTuple):
     """Parameters of the queue and of head-of-line protection.
 
-    :param stretch: a request is due after this many times its own prefill time; the
-        higher, the longer short requests are served before long ones
+    :param stretch: a request is due after this many times its own prefill time; with
+        higher values, short requests are served before long ones for longer
     :param long_share: share of the engines on which long prompts have priority
     :param max_short_share: maximum share of the engines kept free of long prompts
     :param short_headroom: share of engines kept for short requests, as a multiple of
