--- a/src/quetzaldeck/agent/build_tasks.py
+++ b/src/quetzaldeck/agent/build_tasks.py
@@ -70,8 +70,8 @@
     """:returns: the task that sends commands to engines"""
     sources = CommandSources(
         read_view=lambda: session.view,
-        # The first bundle that a new agent reads may be stale; no commands are sent
-        # by it before the peers were asked for a newer one.
+        # The first bundle that a new agent reads may be stale, so no commands are
+        # derived from it before peers have been asked for a newer one.
         read_bundle=lambda: session.store.bundle if session.is_ready else None,
         read_loads=session.list_loads,
         read_leaving=lambda: session.leaving_upstreams,
--- a/src/quetzaldeck/agent/bundle_exchange.py
+++ b/src/quetzaldeck/agent/bundle_exchange.py
@@ -30,7 +30,7 @@
 BUNDLE_KIND = "bundle"
 FETCH_TIMEOUT_MS = 3_000.0
 MAX_REFUSED = 64
-# Previous payloads kept as bases of diffs; peers are hardly ever further behind.
+# Previous payloads kept to build patches from; peers are rarely further behind.
 MAX_PREVIOUS_PAYLOADS = 2
 _REQUEST_DECODER = msgspec.json.Decoder(BundleRequest)
 
@@ -47,7 +47,7 @@
 class BundleExchange:
     """Fetches newer bundles from peers, one at a time, and serves this VM's bundle.
 
-    :param on_accepted: called when a bundle has come in force, whether it came from
+    :param on_accepted: called when a bundle has taken effect, whether it was read from
         the configuration service or from a peer
     """
 
@@ -128,8 +128,8 @@
             self._has_peer_bundles.clear()
 
     async def _fetch(self, wanted: PeerBundle) -> None:
-        # If the peer's diff does not result in the announced bundle, the request is
-        # repeated without a base, so that the peer sends the full bundle.
+        # If the peer's patch does not result in the announced bundle, the request is
+        # repeated without a digest, so that the peer sends the full bundle.
         held = self._store.envelope
         envelope = await self._request(wanted, None if held is None else held.payload)
         if held is not None and not _is_wanted_bundle(envelope, wanted):
@@ -167,7 +167,7 @@
         request = _REQUEST_DECODER.decode(body)
         key = (request.digest, self._store.digest)
         if key not in self._answers:
-            # Cached because many peers request the same diff at the same time.
+            # Cached because many peers request the same patch at the same time.
             answer = encode_answer(
                 envelope, request.digest, tuple(self._previous_payloads)
             )
--- a/src/quetzaldeck/agent/claim_holds.py
+++ b/src/quetzaldeck/agent/claim_holds.py
@@ -1,4 +1,4 @@
-"""Outcomes of claims held by this VM or by others, and the answers kept of them."""
+"""Outcomes of claims that this or another VM holds, and their stored answers."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     from quetzaldeck.peers import PeerIdentity
 
 WAIT_MARGIN_MS = 100.0
-"""Part of the deadline reserved for the way back of an answer that is waited for."""
+"""Time reserved for each of the two hops by which an answer reaches the gateway."""
 
 N_ANSWER_COPIES = 2
-"""VMs that receive the answers of a leaving VM; one of them may leave right after."""
+"""VMs that receive the answers of a leaving VM; one of them may leave next."""
 
 _STATUS = msgspec.json.Decoder(ClaimStatus)
 _STATUS_REQUEST = msgspec.json.Decoder(ClaimStatusRequest)
@@ -59,7 +59,7 @@
         peers.register("claim-answers", self._import_answers)
 
     async def hand_over(self) -> None:
-        """Copy the answers kept here to peers, which then answer later resends."""
+        """Copy the answers stored here to peers, which then answer later resends."""
         answers = self._tracker.list_finished()
         if not answers:
             return
--- a/src/quetzaldeck/agent/claim_part.py
+++ b/src/quetzaldeck/agent/claim_part.py
@@ -72,7 +72,7 @@
         await self._stack.aclose()
 
     async def hand_over(self) -> None:
-        """Copy the answers kept here to peers; called when no call is in progress."""
+        """Copy the answers stored here to peers; called when no call is in progress."""
         await self.coordinator.holds.hand_over()
 
     async def leave(self) -> None:
--- a/src/quetzaldeck/agent/command_task.py
+++ b/src/quetzaldeck/agent/command_task.py
@@ -1,4 +1,4 @@
-"""The task that commands engines to the models and roles that the bundle specifies."""
+"""The task that commands engines to take on the models and roles in the bundle."""
 
 from __future__ import annotations
 
@@ -192,9 +192,9 @@
         return OrderOutcome.ACCEPTED if is_accepted else OrderOutcome.FENCED
 
     async def _verify(self, order: Order, bundle: Bundle) -> OrderOutcome:
-        """:returns: whether the engine reports the change that it has accepted
+        """:returns: ``ACCEPTED`` if the engine now reports the change
 
-        Only for changes that take effect at once; loading weights takes longer.
+        Called only for changes that take effect at once; loading weights takes longer.
         """
         report = await self._read_engine(order.engine, bundle)
         if report is not None and is_done(order.change, _to_status(report)):
--- a/src/quetzaldeck/agent/gossip_task.py
+++ b/src/quetzaldeck/agent/gossip_task.py
@@ -78,8 +78,8 @@
     def has_joined(self) -> bool:
         """:returns: whether enough peers have answered to know the fleet's state
 
-        All listed VMs but this one, or three of them: a single peer may itself have
-        just started.
+        Three peers are enough, or all other listed VMs if there are fewer. One is not:
+        it may have just started itself.
         """
         view = self._membership.view
         if view.list_read_ms is None:
--- a/src/quetzaldeck/agent/load_plan.py
+++ b/src/quetzaldeck/agent/load_plan.py
@@ -43,8 +43,8 @@
         self._others: deque[str] = deque()
         self._own: deque[str] = deque()
         self._budget = 0.0
-        self._owned: frozenset[str] = frozenset()
-        self._owned_among = (frozenset[str](), frozenset[str]())
+        self._assigned: frozenset[str] = frozenset()
+        self._assigned_for = (frozenset[str](), frozenset[str]())
 
     def choose(
         self, upstreams: Collection[str], live_vms: Collection[str], elapsed_ms: float
@@ -65,12 +65,12 @@
     def _find_own(self, vms: frozenset[str], names: frozenset[str]) -> frozenset[str]:
         # 410 VMs and 780 upstreams take 320,000 hashes, so they are computed only when
         # the VMs or upstreams have changed.
-        if (vms, names) != self._owned_among:
-            self._owned_among = (vms, names)
-            self._owned = frozenset(
+        if (vms, names) != self._assigned_for:
+            self._assigned_for = (vms, names)
+            self._assigned = frozenset(
                 name for name in names if choose_owner(name, vms) == self._vm
             )
-        return self._owned
+        return self._assigned
 
     def _rotate(
         self, rotation: deque[str], names: frozenset[str], max_names: int
--- a/src/quetzaldeck/agent/pause_detector.py
+++ b/src/quetzaldeck/agent/pause_detector.py
@@ -9,7 +9,7 @@
 
 
 class PauseDetector:
-    """Compares the time between two steps of a periodic task with its upper bound.
+    """Compares the time between two steps of a periodic task with a limit.
 
     Both clocks are read: on some hosts the monotonic clock stops while a VM is
     suspended, and the wall clock may be set back.
--- a/src/quetzaldeck/agent/service.py
+++ b/src/quetzaldeck/agent/service.py
@@ -79,7 +79,7 @@
     async def drain(self) -> int:
         """Wait for the gateway to finish, then leave the fleet.
 
-        :returns: 0: aborted requests of callers are counted by the gateway
+        :returns: 0, because the gateway counts the aborted requests of callers
         """
         self._session.begin_leaving()
         await self._session.gateway_watch.wait_gone()
@@ -91,7 +91,7 @@
         self._session.gateway_watch.cancel_wait()
 
     async def start(self) -> None:
-        """Start to listen, then to gossip under the address listened on."""
+        """Start listening, then gossip, which announces the address to peers."""
         await super().start()
         await self._session.start_gossip(self.address)
 
--- a/src/quetzaldeck/agent/session.py
+++ b/src/quetzaldeck/agent/session.py
@@ -156,12 +156,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """:returns: whether a bundle is in force and no peer has a newer one
+        """:returns: whether the gateway may serve with the bundle in force
 
-        The first read of the configuration service may be stale. If a new VM served
-        it at once, it could use an older bundle than the rest of the fleet. So it
-        asks peers first; after ``join_timeout_ms`` without them it serves all the
-        same.
+        The first read of the configuration service may be stale: a new VM that used
+        this bundle at once could serve with an older one than the rest of the fleet.
+        So the VM first waits until its voters can vote on new keys and, if peer keys
+        are set, until peers have answered and none has a newer bundle. After
+        ``join_timeout_ms`` a bundle in force is enough.
         """
         if self.store.bundle is None:
             return False
--- a/src/quetzaldeck/agent/voter_groups.py
+++ b/src/quetzaldeck/agent/voter_groups.py
@@ -57,7 +57,7 @@
         )
 
     def find(self, key: str) -> Voter:
-        """:returns: the voter for a claim's key; it may not be in a voter set"""
+        """:returns: the voter for a claim's key; the voter may be in no voter set"""
         return self.get(group_of(key, self._settings.n_groups))
 
     def get(self, group: int) -> Voter:
@@ -66,7 +66,10 @@
         :raises ValueError: if the group number is not below ``n_groups``
         """
         if not 0 <= group < self._settings.n_groups:
-            msg = f"no group {group} here; set claims.n_groups alike on all VMs"
+            msg = (
+                f"group {group} does not exist: claims.n_groups is "
+                f"{self._settings.n_groups} here; set it to the same value on all VMs"
+            )
             raise ValueError(msg)
         voter = self._find_or_create(group)
         voter.update_view(self.build_view(group))
@@ -146,7 +149,10 @@
         return chosen
 
     def _refresh(self) -> None:
-        """Discard the chosen voters if VMs have changed; choosing hashes every VM."""
+        """Clear the cached choices of voters if the VMs have changed.
+
+        They are cached because each choice hashes every VM.
+        """
         listed = [m for m in self._read_view().members if m.is_listed]
         zones = {m.vm: m.availability_zone for m in self._list_eligible(listed)}
         if zones != self._zones:
--- a/src/quetzaldeck/agent/voter_task.py
+++ b/src/quetzaldeck/agent/voter_task.py
@@ -22,7 +22,7 @@
 """Intervals between two rounds of a settled voter."""
 
 MAX_STUCK_INTERVALS = 4
-"""Most intervals between rounds of an unsettled voter if they change nothing."""
+"""Maximum of intervals between two rounds of an unsettled voter without progress."""
 
 _SYNC = msgspec.json.Decoder(SyncRequest)
 _REPLY = msgspec.json.Decoder(SyncReply)
@@ -102,10 +102,10 @@
         self._update_metrics()
 
     async def leave(self) -> None:
-        """Have the voters of this VM removed from the voter sets, grants handed over.
+        """Have this VM's voters removed from the voter sets and hand over their grants.
 
         If a VM left without this, it would count in every majority until the others
-        were sure that it is dead, and calls would be refused in a rolling replacement.
+        confirmed it dead, and calls would be refused in a rolling replacement.
         """
         await asyncio.gather(*(self._leave(voter) for voter in self._groups.voters))
 
@@ -165,7 +165,7 @@
     async def _answer_sync(self, sender: PeerIdentity, body: bytes) -> bytes:
         request = decode_body(body, _SYNC)
         if request.voter_id.vm != sender.vm:
-            msg = f"VM {sender.vm} sent a round for a voter of {request.voter_id.vm}"
+            msg = f"VM {sender.vm} sent a sync request of VM {request.voter_id.vm}"
             raise ValueError(msg)
         voter = self._groups.get(request.group)
         before = voter.state
--- a/src/quetzaldeck/claims/__init__.py
+++ b/src/quetzaldeck/claims/__init__.py
@@ -27,10 +27,10 @@
 >>> key = make_timed_key(clock, random.Random(1))
 >>> def claim(vm):
 ...     wanted = Claim(hash_claim_key("club", key), "digest", f"claim-of-{vm}", vm)
-...     counted = VoteTally(wanted)
+...     tally = VoteTally(wanted)
 ...     for voter in voters.values():
-...         counted.add(voter.vote(VoteRequest(wanted, read_key_time(key))))
-...     return counted
+...         tally.add(voter.vote(VoteRequest(wanted, read_key_time(key))))
+...     return tally
 >>> claim("a").is_won
 True
 >>> late = claim("b")
--- a/src/quetzaldeck/claims/abstention_period.py
+++ b/src/quetzaldeck/claims/abstention_period.py
@@ -12,11 +12,11 @@
 
 
 class AbstentionPeriod:
-    """Tells from which keys a voter must abstain after it lost its claims.
+    """Decides on which keys a voter must abstain after it has lost its claims.
 
-    The voter may have granted such a key before its memory was lost, and a second grant
-    would run the call twice. So it abstains until the window in which the key may be
-    resent has passed.
+    A key that the voter granted before the loss must not be granted again, or the call
+    could run twice. So the voter abstains on every key that it may have granted, until
+    the window in which callers may resend the key has passed.
     """
 
     def __init__(self, clock: Clock, settings: ClaimSettings) -> None:
--- a/src/quetzaldeck/claims/chain.py
+++ b/src/quetzaldeck/claims/chain.py
@@ -78,9 +78,9 @@
         """
         newest = self.newest
         self._pending = tuple(
-            target
-            for target in self._pending
-            if target.covers(committed) and target != committed
+            adopted
+            for adopted in self._pending
+            if adopted.covers(committed) and adopted != committed
         )
         self._committed = committed
         for proposal in (newest, *pending):
--- a/src/quetzaldeck/claims/claim_tracker.py
+++ b/src/quetzaldeck/claims/claim_tracker.py
@@ -53,8 +53,8 @@
 class ClaimTracker:
     """Tracks each claim from its first vote to its answer.
 
-    An abandoned claim stays abandoned, even if late votes would win it: whoever was
-    told that it will not run may have run the call elsewhere.
+    An abandoned claim stays abandoned, even if late votes would win it: a caller or
+    another VM that was told that it will not run may have run the call elsewhere.
     """
 
     def __init__(self, clock: Clock, settings: ClaimSettings) -> None:
--- a/src/quetzaldeck/claims/fleet_view.py
+++ b/src/quetzaldeck/claims/fleet_view.py
@@ -6,10 +6,10 @@
 
 
 class FleetView(NamedTuple):
-    """A voter's view of the fleet; a wrong view cannot make a key run twice.
+    """A voter's view of the fleet; a wrong view cannot make a call run twice.
 
     :param listed: VMs on the platform's list
-    :param gone: VMs that should not vote: not heard from, or no longer wanted
+    :param gone: VMs that should not vote: dead, or replaced in the group by other VMs
     :param wanted: VMs that should vote; ``None``: all listed VMs
     """
 
--- a/src/quetzaldeck/claims/permit.py
+++ b/src/quetzaldeck/claims/permit.py
@@ -8,7 +8,7 @@
 class Permit(NamedTuple):
     """Permission to dispatch the call of a claim that was won.
 
-    Voters keep the claim for the window, counted from their votes, which follow
+    Each voter keeps the claim for ``window_ms`` after its vote, and votes after
     ``started_ms``. So no other claimant can be granted the key before
     ``valid_until_ms``; a claimant that was paused until later must not dispatch.
 
--- a/src/quetzaldeck/claims/table.py
+++ b/src/quetzaldeck/claims/table.py
@@ -73,8 +73,8 @@
     def _expire(self) -> None:
         """Remove expired claims from the front of the insertion order.
 
-        A merged claim may be behind one that expires later. It is then kept too long,
-        by at most one window. That is safe: it can only cause a refusal.
+        A merged claim that is behind a claim with a later expiry is kept too long, by
+        at most one window. This is safe, since it can only cause a refusal.
         """
         now_ms = self._clock.now_ms()
         while self._expiries:
--- a/src/quetzaldeck/claims/voter.py
+++ b/src/quetzaldeck/claims/voter.py
@@ -3,8 +3,9 @@
 Claims are made for non-repeatable calls (bookings, charges), a few percent of all
 requests, which the load balancer may resend to any VM within seconds. Without votes
 each VM that receives a resend would run the call again. A vote costs one message in
-each direction per voter, so a claim takes one round trip to the slower half of the
-voters; a stored claim takes a few hundred bytes until the window has passed.
+each direction per voter, and a claim is won as soon as a majority has granted it, after
+about one round trip; a stored claim takes a few hundred bytes until the window
+has passed.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
     @property
     def can_vote_on_new_keys(self) -> bool:
-        """:returns: whether it may vote on a timed key that is created now"""
+        """:returns: whether this voter may vote on a timed key created now"""
         return self.can_vote and self._abstention.is_over_for_new_keys
 
     def vote(self, request: VoteRequest) -> Vote:
--- a/src/quetzaldeck/claims/voter_rounds.py
+++ b/src/quetzaldeck/claims/voter_rounds.py
@@ -16,15 +16,18 @@
 
 
 MAX_MAJORITY_WAIT_ROUNDS = 20
-"""Rounds that a change waits for a majority before it counts retired voters."""
+"""Rounds for which a pending set waits for a majority of voters that are not retired.
+
+After that retired voters are counted as adopters.
+"""
 
 
 class VoterRounds(VoterState):
     """Changes the voter set together with its peers.
 
-    A set is replaced by the next one only after a majority of its voters has adopted
-    that one and sent its claims, so that the majorities that vote on a key before and
-    after the change have a voter in common.
+    A voter set is replaced only after a majority of its voters has adopted the next set
+    and sent their claims, so that the majorities that vote on a key before and after
+    the change have a voter in common.
     """
 
     def update_view(self, view: FleetView) -> None:
@@ -92,7 +95,7 @@
         self._successors = frozenset(
             r.voter_id for r in replies if r.committed == committed
         )
-        for proposal in [target for reply in replies for target in reply.pending]:
+        for proposal in [item for reply in replies for item in reply.pending]:
             self._chain.adopt(proposal)
         self._rejoin_if_removed()
 
@@ -207,7 +210,7 @@
             self._abstention.begin()
 
     def _find_newer(self, replies: Sequence[SyncReply]) -> SyncReply | None:
-        """:returns: the reply with the newest committed set that covers this voter's"""
+        """:returns: the reply with the newest committed set that covers the own one"""
         committed = self._chain.committed
         newest: SyncReply | None = None
         for reply in replies:
@@ -234,8 +237,8 @@
     def _commit(self, replies: Sequence[SyncReply]) -> None:
         """Commit a pending set if enough voters have adopted it.
 
-        A first round without claims shows whether the commit is possible; only then are
-        snapshots requested. So a minority that waits does not transfer any claims.
+        Snapshots of claims are requested only after a round without them has shown that
+        the commit is possible, so a minority, which cannot commit, transfers no claims.
         """
         self._n_pending_rounds += 1 if self._chain.pending else 0
         commit = self._chain.find_commit(replies, self._list_countable_ids())
--- a/src/quetzaldeck/claims/voter_state.py
+++ b/src/quetzaldeck/claims/voter_state.py
@@ -90,7 +90,7 @@
         A voter may ask to be added and no longer be wanted when its peers add it,
         because VMs started in the meantime rank before it. If it then stopped holding
         rounds, its peers would wait for its vote forever and refuse every call of the
-        group: one of two voters is no majority.
+        group: one of two voters is not a majority.
         """
         return (
             self._chain.committed is None and self._awaited_voter_id == self._voter_id
@@ -115,8 +115,8 @@
     def has_left(self) -> bool:
         """:returns: whether a majority of the peers has committed a set without it
 
-        That this voter itself committed such a set proves only that the peers adopted
-        it. If this voter stopped then, they could lack its vote to commit it too.
+        If only this voter has committed such a set, its peers have adopted the set but
+        may still need this voter's reply to commit it.
         """
         committed = self._chain.committed
         if committed is None or committed.members <= {self._voter_id}:
--- a/src/quetzaldeck/commands/authority.py
+++ b/src/quetzaldeck/commands/authority.py
@@ -11,8 +11,8 @@
 * the fencing token is (bundle version, term); the term is the wall clock at the time
   when the VM took the engine over. A later commander has a higher token, so engines
   refuse late orders of a former one, and no state has to be persisted;
-* to an engine that ignores tokens a new commander sends nothing for ``takeover_ms``,
-  the time for which an order of the former commander may still be in flight.
+* a new commander of an engine that ignores tokens sends it nothing for
+  ``takeover_ms``: an order of the former commander may still be in flight.
 
 Reasons for the defaults: an order is dropped ``authority_ms`` (2 s) after the
 decision, sending it takes at most 2 s more, and a dead commander is suspected within
@@ -51,7 +51,7 @@
 
 
 def has_majority(view: MembershipView) -> bool:
-    """:returns: whether more than half of the members not dead are in contact
+    """:returns: whether more than half of the members that are not dead are in contact
 
     VMs that are only known from the platform's list count as out of contact.
     """
@@ -64,7 +64,7 @@
 
 
 class CommandAuthority:
-    """Tracks of which engines this VM is the commander, and its terms."""
+    """Tracks which engines this VM commands, and in which term."""
 
     def __init__(self, vm: str, clock: Clock, settings: CommandSettings) -> None:
         self._vm = vm
--- a/src/quetzaldeck/commands/commander.py
+++ b/src/quetzaldeck/commands/commander.py
@@ -66,7 +66,7 @@
 class Commander:
     """Decides the orders of one VM.
 
-    Combines authority, goals, slots and retries; their modules give the reasons.
+    Combines authority, goals, slots and retries; see their modules for the reasons.
     """
 
     def __init__(self, vm: str, clock: Clock, settings: CommandSettings) -> None:
--- a/src/quetzaldeck/commands/plan.py
+++ b/src/quetzaldeck/commands/plan.py
@@ -1,7 +1,7 @@
 """Plans the next change that brings an engine closer to its goal. No I/O.
 
 New weights are loaded next to the old ones, which serve until the new ones can, and
-are unloaded only then. So the roll-out of a new version costs no replica. An engine
+are unloaded only then. So a roll-out makes no replica unavailable. An engine
 that lacks the memory for both refuses the load; its old weights are then unloaded
 first, provided that another engine serves the model meanwhile.
 """
@@ -74,12 +74,14 @@
     """:returns: those of ``models`` that ``engine`` must not stop serving now
 
     Otherwise two commanders, each seeing the other one's engine serve, could unload
-    the last two replicas of a model at the same moment. Slots make that unlikely; this
-    rule rules it out for commanders with the same bundle, whatever members they see:
+    the last two replicas of a model at the same moment. Slots make that unlikely;
+    this check prevents it for commanders with the same bundle, whatever members they
+    see:
 
     * an engine that has reached its goal for the model gets no orders and keeps
       serving, so while there is one, the other engines may stop;
-    * until then all but the first one by name may stop, while that one serves.
+    * until then every engine but the first by name may stop, provided that the first
+      one serves.
 
     :param statuses: reports read just before the order is sent
     """
--- a/src/quetzaldeck/commands/retries.py
+++ b/src/quetzaldeck/commands/retries.py
@@ -34,7 +34,7 @@
         self.n_repeated = 0
 
     def reset_for_bundle(self, version: int) -> None:
-        """Reset the counts when another bundle has come into force."""
+        """Reset the counts when another bundle has taken effect."""
         if version != self._bundle_version:
             self._bundle_version = version
             self._sent.clear()
--- a/src/quetzaldeck/dissemination/bundle_answer.py
+++ b/src/quetzaldeck/dissemination/bundle_answer.py
@@ -51,14 +51,14 @@
 
 
 def encode_answer(
-    envelope: Envelope, digest: int, former_payloads: Sequence[str]
+    envelope: Envelope, digest: int, previous_payloads: Sequence[str]
 ) -> bytes:
     """:returns: the envelope as a patch of the requester's bundle, or in full
 
     :param digest: digest of the payload that the requester has
-    :param former_payloads: payloads formerly in force here, to build patches from
+    :param previous_payloads: payloads previously in force here, to build patches from
     """
-    for payload in former_payloads:
+    for payload in previous_payloads:
         if digest_payload(payload) != digest:
             continue
         patch = make_patch(payload, envelope.payload)
@@ -97,7 +97,7 @@
 
 
 def _decompress(compressed: bytes) -> bytes:
-    # Bounded, so that a small answer cannot decompress into all of the memory.
+    # The size is limited, so that a small answer cannot expand to fill the memory.
     decompressor = zlib.decompressobj()
     try:
         data = decompressor.decompress(compressed, MAX_BUNDLE_BYTES)
--- a/src/quetzaldeck/dissemination/bundle_patch.py
+++ b/src/quetzaldeck/dissemination/bundle_patch.py
@@ -4,8 +4,9 @@
 in a bundle of up to a megabyte. In full they would exceed the control traffic that a
 node may use; a patch takes a few hundred bytes.
 
-A patch has to reproduce the payload byte for byte: the sender applies it before using
-it, and the recipient verifies the signature of the result like that of any bundle.
+A patch has to reproduce the payload byte for byte: the sender applies it and sends it
+only if it does, and the recipient verifies the signature of the result like that of
+any bundle.
 """
 
 from __future__ import annotations
--- a/src/quetzaldeck/dissemination/record.py
+++ b/src/quetzaldeck/dissemination/record.py
@@ -10,7 +10,7 @@
 
     :param kind: kind of fact, e.g. ``usage`` or ``crash``
     :param key: what the fact is about, e.g. a customer
-    :param vm: VM that owns the record; only this one changes it
+    :param vm: VM that owns the record; no other VM changes it
     :param incarnation: incarnation of the owner's agent
     :param sequence: counter of that agent; a higher one replaces a lower one
     :param remaining_ms: time left until the record expires
--- a/src/quetzaldeck/dissemination/store.py
+++ b/src/quetzaldeck/dissemination/store.py
@@ -11,8 +11,9 @@
 on what is left, so wall clocks need not agree; a record expires late by no more than
 its time in transit.
 
-Limits: a value over ``max_value_bytes`` is refused when its owner puts it. Of more
-than ``max_records`` records those that expire first are dropped, and counted by kind.
+Limits: a value over ``max_value_bytes`` is refused when its owner puts it. If there
+are more than ``max_records`` records, the first to expire is dropped and counted by
+kind.
 A message carries up to ``max_message_bytes`` of records, least often sent ones first;
 kinds take turns, so that none waits for another.
 """
@@ -122,7 +123,7 @@
     def merge(self, records: Iterable[Record]) -> tuple[Record, ...]:
         """Merge records that a peer passed on.
 
-        :returns: those that were stored, being newer than what was known
+        :returns: the records that were stored because they are newer than known ones
         """
         return tuple(record for record in records if self._merge_one(record))
 
--- a/src/quetzaldeck/exchange/messages.py
+++ b/src/quetzaldeck/exchange/messages.py
@@ -16,9 +16,10 @@
     :param bundle_version: version in force in the gateway; 0: none
     :param n_running: attempts in progress
     :param records: records of this gateway for the other VMs
-    :param records_cursor: as in the last view; 0 for all records
-    :param agent_incarnation: as in the last view; ``""`` if there was none
-    :param is_stopped: whether the gateway has drained and needs the agent no longer
+    :param records_cursor: cursor of the last :class:`AgentView`; 0 for all records
+    :param agent_incarnation: incarnation in the last :class:`AgentView`; ``""`` if
+        there was none
+    :param is_stopped: whether the gateway has drained and no longer needs the agent
     """
 
     vm: str
--- a/src/quetzaldeck/membership/confirmation.py
+++ b/src/quetzaldeck/membership/confirmation.py
@@ -21,10 +21,10 @@
     now_ms: float,
     settings: MembershipSettings,
 ) -> bool:
-    """:returns: whether ``record`` has been suspected for long enough to confirm it
+    """:returns: whether a VM has been suspected for long enough to be confirmed dead
 
-    The wait is longer while the platform's list still names the VM: the list lags
-    behind, but the VM may also just have been paused.
+    The wait is longer while the platform's list still names the VM: the list may lag
+    behind, but the VM may also only be paused.
     """
     is_listed = record.is_listed or list_read_ms is None
     wait_ms = settings.confirm_listed_ms if is_listed else settings.confirm_ms
@@ -39,10 +39,10 @@
 ) -> bool:
     """:returns: whether the silence may come from a partition rather than a crash
 
-    Otherwise a VM that is cut off from the others would declare them all dead. If
-    many members are suspected, but fewer than half, those that have been missing
-    from the platform's list for ``confirm_listed_ms`` are still confirmed: the
-    platform has then given up their zone.
+    Without this check a VM that is cut off from the others would declare them all
+    dead. If many members are suspected, but fewer than half, those that have been
+    missing from the platform's list for ``confirm_listed_ms`` are still confirmed:
+    the platform then considers them lost, too, e.g. with their zone.
     """
     n_suspected, n_members = _count_suspected(records)
     if n_suspected <= max(1, PARTITION_FRACTION * n_members):
--- a/src/quetzaldeck/membership/membership.py
+++ b/src/quetzaldeck/membership/membership.py
@@ -1,11 +1,11 @@
 """Tracks which entry VMs exist, as one agent sees them. No I/O.
 
 The platform's list names the VMs that should exist, but it lags behind. Messages
-from peers show which VMs are running, but a partition silences live ones. So both
-are needed to declare a VM dead:
+from peers show which VMs are running, but none arrive from live VMs behind a
+partition. So both are needed to declare a VM dead:
 
-* a VM that answers a probe neither directly nor through relays is suspected and no
-  longer counts as live, at once;
+* a VM that answers a probe neither directly nor through relays is suspected at once
+  and no longer counts as live;
 * a suspected VM is confirmed dead after ``confirm_ms`` if the list does not name
   it, and after ``confirm_listed_ms`` if it does;
 * many members suspected at the same time are taken for a partition: none of them is
@@ -19,8 +19,8 @@
 heartbeats each of 410 nodes would send 409 messages per interval.
 
 Reasons for the defaults: with one probe per second by each agent, some peer probes a
-dead VM within about a second. Ten seconds of suspicion are ten times the time in
-which a live VM learns from any peer that it is suspected, and refutes it.
+dead VM within about a second. ``confirm_ms`` (10 s) is ten times the time in which a
+live VM learns from some peer that it is suspected, and refutes the suspicion.
 """
 
 from __future__ import annotations
@@ -183,16 +183,15 @@
     def _refute(self, update: MemberUpdate) -> None:
         own_update = self._own_update
         if update.incarnation != own_update.incarnation:
-            # An update of another incarnation of this VM. This one is the current
-            # one, whatever the wall clocks of the two said.
+            # The update is about another incarnation of this VM. The running one is
+            # newer, even if its wall clock gave it the lower generation.
             if update.generation >= own_update.generation:
                 self._own_update = own_update._replace(generation=update.generation + 1)
                 self.n_refuted += 1
             return
         if update.generation > own_update.generation:
-            # A peer that received a message of this incarnation before any update
-            # about it has guessed its generation. Further updates about it must
-            # outrank that guess.
+            # A peer received a message of this incarnation before any update about it
+            # and guessed its generation. Later updates must not rank below the guess.
             own_update = own_update._replace(generation=update.generation)
             self._own_update = own_update
         is_reported_failed = update.state in (MemberState.SUSPECTED, MemberState.DEAD)
@@ -225,7 +224,7 @@
         )
 
     def tick(self) -> None:
-        """Confirm suspected members and forget dead ones whose time has come."""
+        """Confirm members suspected for long enough; forget those dead for long."""
         now_ms = self._clock.now_ms()
         for record in self._records.values():
             if record.state is MemberState.SUSPECTED:
@@ -291,8 +290,8 @@
     def take_updates(self, recipient: str) -> tuple[MemberUpdate, ...]:
         """:returns: updates to send to ``recipient``, ``max_updates`` at most
 
-        If the recipient is not believed to be live, the update about itself is added
-        beyond that bound, so that it can refute it.
+        If this agent does not believe the recipient to be live, its update about the
+        recipient is added beyond that limit, so that the recipient can refute it.
         """
         records = [
             record
--- a/src/quetzaldeck/membership/update.py
+++ b/src/quetzaldeck/membership/update.py
@@ -11,7 +11,9 @@
     """State of one incarnation of a VM's agent, as some agent believes it to be.
 
     :param generation: orders the incarnations of one VM: the wall clock in ms when
-        the agent started, raised by that agent if it learns of a higher one
+        the agent started, raised by that agent if it learns of a higher one. A peer
+        that has no update about a new incarnation yet assumes one above that of the
+        former incarnation
     :param state_version: counter that only that agent raises, to refute a suspicion
         or to leave; the higher one is newer
     """
@@ -46,7 +48,8 @@
 
 
 def _rank(update: MemberUpdate) -> tuple[int, int, int]:
-    # The generation, too, is raised only by its own agent: the higher one is newer.
+    # The agent raises its generation to any higher one that a peer assumed, so the
+    # higher generation of the same incarnation is newer.
     return update.generation, update.state_version, _STATE_ORDER[update.state]
 
 
--- a/src/quetzaldeck/membership/update_selection.py
+++ b/src/quetzaldeck/membership/update_selection.py
@@ -28,7 +28,7 @@
     Each agent sends an update a number of times that grows with the logarithm of
     the fleet size: it then reaches all but a few agents in a thousand. If fewer
     updates are pending than a quarter of the bound, updates of random members fill
-    the message up to it, so that an update that got lost arrives in the end.
+    the message up to it, so that lost updates arrive eventually.
     """
     max_sent = SENDS_PER_DOUBLING * math.ceil(math.log2(n_members + 1))
     pending = [record for record in records if record.n_sent < max_sent]
--- a/src/quetzaldeck/peers/authenticator.py
+++ b/src/quetzaldeck/peers/authenticator.py
@@ -87,7 +87,7 @@
 
     @property
     def has_keys(self) -> bool:
-        """:returns: whether keys are configured; no peers are contacted without"""
+        """:returns: whether keys are configured; without keys no peer is contacted"""
         return bool(self._keys)
 
     def seal_request(self, recipient: str, kind: str, body: bytes) -> Seal:
--- a/src/quetzaldeck/peers/hmac_channel.py
+++ b/src/quetzaldeck/peers/hmac_channel.py
@@ -33,7 +33,8 @@
 class PeerAnswer(NamedTuple):
     """Parts of the HTTP response to a peer request.
 
-    :param seal: value of the seal header; ``""`` if the request was not authentic
+    :param seal: value of the seal header; ``""`` if the request was refused, unless
+        only its epoch was wrong
     """
 
     status: int
@@ -47,7 +48,7 @@
     :param authenticator: signs and verifies every message
     :param session: connection pool, owned by the caller
     :param on_message: called for every authentic message with its sender, and whether
-        the message is an answer to this agent
+        the message answers a request of this agent
     :param metrics: counts messages, bytes and refusals
     """
 
@@ -72,7 +73,7 @@
 
     @property
     def has_keys(self) -> bool:
-        """:returns: whether keys are configured; no peers are contacted without"""
+        """:returns: whether keys are configured; without keys no peer is contacted"""
         return self._authenticator.has_keys
 
     def register(self, kind: str, handler: PeerHandler) -> None:
--- a/src/quetzaldeck/peers/metrics.py
+++ b/src/quetzaldeck/peers/metrics.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from quetzaldeck.peers.errors import PeerRefusal
 
-# Request or status line, Host, Content-Length and the name of the seal header.
+# Size of the request or status line, Host, Content-Length and the seal header's name.
 N_HTTP_BYTES = 120
 
 
--- a/src/quetzaldeck/peers/seal.py
+++ b/src/quetzaldeck/peers/seal.py
@@ -11,7 +11,7 @@
 from quetzaldeck.peers.errors import PeerRefusal, RefusedMessageError
 
 SEAL_HEADER = "X-Quetzaldeck-Seal"
-_ASK = "ask"
+_REQUEST = "ask"
 _ANSWER = "answer"
 
 
@@ -55,7 +55,7 @@
 
 def sign_request(seal: Seal, kind: str, body: bytes, secret: str) -> Seal:
     """:returns: ``seal`` with the signature of a request"""
-    return seal._replace(signature=_sign(secret, (_ASK, kind, seal), body))
+    return seal._replace(signature=_sign(secret, (_REQUEST, kind, seal), body))
 
 
 def sign_answer(
--- a/src/quetzaldeck/reclaim/owners.py
+++ b/src/quetzaldeck/reclaim/owners.py
@@ -1,4 +1,4 @@
-"""Which gateway incarnations have run on this VM, by their reports. No I/O."""
+"""Tracks the gateway incarnations that have run on this VM. No I/O."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class OwnerRegistry:
-    """Tells the state of the gateway incarnations that reported to this agent.
+    """Determines the state of the gateway incarnations that reported to this agent.
 
     ``GONE`` is a proof: the gateway has reported that it stopped, or it is silent while
     a later incarnation reports, and a VM runs one gateway at a time. A gateway that is
--- a/src/quetzaldeck/reclaim/reclaimer.py
+++ b/src/quetzaldeck/reclaim/reclaimer.py
@@ -7,7 +7,7 @@
 An allocation is released only on a proof, and a proof never becomes false later:
 
 * Its owner, one incarnation of one gateway, is gone, as confirmed by the agent on the
-  owner's VM (see :class:`OwnerRegistry`). The VM's name proves nothing because VM ids
+  owner's VM (see :class:`OwnerRegistry`). The VM's id proves nothing because VM ids
   are reused. Silence or absence from the platform's list proves nothing either: both
   happen to a VM that is paused or behind a partition.
 * Its deadline has passed by more than the largest clock skew. The owner drops a request
--- a/tests/claims/test_fleet_claims.py
+++ b/tests/claims/test_fleet_claims.py
@@ -125,7 +125,7 @@
 def test_graceful_leave_refuses_nothing_and_keeps_answers() -> None:
     """All VMs are replaced one by one, then the first booking is resent.
 
-    None of the VMs that granted or ran it is left. The caller must get the original
+    No VM that granted or ran it is left. The caller must get the original
     answer, not a second booking.
     """
     uvloop.run(run_replacement())
--- a/tests/commands/test_commander.py
+++ b/tests/commands/test_commander.py
@@ -327,7 +327,7 @@
 
 
 def test_orders_of_an_old_bundle_in_the_majority_are_fenced(clock: ManualClock) -> None:
-    """A VM that missed a bundle acts as a commander although it has a majority."""
+    """A VM that missed a bundle is in contact with a majority and sends orders."""
     engine = SimulatedEngine()
     fleet = SimulatedFleet(clock, {find_contested("entry-1", "entry-2"): engine})
     add_conflicting_commanders(fleet, checks_fencing=True)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -266,7 +266,7 @@
 
 
 def test_an_answer_decides_which_incarnation_is_current(clock: ManualClock) -> None:
-    """An update about the wrong incarnation was accepted, for whatever reason.
+    """An update about an incarnation that is not running was accepted.
 
     An unsolicited message may be late, but the answer to a request of this agent
     comes from the running incarnation, so the next probe corrects the record.
