--- a/src/quetzaldeck/agent/load_task.py
+++ b/src/quetzaldeck/agent/load_task.py
@@ -30,7 +30,7 @@
     from quetzaldeck.telemetry import AgentMetrics
 
 LOAD_KIND = "load"
-# A report that is not renewed expires: placement then treats the upstream's load as
+# A report that is not renewed expires: placement then treats the engine's load as
 # unknown, whereas an outdated low load would attract all requests.
 LOAD_TTL_MS = 10_000
 
--- a/src/quetzaldeck/claims/messages.py
+++ b/src/quetzaldeck/claims/messages.py
@@ -13,7 +13,7 @@
     """The right to run a call once.
 
     :param key: hash of customer and idempotency key
-    :param body_digest: digest of the call; a resend of the key with another digest is refused
+    :param body_digest: digest of the call; the key with another digest is refused
     :param claim_id: unique to one attempt of one claimant; never reused
     :param vm: the claimant's VM
     :param address: base URL of its agent
--- a/src/quetzaldeck/pauses/guard.py
+++ b/src/quetzaldeck/pauses/guard.py
@@ -41,8 +41,8 @@
 
     A process that is stopped, swapped out or migrated to another machine resumes
     where it was paused: it would send a command that another VM has superseded, or
-    run a call whose claim has expired. Nothing outside the process can prevent that,
-    so the process checks the clock itself as the last step before the effect. A pause
+    run a call whose claim has expired. Most receivers cannot detect that, so the
+    process checks the clock itself as the last step before the effect. A pause
     between the check and the effect goes undetected; the margin of a lease has to
     cover it.
 
--- a/tests/agent/test_reclaim_in_fleet.py
+++ b/tests/agent/test_reclaim_in_fleet.py
@@ -69,8 +69,8 @@
 def test_memory_of_a_replaced_gateway_is_released() -> None:
     """A gateway dies after its connection to an engine was dropped without closing.
 
-    The engine does not notice and generates for minutes without a recipient. As long as the
-    gateway runs, the sequence must not be released.
+    The engine does not notice and generates for minutes without a recipient. As long
+    as the gateway runs, the sequence must not be released.
     """
     uvloop.run(run_restarted_gateway())
 
--- a/tests/agent/test_voter_groups.py
+++ b/tests/agent/test_voter_groups.py
@@ -47,7 +47,7 @@
 
 
 def test_build_view_does_not_count_unknown_voters_as_gone(clock: ManualClock) -> None:
-    """An agent starts and receives a voter set before it knows its member VM c.
+    """An agent starts and receives a voter set before it knows VM c, which is in it.
 
     If it proposed to remove unknown voters, each start of an agent would remove live
     ones, and calls would be refused meanwhile.
--- a/tests/claims/measure.py
+++ b/tests/claims/measure.py
@@ -51,7 +51,7 @@
 
 
 class Availability(NamedTuple):
-    """What bookings received during a fault."""
+    """Outcomes of the bookings made during a fault."""
 
     n_calls: int
     n_answered: int
@@ -143,7 +143,7 @@
 
 
 def block(session: AgentSession, unreachable: frozenset[str]) -> None:
-    """Make queries to the VMs in ``unreachable`` fail."""
+    """Make requests to the VMs in ``unreachable`` fail."""
     ask = session.channel.ask
 
     async def ask_reachable(
@@ -158,7 +158,7 @@
 
 
 async def measure_fault(fault: Fault) -> Availability:
-    """:returns: what bookings received, each sent once to a ready VM"""
+    """:returns: the outcomes of bookings, each sent once to a ready VM"""
     async with (
         Fleet(FleetSettings(n_vms=N_VMS)) as fleet,
         Callers(fleet, random_state=random.Random(2)) as callers,
--- a/tests/claims/model.py
+++ b/tests/claims/model.py
@@ -85,7 +85,7 @@
 
 
 class UncheckedRemovalVoter(Voter):
-    """Proposes to remove all voters it considers gone, so more histories occur."""
+    """Proposes to remove all voters it considers gone, to allow more histories."""
 
     def _may_propose_removal(self, gone: Collection[VoterId]) -> bool:
         return True
@@ -204,7 +204,7 @@
         return attempt.is_won
 
     def win(self, attempt: Attempt) -> None:
-        """Give the gateway the permit, which is all that it checks from then on."""
+        """Mark the claim as won; after that the gateway checks only the permit."""
         if attempt.vm.tracker.win(attempt.tally.claim.claim_id):
             attempt.is_won = True
 
--- a/tests/claims/scenarios.py
+++ b/tests/claims/scenarios.py
@@ -118,7 +118,7 @@
 
 
 def partition_with_unequal_lists(fleet_class: type[ModelFleet]) -> None:
-    """VMs 1 to 3 are partitioned from 4 to 7 and read that 4 to 7 are dead.
+    """VMs 1 to 3 are partitioned from 4 to 7 and read a list without 4 to 7.
 
     4 to 7 read the old list and continue to run bookings for hours. If 1 to 3 ever
     trusted their list, a booking resent across the partition would run twice.
--- a/tests/commands/test_commander.py
+++ b/tests/commands/test_commander.py
@@ -136,7 +136,7 @@
     def run(self, duration_ms: float) -> None:
         for _ in range(round(duration_ms / STEP_MS)):
             self.clock.advance(STEP_MS)
-            # All decide before any of them acts, so none sees the others' orders.
+            # All VMs decide before any order is sent, so none sees the others' effects.
             decided = [
                 (node, order)
                 for node in self.nodes.values()
@@ -358,8 +358,8 @@
 ) -> None:
     """A commander is paused for a minute between its decision and the sending.
 
-    Meanwhile another VM may have taken over and rolled out a newer bundle. Sent after
-    the pause, the old order would undo the new version.
+    Meanwhile another VM may have taken over and rolled out a newer bundle. If the old
+    order were sent after the pause, it would undo the new version.
     """
     fleet = SimulatedFleet(clock, make_engines(1))
     for vm in VMS:
@@ -447,7 +447,7 @@
 
 
 def test_slots_are_not_used_near_their_start_and_end() -> None:
-    """Clocks that differ by a fifth of a slot must not put two orders into one."""
+    """Clocks that differ by a fifth of a slot must not put two orders into one slot."""
     plan = SlotPlan(60)
     used = [plan.find_usable_slot(ms) for ms in range(0, 1_000, 50)]
     assert used == [None] * 5 + [0] * 10 + [None] * 5
--- a/tests/membership/test_convergence.py
+++ b/tests/membership/test_convergence.py
@@ -56,16 +56,16 @@
         incarnation = f"{vm}.{self.n_started}"
         skew_ms = self.random.randint(-SKEW_MS, SKEW_MS)
         generation = round(self.clock.wall_ms()) + skew_ms
-        me = MemberUpdate(
+        own_update = MemberUpdate(
             vm, incarnation, generation, 0, MemberState.LIVE, f"http://{vm}", "z"
         )
         membership = Membership(
-            me, clock=self.clock, random_state=self.random, settings=SETTINGS
+            own_update, clock=self.clock, random_state=self.random, settings=SETTINGS
         )
         self.nodes[vm] = Node(vm, incarnation, membership)
         self.listed[vm] = None
 
-    def disturb(self) -> None:
+    def inject_event(self) -> None:
         vm = self.random.choice(sorted(self.nodes))
         kind = self.random.choice(
             ["crash", "restart", "cut", "heal", "replace", "leave"]
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("seed", [*range(8), *REGRESSION_SEEDS])
-def test_all_live_agents_agree_after_the_disturbances(seed: int) -> None:
+def test_all_live_agents_agree_after_the_last_event(seed: int) -> None:
     """VMs crash, restart, leave and are cut off while a tenth of all messages is lost.
 
     An agent that kept a dead VM, lost a live one or kept a former incarnation would
@@ -137,7 +137,7 @@
     for _ in range(N_EVENTS):
         for _ in range(fleet.random.randint(0, 10)):
             fleet.step()
-        fleet.disturb()
+        fleet.inject_event()
     fleet.cut_off = set()
     fleet.loss_rate = 0.0
     for _ in range(SETTLING_STEPS):
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -251,8 +251,8 @@
     """A new agent gets a message of b, just restarted, before any update about b.
 
     A peer then passes on an outdated update about the former incarnation of b. If
-    it were accepted, the agent would take that one for the current one and ignore
-    the messages of the running one as those of a former one.
+    it were accepted, the agent would take the former incarnation for the current one
+    and ignore the messages of the running one.
     """
     membership = make_membership(clock)
     membership.apply_list(make_list("a", "b"))
--- a/tests/peers/test_authenticator.py
+++ b/tests/peers/test_authenticator.py
@@ -53,7 +53,7 @@
 def test_verify_request_refuses_a_replay_also_after_a_restart() -> None:
     """An attacker records a leave message and replays it days later.
 
-    If it were accepted, the VM named in it would drop out of the fleet while it
+    If it were accepted, the VM named in it would be removed from the fleet while it
     serves. A restarted recipient has lost its replay windows, so the epoch, drawn
     anew at each start, has to reject the replay.
     """
--- a/tests/reclaim/crashes.py
+++ b/tests/reclaim/crashes.py
@@ -68,8 +68,8 @@
     agent_is_live: bool = True
     paused_until_ms: float = 0.0
     partitioned_until_ms: float = 0.0
-    gateway_back_ms: float = 0.0
-    agent_back_ms: float = 0.0
+    gateway_restart_ms: float = 0.0
+    agent_restart_ms: float = 0.0
     owners: OwnerRegistry = field(init=False)
     reclaimer: Reclaimer = field(init=False)
 
@@ -161,10 +161,10 @@
         )
         if kind == "gateway":
             machine.gateway_is_live = False
-            machine.gateway_back_ms = now_ms + 5_000
+            machine.gateway_restart_ms = now_ms + 5_000
         elif kind == "agent":
             machine.agent_is_live = False
-            machine.agent_back_ms = now_ms + 5_000
+            machine.agent_restart_ms = now_ms + 5_000
         elif kind in ("reboot", "replace"):
             self.machines.remove(machine)
             name = machine.vm if kind == "reboot" else self._new_name()
@@ -200,10 +200,10 @@
 
     def _restart_programs(self, machine: Machine) -> None:
         now_ms = self.clock.now_ms()
-        if not machine.gateway_is_live and now_ms >= machine.gateway_back_ms:
+        if not machine.gateway_is_live and now_ms >= machine.gateway_restart_ms:
             machine.gateway_is_live = True
             machine.gateway = self._new_incarnation()
-        if not machine.agent_is_live and now_ms >= machine.agent_back_ms:
+        if not machine.agent_is_live and now_ms >= machine.agent_restart_ms:
             machine.start_agent()
 
     def _serve(self, machine: Machine, *, starts: bool) -> None:
@@ -263,15 +263,17 @@
                 continue
             allocations = self._list(engine)
             for owner in machine.reclaimer.list_owners_to_query(allocations):
-                machine.reclaimer.note_owner_state(owner, self._ask(machine, owner))
+                machine.reclaimer.note_owner_state(
+                    owner, self._query_state(machine, owner)
+                )
             releases = machine.reclaimer.list_releases(allocations)
             for release in confirm_releases(releases, self._list(engine)):
                 self._release(engine, release.allocation.attempt_id)
 
-    def _ask(self, asker: Machine, owner: Owner) -> OwnerState:
-        if owner.vm == asker.vm:
-            return asker.owners.find_state(owner.incarnation)
-        if not asker.is_reachable:
+    def _query_state(self, querier: Machine, owner: Owner) -> OwnerState:
+        if owner.vm == querier.vm:
+            return querier.owners.find_state(owner.incarnation)
+        if not querier.is_reachable:
             return OwnerState.UNKNOWN
         # Of two machines with the same name, the later one is found at the address.
         named = [m for m in self.machines if m.vm == owner.vm]
