--- a/tests/agent/test_gateway_watch.py
+++ b/tests/agent/test_gateway_watch.py
@@ -42,9 +42,9 @@
 def test_agent_runs_until_its_gateway_has_answered_all_requests() -> None:
     """Both programs of a VM get SIGTERM while a long answer is being streamed.
 
-    If the agent ended at once, the gateway could neither claim keys nor learn of leaving
-    upstreams for its remaining requests. Responses sent meanwhile must also close the
-    load balancer's connection to this VM.
+    If the agent ended at once, the gateway could neither claim keys for its remaining
+    requests nor learn of leaving upstreams. Responses sent meanwhile must also close
+    the load balancer's connection to this VM.
     """
 
     async def check() -> None:
