--- a/src/quetzaldeck/claims/settings.py
+++ b/src/quetzaldeck/claims/settings.py
@@ -50,7 +50,7 @@
     ] = 400
     max_pause_ms: Annotated[
         int,
-        Option("Pause after which a decision is taken again.", unit="ms", minimum=10),
+        Option("Pause after which a decision is made again.", unit="ms", minimum=10),
     ] = 1_000
 
 
--- a/src/quetzaldeck/commands/settings.py
+++ b/src/quetzaldeck/commands/settings.py
@@ -1,4 +1,4 @@
-"""Settings of commands to engines: intervals and time-outs."""
+"""Settings of commands to engines: intervals and timeouts."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         Option("Age above which a decided command is not sent.", unit="ms", minimum=10),
     ] = 2_000
     send_timeout_ms: Annotated[
-        int, Option("Time-out of a command.", unit="ms", minimum=10)
+        int, Option("Timeout of a command.", unit="ms", minimum=10)
     ] = 2_000
     takeover_ms: Annotated[
         int,
--- a/src/quetzaldeck/membership/settings.py
+++ b/src/quetzaldeck/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of membership: intervals, time-outs and limits."""
+"""Settings of membership: intervals, timeouts and limits."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         ),
     ] = 1_000
     probe_timeout_ms: Annotated[
-        int, Option("Time-out of a probe.", unit="ms", minimum=10)
+        int, Option("Timeout of a probe.", unit="ms", minimum=10)
     ] = 500
     n_relays: Annotated[
         int, Option("Peers asked to probe a VM that did not answer.", minimum=0)
