--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -251,8 +251,8 @@
     """A new agent gets a message of b, just restarted, before any update about b.
 
     A peer then passes on an outdated update about the former incarnation of b. If
-    it were accepted, the agent would take that one for the current one and ignore
-    the messages of the running one as those of a former one.
+    it were accepted, the agent would take the former incarnation for the current one
+    and ignore the messages of the running one.
     """
     membership = make_membership(clock)
     membership.apply_list(make_list("a", "b"))
@@ -266,7 +266,7 @@
 
 
 def test_an_answer_decides_which_incarnation_is_current(clock: ManualClock) -> None:
-    """An update about the wrong incarnation was accepted, for whatever reason.
+    """An update about an incarnation that is not running was accepted.
 
     An unsolicited message may be late, but the answer to a request of this agent
     comes from the running incarnation, so the next probe corrects the record.
