--- a/src/quetzaldeck/entry/peers/task.py
+++ b/src/quetzaldeck/entry/peers/task.py
@@ -121,7 +121,7 @@
         self._send_outgoing()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Handle a datagram; one that cannot be decoded is only logged."""
+        """Handle a datagram; one that cannot be decoded is only counted and logged."""
         try:
             message = decode_message(data)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
