--- a/src/quetzaldeck/belief/change_log.py
+++ b/src/quetzaldeck/belief/change_log.py
@@ -18,9 +18,9 @@
     """Remembers the revision of each replica's last change, not its content.
 
     Load pattern: a release replaces one replica after another, while most VMs learn of
-    it from a few watchers. If each change were answered with the complete state, every
-    one of the 50 VMs of a zone would read about a hundred kilobytes for a single
-    replica. With the changes since the revision that it knows, it reads one entry.
+    it from a few watchers. If each change were answered with the complete state, 50 VMs
+    of a zone would read some hundred kilobytes for a single replica. With only the
+    changes since the revision that they know, they read one entry.
     """
 
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
