--- a/src/quetzaldeck/belief/change_log.py
+++ b/src/quetzaldeck/belief/change_log.py
@@ -17,7 +17,6 @@
 class ChangeLog:
     """Remembers the revision of each replica's last change, not its content.
 
-    Load pattern: a release replaces one replica after another, while most VMs learn of
     Load pattern: a release replaces one replica after another, while most VMs learn of
     it from a few watchers. If each change were answered with the complete state, 50 VMs
     of a zone would read some hundred kilobytes for a single replica. A VM that is sent
